--- a/crates/catalog/src/key.rs
+++ b/crates/catalog/src/api_key.rs
@@ -9,11 +9,11 @@
 ///
 /// Keys are long and random, so a fast hash is enough; the salt keeps two operators' equal keys apart.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Key {
+pub struct ApiKeyHasher {
     derived: [u8; 32],
 }
 
-impl Key {
+impl ApiKeyHasher {
     /// A hasher for the salt that stands in the classes file.
     #[must_use]
     pub fn new(salt: &str) -> Self {
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -1,6 +1,8 @@
 //! The three files together, parsed and checked as a whole.
 
-use crate::{Class, Customer, Digest, Fault, Key, Kind, Parsed, Pool, Reader, Service, Upstream};
+use crate::{
+    ApiKeyHasher, Class, Customer, Digest, Fault, ParseCache, Pool, Service, TableReader, Upstream, UpstreamKind,
+};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Display;
 use std::hash::Hash;
@@ -9,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub struct Catalog {
     /// Hashes callers' keys.
-    pub key: Key,
+    pub key_hasher: ApiKeyHasher,
     /// Classes in the file's order; a class's index is its short name between boxes.
     pub classes: Vec<Class>,
     /// Customers; a customer's index holds only within one release.
@@ -24,7 +26,7 @@
 impl Default for Catalog {
     fn default() -> Self {
         Self {
-            key: Key::new(""),
+            key_hasher: ApiKeyHasher::new(""),
             classes: Vec::new(),
             customers: Vec::new(),
             pools: BTreeMap::new(),
@@ -41,14 +43,14 @@
     /// Every fault of every part, in the parts' order.
     pub fn parse(parts: &[(&str, &str)]) -> Result<Self, Vec<Fault>> {
         let parts: Vec<_> = parts.iter().map(|(name, text)| (*name, Digest::of(text.as_bytes()), *text)).collect();
-        Self::parse_again(&parts, &mut Parsed::default())
+        Self::parse_cached(&parts, &mut ParseCache::default())
     }
 
     /// The same for parts with their digests, using what was parsed before.
     ///
     /// # Errors
     /// The same faults as [`Catalog::parse`].
-    pub fn parse_again(parts: &[(&str, Digest, &str)], parsed: &mut Parsed) -> Result<Self, Vec<Fault>> {
+    pub fn parse_cached(parts: &[(&str, Digest, &str)], parsed: &mut ParseCache) -> Result<Self, Vec<Fault>> {
         let mut out = Self::default();
         let mut faults = Vec::new();
         for (name, digest, text) in parts {
@@ -73,10 +75,10 @@
     }
 
     fn read_part(&mut self, name: &str, text: &str) -> Vec<Fault> {
-        let mut reader = Reader::parse(name, text);
+        let mut reader = TableReader::parse(name, text);
         match name.split('-').next().unwrap_or_default() {
             "classes" => {
-                self.key = Key::new(&reader.text("key_salt"));
+                self.key_hasher = ApiKeyHasher::new(&reader.string("key_salt"));
                 self.classes = reader.tables("class", Class::read);
             }
             "customers" => self.customers.extend(reader.tables("customer", Customer::read)),
@@ -86,7 +88,7 @@
         reader.finish()
     }
 
-    fn read_upstreams(&mut self, reader: &mut Reader<'_>) {
+    fn read_upstreams(&mut self, reader: &mut TableReader<'_>) {
         for service in reader.tables("service", Service::read) {
             self.services.insert(service.name.clone(), service);
         }
@@ -127,7 +129,7 @@
     }
 
     fn check_services(&self) -> Vec<Fault> {
-        let plain = self.pools.values().flatten().filter(|u| u.kind == Kind::Plain);
+        let plain = self.pools.values().flatten().filter(|u| u.kind == UpstreamKind::Plain);
         plain
             .filter(|u| !self.services.contains_key(&u.pool.serves))
             .map(|u| {
@@ -139,8 +141,8 @@
 
     /// The customer who holds `api_key`.
     #[must_use]
-    pub fn customer_of(&self, api_key: &str) -> Option<(usize, &Customer)> {
-        let index = *self.by_key.get(&self.key.hash(api_key))?;
+    pub fn customer_by_api_key(&self, api_key: &str) -> Option<(usize, &Customer)> {
+        let index = *self.by_key.get(&self.key_hasher.hash(api_key))?;
         Some((index, &self.customers[index]))
     }
 
@@ -153,7 +155,7 @@
     /// Names of all models, each once.
     #[must_use]
     pub fn models(&self) -> Vec<&str> {
-        let engines = self.pools.iter().filter(|(_, servers)| servers[0].kind == Kind::Engine);
+        let engines = self.pools.iter().filter(|(_, servers)| servers[0].kind == UpstreamKind::Engine);
         let mut names: Vec<&str> = engines.map(|(pool, _)| pool.serves.as_str()).collect();
         names.sort_unstable();
         names.dedup();
@@ -162,7 +164,7 @@
 
     /// How many halls have upstreams, at least 1.
     #[must_use]
-    pub fn halls(&self) -> usize {
+    pub fn hall_count(&self) -> usize {
         let halls: HashSet<&str> = self.pools.keys().map(|p| p.hall.as_str()).collect();
         halls.len().max(1)
     }
--- a/crates/catalog/src/class.rs
+++ b/crates/catalog/src/class.rs
@@ -1,6 +1,6 @@
 //! Request classes.
 
-use crate::Reader;
+use crate::TableReader;
 
 /// A request class: its place in the order, its targets and what it is owed.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,14 +39,14 @@
 }
 
 impl Class {
-    pub(crate) fn read(reader: &mut Reader<'_>) -> Self {
+    pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         let class = Self {
             name: reader.name("name"),
             rank: reader.integer("rank", &(0..=255)) as u8,
             urgent: reader.flag("urgent", false),
             first_token_ms: reader.integer("first_token_ms", &(1..=86_400_000)),
             between_tokens_ms: reader.integer_opt("between_tokens_ms", &(1..=3_600_000)).unwrap_or(45),
-            floor: reader.share("floor", 0.0),
+            floor: reader.ratio("floor", 0.0),
             pass_after_ms: reader.integer_opt("pass_after_ms", &(0..=86_400_000)).unwrap_or(0),
             preemptible: reader.flag("preemptible", false),
         };
--- a/crates/catalog/src/customer.rs
+++ b/crates/catalog/src/customer.rs
@@ -1,6 +1,6 @@
 //! Customers.
 
-use crate::{Digest, Reader};
+use crate::{Digest, TableReader};
 
 /// A customer: who may call, as what, and how much.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -22,18 +22,18 @@
 }
 
 impl Customer {
-    pub(crate) fn read(reader: &mut Reader<'_>) -> Self {
+    pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         let name = reader.name("name");
-        let hash = reader.text("key_hash");
+        let hash = reader.string("key_hash");
         let key_hash = Digest::parse(&hash);
         if key_hash.is_none() && !hash.is_empty() {
             reader.fault("key_hash", "must be 32 hexadecimal digits, as `cleatshelf key` prints them");
         }
-        let classes = reader.texts("classes");
+        let classes = reader.strings("classes");
         if classes.is_empty() {
             reader.fault("classes", "must name at least one class");
         }
-        let default_class = reader.text_opt("default_class").or_else(|| classes.first().cloned());
+        let default_class = reader.string_opt("default_class").or_else(|| classes.first().cloned());
         let default_class = default_class.unwrap_or_default();
         if !classes.is_empty() && !classes.contains(&default_class) {
             reader.fault("default_class", format!("'{default_class}' is not one of the customer's classes"));
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -10,26 +10,26 @@
 //! assert!(faults.iter().any(|f| f.key == "class[0].rank"));
 //! ```
 
+mod api_key;
 mod catalog;
 mod class;
 mod customer;
 mod digest;
 mod fault;
 mod id;
-mod key;
-mod parsed;
-mod reader;
+mod parse_cache;
 mod release;
+mod table_reader;
 mod upstream;
 
+pub use api_key::ApiKeyHasher;
 pub use catalog::Catalog;
 pub use class::Class;
 pub use customer::Customer;
 pub use digest::Digest;
 pub use fault::Fault;
 pub use id::{BoxId, ClassId, CustomerId, ServerId, ShardId};
-pub use key::Key;
-pub use parsed::Parsed;
-pub use reader::Reader;
-pub use release::{part_of, Manifest, Order, Release, CUSTOMER_PARTS, FORMAT, PART_LIMIT};
-pub use upstream::{Kind, Pool, Service, Upstream};
+pub use parse_cache::ParseCache;
+pub use release::{customer_part, Manifest, Release, ReleaseId, CUSTOMER_PARTS, MAX_PART_BYTES, RELEASE_FORMAT};
+pub use table_reader::TableReader;
+pub use upstream::{Pool, Service, Upstream, UpstreamKind};
--- a/crates/catalog/src/parsed.rs
+++ b/crates/catalog/src/parse_cache.rs
@@ -8,11 +8,11 @@
 ///
 /// What a part says depends on its bytes alone, so the verdict on a release stays a pure function of it.
 #[derive(Clone, Debug, Default)]
-pub struct Parsed {
+pub struct ParseCache {
     customers: HashMap<Digest, Arc<Vec<Customer>>>,
 }
 
-impl Parsed {
+impl ParseCache {
     /// The customers of a part, if it was parsed before.
     pub(crate) fn get(&self, digest: &Digest) -> Option<Arc<Vec<Customer>>> {
         self.customers.get(digest).cloned()
--- a/crates/catalog/src/release.rs
+++ b/crates/catalog/src/release.rs
@@ -1,24 +1,24 @@
 //! Releases: a manifest and the parts it names by digest.
 
-use crate::{Catalog, Digest, Fault, Parsed, Reader};
+use crate::{Catalog, Digest, Fault, ParseCache, TableReader};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
 /// The newest release format that this program reads.
-pub const FORMAT: u64 = 1;
+pub const RELEASE_FORMAT: u64 = 1;
 
 /// Into how many parts customers are cut, so that one changed customer moves one small part.
 pub const CUSTOMER_PARTS: usize = 256;
 
 /// The largest part, in bytes: the platform holds values up to a megabyte.
-pub const PART_LIMIT: usize = 1_000_000;
+pub const MAX_PART_BYTES: usize = 1_000_000;
 
 /// Where a release stands among others: the number first, then the manifest's digest.
 ///
 /// Two operators who publish the same number at once still leave one order that all boxes share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Order {
+pub struct ReleaseId {
     /// The operators' release number.
     pub number: u64,
     /// The manifest's digest.
@@ -28,7 +28,7 @@
 /// What a release is made of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Manifest {
-    /// The release format, at most [`FORMAT`] if this program can read it.
+    /// The release format, at most [`RELEASE_FORMAT`] if this program can read it.
     pub format: u64,
     /// The operators' release number, rising.
     pub number: u64,
@@ -51,17 +51,18 @@
     /// Reads a manifest as published.
     ///
     /// # Errors
-    /// Every fault; a format newer than [`FORMAT`] is one of them.
+    /// Every fault; a format newer than [`RELEASE_FORMAT`] is one of them.
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
-        let mut reader = Reader::parse("manifest", text);
+        let mut reader = TableReader::parse("manifest", text);
         let format = reader.integer("format", &(1..=u64::from(u32::MAX)));
-        if format > FORMAT {
-            let reason = format!("format {format} was made by a newer cleatshelf; this one reads up to {FORMAT}");
+        if format > RELEASE_FORMAT {
+            let reason =
+                format!("format {format} was made by a newer cleatshelf; this one reads up to {RELEASE_FORMAT}");
             return Err(vec![Fault::new("manifest", "format", reason)]);
         }
         let number = reader.integer("number", &(1..=i64::MAX as u64));
         let mut parts = BTreeMap::new();
-        let listed = reader.tables("part", |r| (r.name("name"), r.text("digest")));
+        let listed = reader.tables("part", |r| (r.name("name"), r.string("digest")));
         for (name, digest) in listed {
             match Digest::parse(&digest) {
                 Some(digest) if !parts.contains_key(&name) => {
@@ -95,10 +96,10 @@
     /// Cuts the three files into parts and makes the manifest.
     ///
     /// # Errors
-    /// Every fault that [`Catalog::parse`] finds, or a part over [`PART_LIMIT`].
+    /// Every fault that [`Catalog::parse`] finds, or a part over [`MAX_PART_BYTES`].
     pub fn pack(number: u64, classes: &str, customers: &str, upstreams: &str) -> Result<Self, Vec<Fault>> {
         Catalog::parse(&[("classes", classes), ("customers", customers), ("upstreams", upstreams)])?;
-        let mut manifest = Manifest { format: FORMAT, number, parts: BTreeMap::new() };
+        let mut manifest = Manifest { format: RELEASE_FORMAT, number, parts: BTreeMap::new() };
         let mut parts = BTreeMap::new();
         let mut named = cut_customers(customers);
         named.insert("classes".to_owned(), classes.to_owned());
@@ -118,14 +119,14 @@
     /// # Errors
     /// Every fault: a missing, corrupt or oversized part, or what [`Catalog::parse`] finds.
     pub fn check(&self) -> Result<Catalog, Vec<Fault>> {
-        self.check_again(&mut Parsed::default())
+        self.check_cached(&mut ParseCache::default())
     }
 
     /// The same, using what was parsed before: the verdict is the same, and sooner here.
     ///
     /// # Errors
     /// The same faults as [`Release::check`].
-    pub fn check_again(&self, parsed: &mut Parsed) -> Result<Catalog, Vec<Fault>> {
+    pub fn check_cached(&self, parsed: &mut ParseCache) -> Result<Catalog, Vec<Fault>> {
         let mut faults = Vec::new();
         let mut texts = Vec::new();
         for (name, digest) in &self.manifest.parts {
@@ -140,19 +141,19 @@
         if !faults.is_empty() {
             return Err(faults);
         }
-        Catalog::parse_again(&texts, parsed)
+        Catalog::parse_cached(&texts, parsed)
     }
 
     /// Where this release stands among others.
     #[must_use]
-    pub fn order(&self) -> Order {
-        Order { number: self.manifest.number, digest: Digest::of(self.text.as_bytes()) }
+    pub fn id(&self) -> ReleaseId {
+        ReleaseId { number: self.manifest.number, digest: Digest::of(self.text.as_bytes()) }
     }
 
     /// Faults in publishing this release while `current` is in force.
     #[must_use]
     pub fn check_against(&self, current: &Release) -> Vec<Fault> {
-        if self.order() > current.order() && self.manifest.number > current.manifest.number {
+        if self.id() > current.id() && self.manifest.number > current.manifest.number {
             return Vec::new();
         }
         let reason = format!(
@@ -165,8 +166,8 @@
 
 /// The text of a part, if it has the digest that the manifest names and fits the platform.
 fn check_part<'a>(bytes: &'a [u8], digest: &Digest) -> Result<&'a str, String> {
-    if bytes.len() > PART_LIMIT {
-        return Err(format!("the part has {} bytes; {PART_LIMIT} is the most", bytes.len()));
+    if bytes.len() > MAX_PART_BYTES {
+        return Err(format!("the part has {} bytes; {MAX_PART_BYTES} is the most", bytes.len()));
     }
     if Digest::of(bytes) != *digest {
         return Err("the part's bytes don't match the manifest's digest".to_owned());
@@ -176,7 +177,7 @@
 
 /// The part in which the customer called `name` stands.
 #[must_use]
-pub fn part_of(name: &str) -> usize {
+pub fn customer_part(name: &str) -> usize {
     let hash = Digest::of(name.as_bytes());
     usize::from(u16::from_le_bytes([hash.0[0], hash.0[1]])) % CUSTOMER_PARTS
 }
@@ -188,7 +189,7 @@
     let list = table.get("customer").and_then(toml::Value::as_array);
     for customer in list.into_iter().flatten() {
         let name = customer.get("name").and_then(toml::Value::as_str).unwrap_or_default();
-        let part = parts.entry(format!("customers-{:03}", part_of(name))).or_default();
+        let part = parts.entry(format!("customers-{:03}", customer_part(name))).or_default();
         let body = toml::to_string(customer).unwrap_or_default();
         let _ = writeln!(part, "[[customer]]\n{body}");
     }
--- a/crates/catalog/src/reader.rs
+++ b/crates/catalog/src/table_reader.rs
@@ -6,14 +6,14 @@
 
 /// A table being read. Each key may be taken once; what is left at the end is an unknown key.
 #[derive(Debug)]
-pub struct Reader<'a> {
+pub struct TableReader<'a> {
     file: &'a str,
     path: String,
     table: Table,
     faults: Vec<Fault>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> TableReader<'a> {
     /// Parses `text`; a syntax error becomes a fault and an empty table.
     #[must_use]
     pub fn parse(file: &'a str, text: &str) -> Self {
@@ -47,7 +47,7 @@
     }
 
     /// A text, if the key stands there.
-    pub fn text_opt(&mut self, key: &str) -> Option<String> {
+    pub fn string_opt(&mut self, key: &str) -> Option<String> {
         match self.table.remove(key)? {
             Value::String(text) => Some(text),
             _ => {
@@ -58,14 +58,14 @@
     }
 
     /// A text that must stand there.
-    pub fn text(&mut self, key: &str) -> String {
-        let found = self.text_opt(key);
+    pub fn string(&mut self, key: &str) -> String {
+        let found = self.string_opt(key);
         self.required(key, found)
     }
 
     /// A name: 1 to 64 letters, digits, `-`, `_`, `.`, `/` or `:`.
     pub fn name(&mut self, key: &str) -> String {
-        let name = self.text(key);
+        let name = self.string(key);
         let fits = name.chars().all(|c| c.is_ascii_alphanumeric() || "-_./:".contains(c));
         if !name.is_empty() && (!fits || name.len() > 64) {
             self.fault(key, "must be 1 to 64 letters, digits, or any of - _ . / :");
@@ -75,7 +75,7 @@
 
     /// A value that parses from a text, such as an address.
     pub fn parsed_opt<T: std::str::FromStr>(&mut self, key: &str, what: &str) -> Option<T> {
-        let text = self.text_opt(key)?;
+        let text = self.string_opt(key)?;
         let parsed = text.parse().ok();
         if parsed.is_none() {
             self.fault(key, format!("'{text}' is not {what}"));
@@ -94,7 +94,7 @@
     }
 
     /// A list of texts; empty when the key isn't there.
-    pub fn texts(&mut self, key: &str) -> Vec<String> {
+    pub fn strings(&mut self, key: &str) -> Vec<String> {
         let Some(value) = self.table.remove(key) else { return Vec::new() };
         let Value::Array(items) = value else {
             self.fault(key, "must be a list of texts");
@@ -125,7 +125,7 @@
     }
 
     /// A share between 0 and 1, or `default`.
-    pub fn share(&mut self, key: &str, default: f64) -> f64 {
+    pub fn ratio(&mut self, key: &str, default: f64) -> f64 {
         let Some(value) = self.table.remove(key) else { return default };
         let number = value.as_float().or_else(|| value.as_integer().map(|n| n as f64));
         if let Some(share) = number.filter(|n| (0.0..=1.0).contains(n)) {
@@ -163,7 +163,7 @@
     }
 
     /// Reads each table of the list at `key` with `read`.
-    pub fn tables<T>(&mut self, key: &str, mut read: impl FnMut(&mut Reader<'a>) -> T) -> Vec<T> {
+    pub fn tables<T>(&mut self, key: &str, mut read: impl FnMut(&mut TableReader<'a>) -> T) -> Vec<T> {
         let Some(value) = self.table.remove(key) else { return Vec::new() };
         let Value::Array(items) = value else {
             self.fault(key, "must be a list of tables");
@@ -176,7 +176,7 @@
                 continue;
             };
             let path = format!("{}[{i}]", self.full(key));
-            let mut inner = Reader { file: self.file, path, table, faults: Vec::new() };
+            let mut inner = TableReader { file: self.file, path, table, faults: Vec::new() };
             out.push(read(&mut inner));
             self.faults.extend(inner.finish());
         }
--- a/crates/catalog/src/upstream.rs
+++ b/crates/catalog/src/upstream.rs
@@ -1,11 +1,11 @@
 //! Upstreams and the pools they form.
 
-use crate::Reader;
+use crate::TableReader;
 use std::net::SocketAddr;
 
 /// What an upstream speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Kind {
+pub enum UpstreamKind {
     /// A language-model server.
     Engine,
     /// A plain service: registry look-ups, top-ups and the like.
@@ -29,7 +29,7 @@
     /// Where it stands and what it serves.
     pub pool: Pool,
     /// What it speaks.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// Where it listens.
     pub address: SocketAddr,
     /// Most requests it bears at once, 1 to 4096.
@@ -50,12 +50,12 @@
 }
 
 impl Upstream {
-    pub(crate) fn read(reader: &mut Reader<'_>) -> Self {
+    pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
         let name = reader.name("name");
         let hall = reader.name("hall");
-        let model = reader.text_opt("model");
-        let service = reader.text_opt("service");
-        let kind = if model.is_some() { Kind::Engine } else { Kind::Plain };
+        let model = reader.string_opt("model");
+        let service = reader.string_opt("service");
+        let kind = if model.is_some() { UpstreamKind::Engine } else { UpstreamKind::Plain };
         if model.is_some() == service.is_some() {
             reader.fault("model", "name either a model or a service, and not both");
         }
@@ -73,8 +73,8 @@
 }
 
 impl Service {
-    pub(crate) fn read(reader: &mut Reader<'_>) -> Self {
-        let repeatable = reader.texts("repeatable").iter().map(|m| m.to_ascii_uppercase()).collect();
+    pub(crate) fn read(reader: &mut TableReader<'_>) -> Self {
+        let repeatable = reader.strings("repeatable").iter().map(|m| m.to_ascii_uppercase()).collect();
         Self { name: reader.name("name"), repeatable }
     }
 }
--- a/crates/catalog/tests/files.rs
+++ b/crates/catalog/tests/files.rs
@@ -1,6 +1,6 @@
 //! The operators' files: every fault at once, and releases that are what they say.
 
-use catalog::{Catalog, Digest, Fault, Key, Manifest, Release, CUSTOMER_PARTS, PART_LIMIT};
+use catalog::{ApiKeyHasher, Catalog, Digest, Fault, Manifest, Release, CUSTOMER_PARTS, MAX_PART_BYTES};
 use proptest::prelude::*;
 
 const CLASSES: &str = include_str!("../../../examples/lakes/classes.toml");
@@ -83,7 +83,7 @@
     assert_eq!(release.parts.len(), CUSTOMER_PARTS + 2);
     let largest = release.parts.values().map(Vec::len).max().expect("parts");
     assert!(largest < 20_000, "{largest} bytes in one part");
-    assert!(release.text.len() < PART_LIMIT);
+    assert!(release.text.len() < MAX_PART_BYTES);
     assert_eq!(release.check().expect("a good release").customers.len(), 28_000);
 }
 
@@ -98,7 +98,7 @@
     missing.parts.remove(&digest);
     assert!(lines(&missing.check().expect_err("missing")).contains("missing"));
     let mut oversized = good.clone();
-    oversized.parts.insert(digest, vec![b'#'; PART_LIMIT + 1]);
+    oversized.parts.insert(digest, vec![b'#'; MAX_PART_BYTES + 1]);
     assert!(lines(&oversized.check().expect_err("oversized")).contains("is the most"));
 }
 
@@ -113,12 +113,12 @@
 
 #[test]
 fn what_was_parsed_before_changes_no_verdict() {
-    let mut parsed = catalog::Parsed::default();
+    let mut parsed = catalog::ParseCache::default();
     let one = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a good release");
     let changed = CUSTOMERS.replacen("weight = 4", "weight = 5", 1);
     let two = Release::pack(2, CLASSES, &changed, UPSTREAMS).expect("a good release");
     for release in [&one, &two, &one, &two] {
-        let again = release.check_again(&mut parsed).expect("a good release");
+        let again = release.check_cached(&mut parsed).expect("a good release");
         let anew = release.check().expect("a good release");
         assert_eq!(again.customers, anew.customers);
         assert_eq!(again.classes, anew.classes);
@@ -126,21 +126,21 @@
     }
     // Faults between parts are found although each part is known.
     let mut twin = two.clone();
-    let digest =
-        twin.manifest.parts["customers-000".replace("000", &format!("{:03}", catalog::part_of("audit"))).as_str()];
+    let digest = twin.manifest.parts
+        ["customers-000".replace("000", &format!("{:03}", catalog::customer_part("audit"))).as_str()];
     twin.manifest.parts.insert("customers-copy".into(), digest);
-    let faults = twin.check_again(&mut parsed).expect_err("a customer stands there twice");
+    let faults = twin.check_cached(&mut parsed).expect_err("a customer stands there twice");
     assert_eq!(lines(&faults), lines(&twin.check().expect_err("the same")));
 }
 
 #[test]
 fn a_key_is_found_by_its_hash_only_under_the_right_salt() {
-    let hash = Key::new("lakes-east-2026").hash("a key");
+    let hash = ApiKeyHasher::new("lakes-east-2026").hash("a key");
     let customers = format!("[[customer]]\nname = \"a\"\nkey_hash = \"{hash}\"\nclasses = [\"hotline\"]\n");
     let catalog = Catalog::parse(&[("classes", CLASSES), ("customers", &customers)]).expect("good files");
-    assert_eq!(catalog.customer_of("a key").map(|(index, _)| index), Some(0));
-    assert!(catalog.customer_of("another key").is_none());
-    assert_ne!(hash, Key::new("another salt").hash("a key"));
+    assert_eq!(catalog.customer_by_api_key("a key").map(|(index, _)| index), Some(0));
+    assert!(catalog.customer_by_api_key("another key").is_none());
+    assert_ne!(hash, ApiKeyHasher::new("another salt").hash("a key"));
 }
 
 proptest! {
--- a/crates/cleatshelf/src/command.rs
+++ b/crates/cleatshelf/src/command.rs
@@ -3,7 +3,7 @@
 use crate::status::{Explanation, Status};
 use crate::{router, serve, Settings};
 use argh::FromArgs;
-use catalog::{Catalog, Digest, Fault, Key, Manifest, Release};
+use catalog::{ApiKeyHasher, Catalog, Digest, Fault, Manifest, Release};
 use clock::{BootClock, Clock};
 use eyre::WrapErr;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
     Pack(PackArgs),
     Status(StatusArgs),
     Explain(ExplainArgs),
-    Key(KeyArgs),
+    ApiKeyHasher(KeyArgs),
     Version(VersionArgs),
 }
 
@@ -149,12 +149,12 @@
         What::Pack(args) => pack(&args),
         What::Status(args) => status(&args),
         What::Explain(args) => explain(&args),
-        What::Key(args) => key(&args),
+        What::ApiKeyHasher(args) => key(&args),
         What::Version(_) => {
             println!(
                 "cleatshelf {} (release format {}, wire {})",
                 env!("CARGO_PKG_VERSION"),
-                catalog::FORMAT,
+                catalog::RELEASE_FORMAT,
                 wire::VERSION
             );
             Ok(ExitCode::SUCCESS)
@@ -201,7 +201,7 @@
         Ok(settings) => settings,
         Err(faults) => return Ok(report(&faults)),
     };
-    let lines = telemetry::Lines::start(std::io::stdout())?;
+    let lines = telemetry::JsonLogger::start(std::io::stdout())?;
     lines.clone().install();
     ended(router::serve(settings, path.to_owned(), lines, clock))
 }
@@ -312,14 +312,14 @@
     }
     // The manifest last: publish in the same order, so that no reader finds a part missing.
     std::fs::write(args.out.join("manifest"), &release.text)?;
-    println!("release {} {} with {} parts", args.number, release.order().digest, release.parts.len());
+    println!("release {} {} with {} parts", args.number, release.id().digest, release.parts.len());
     Ok(ExitCode::SUCCESS)
 }
 
 fn key(args: &KeyArgs) -> eyre::Result<ExitCode> {
     let mut line = String::new();
     std::io::stdin().read_line(&mut line)?;
-    println!("{}", Key::new(&args.salt).hash(line.trim()));
+    println!("{}", ApiKeyHasher::new(&args.salt).hash(line.trim()));
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -9,7 +9,7 @@
 use crate::status::{Explanation, PeerRow, RefusedRow, RouteRow, ShardRow, Status, UpstreamRow};
 use crate::{Envelope, Settings};
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, WrapFuture};
-use catalog::{BoxId, ClassId, CustomerId, Digest, Order, ServerId};
+use catalog::{BoxId, ClassId, CustomerId, Digest, ReleaseId, ServerId};
 use clock::Clock;
 use feed::{Allowance, Listing, Source, Trouble, Value, MANIFEST};
 use fleet::{watchers, Probe, Spread, State, Timing};
@@ -22,7 +22,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use telemetry::{Event, Series};
+use telemetry::{Event, LabelLimiter};
 use tokio::sync::oneshot;
 use upstream::Gauge;
 use wire::{Key, Link, Listener};
@@ -158,7 +158,7 @@
     settled: bool,
     heard_peer: bool,
     /// The newest release that a peer named since `began`.
-    best_heard: Option<Order>,
+    best_heard: Option<ReleaseId>,
     was_ready: bool,
     sent_messages: u64,
     broken: u64,
@@ -303,7 +303,7 @@
         let layout = Rc::clone(self.broker.layout());
         for id in self.broker.watched() {
             let Some(upstream) = layout.server(id) else { continue };
-            if upstream.kind != catalog::Kind::Engine {
+            if upstream.kind != catalog::UpstreamKind::Engine {
                 continue;
             }
             let (gauge, address) = (Rc::clone(&self.gauge), upstream.address);
@@ -324,7 +324,7 @@
     // ------------------------------------------------------------------------
     // Other boxes
 
-    fn hear_order(&mut self, from: BoxId, order: Option<Order>, context: &mut Context<Self>) {
+    fn hear_order(&mut self, from: BoxId, order: Option<ReleaseId>, context: &mut Context<Self>) {
         self.heard_peer = true;
         self.best_heard = self.best_heard.max(order);
         let actions = self.spread.hear(from, order, self.now());
--- a/crates/cleatshelf/src/control/carry.rs
+++ b/crates/cleatshelf/src/control/carry.rs
@@ -131,7 +131,7 @@
         }
         metrics::gauge!("cleatshelf_release_number").set(number as f64);
         let layout = Rc::new(Layout::of(&catalog));
-        let mut series = Series::new(SERIES_MOST);
+        let mut series = LabelLimiter::new(SERIES_MOST);
         let labels = catalog.customers.iter().map(|c| series.label(&c.name)).collect();
         self.update_snapshot(|snapshot| {
             snapshot.catalog = catalog;
--- a/crates/cleatshelf/src/operators.rs
+++ b/crates/cleatshelf/src/operators.rs
@@ -7,7 +7,7 @@
 use actix_web::HttpResponse;
 use serde::Deserialize;
 use serde_json::json;
-use telemetry::Scrape;
+use telemetry::PrometheusRecorder;
 
 /// What the operators' handlers share.
 #[derive(Clone)]
@@ -15,7 +15,7 @@
     /// The control actor.
     pub control: Addr<Control>,
     /// The metrics.
-    pub scrape: Scrape,
+    pub scrape: PrometheusRecorder,
 }
 
 #[derive(Deserialize)]
--- a/crates/cleatshelf/src/router/operators.rs
+++ b/crates/cleatshelf/src/router/operators.rs
@@ -14,15 +14,15 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
-use telemetry::{Lines, Scrape};
+use telemetry::{JsonLogger, PrometheusRecorder};
 use tokio::net::TcpListener;
 
 /// What operators can ask, on the control thread.
 pub(super) struct Operators {
-    pub(super) scrape: Scrape,
+    pub(super) scrape: PrometheusRecorder,
     pub(super) shared: Arc<Shared>,
     pub(super) knowledge: Rc<Knowledge>,
-    pub(super) lines: Lines,
+    pub(super) lines: JsonLogger,
 }
 
 impl Operators {
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -19,7 +19,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use telemetry::{Event, Lines, Scrape};
+use telemetry::{Event, JsonLogger, PrometheusRecorder};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 
@@ -33,12 +33,12 @@
 ///
 /// # Errors
 /// When a listener can't be bound.
-pub fn serve(settings: Settings, path: PathBuf, lines: Lines, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
+pub fn serve(settings: Settings, path: PathBuf, lines: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
     actix::System::new().block_on(run(settings, path, lines, clock))
 }
 
-async fn run(settings: Settings, path: PathBuf, lines: Lines, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
-    let scrape = Scrape::install()?;
+async fn run(settings: Settings, path: PathBuf, lines: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
+    let scrape = PrometheusRecorder::install()?;
     let window = settings.retry_window.as_millis() as u64;
     let budget = Budget::new(settings.retry_ratio, settings.retry_slack, window);
     let placement = Placement::new(&settings.hall, budget)
--- a/crates/cleatshelf/src/router/settings.rs
+++ b/crates/cleatshelf/src/router/settings.rs
@@ -1,7 +1,7 @@
 //! A router's settings, checked as a whole.
 
 use crate::settings::{address, check_link_key};
-use catalog::{Fault, Reader};
+use catalog::{Fault, TableReader};
 use placement::Allowance;
 use routing::Regions;
 use std::net::SocketAddr;
@@ -47,13 +47,13 @@
     pub regions: Regions,
 }
 
-fn capacity(reader: &mut Reader<'_>) -> u32 {
+fn capacity(reader: &mut TableReader<'_>) -> u32 {
     let processor = reader.number("processor_share", &(0.0..=1_000.0)) * 1_000.0;
     let link = reader.number("link_mbps", &(0.0..=1_000_000.0)) * 10.0;
     processor.min(link) as u32
 }
 
-fn cold(reader: &mut Reader<'_>) -> Allowance {
+fn cold(reader: &mut TableReader<'_>) -> Allowance {
     let base = Allowance::default();
     Allowance {
         ratio: reader.number_opt("cold_ratio", &(0.0..=100.0)).unwrap_or(base.ratio),
@@ -61,12 +61,12 @@
     }
 }
 
-fn regions(reader: &mut Reader<'_>) -> Regions {
+fn regions(reader: &mut TableReader<'_>) -> Regions {
     reader.tables("halls", |hall| (hall.name("name"), hall.name("region"))).into_iter().collect()
 }
 
-fn seeds(reader: &mut Reader<'_>) -> Vec<SocketAddr> {
-    let texts = reader.texts("seeds");
+fn seeds(reader: &mut TableReader<'_>) -> Vec<SocketAddr> {
+    let texts = reader.strings("seeds");
     let parsed: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
     if parsed.len() != texts.len() {
         reader.fault("seeds", "must be IP addresses with ports");
@@ -80,7 +80,7 @@
     /// # Errors
     /// Every fault at once, unknown keys included.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        let mut reader = Reader::parse(file, text);
+        let mut reader = TableReader::parse(file, text);
         let settings = Self {
             name: reader.name("name"),
             hall: reader.name("hall"),
@@ -90,7 +90,7 @@
             operators: address(&mut reader, "listen_operators"),
             publisher: address(&mut reader, "publisher"),
             seeds: seeds(&mut reader),
-            link_key: reader.text("link_key"),
+            link_key: reader.string("link_key"),
             stop_time: Duration::from_secs_f64(reader.number("stop_seconds", &(1.0..=86_400.0))),
             files_most: reader.integer("files_most", &(256..=1_000_000)) as usize,
             capacity: capacity(&mut reader),
--- a/crates/cleatshelf/src/serve.rs
+++ b/crates/cleatshelf/src/serve.rs
@@ -17,7 +17,7 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use telemetry::{Event, Scrape};
+use telemetry::{Event, PrometheusRecorder};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 /// Longest wait for a request's head.
@@ -48,7 +48,7 @@
 }
 
 async fn run(settings: Arc<Settings>) -> eyre::Result<bool> {
-    let scrape = Scrape::install()?;
+    let scrape = PrometheusRecorder::install()?;
     let clock: Arc<dyn Clock> = Arc::new(BootClock);
     let shared = Shared::new(std::sync::RwLock::new(Arc::new(Snapshot::default())));
     let running = Arc::new(AtomicUsize::new(0));
--- a/crates/cleatshelf/src/settings.rs
+++ b/crates/cleatshelf/src/settings.rs
@@ -1,6 +1,6 @@
 //! A box's settings, checked as a whole.
 
-use catalog::{Fault, Reader};
+use catalog::{Fault, TableReader};
 use fleet::Peer;
 use gateway::Limits;
 use policy::{Discipline, Way};
@@ -51,23 +51,23 @@
 }
 
 /// An address that must stand under `key`; one fault if it doesn't.
-pub(crate) fn address(reader: &mut Reader<'_>, key: &str) -> SocketAddr {
+pub(crate) fn address(reader: &mut TableReader<'_>, key: &str) -> SocketAddr {
     let parsed = reader.parsed(key, "an IP address with a port, such as 10.0.0.5:7000");
     parsed.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)))
 }
 
 /// Notes a fault when the secret between boxes is too short; a missing one is a fault already.
-pub(crate) fn check_link_key(reader: &mut Reader<'_>, key: &str) {
+pub(crate) fn check_link_key(reader: &mut TableReader<'_>, key: &str) {
     if !key.is_empty() && key.len() < KEY_LEAST {
         reader.fault("link_key", format!("must have at least {KEY_LEAST} bytes"));
     }
 }
 
-fn read_peer(reader: &mut Reader<'_>) -> Peer {
+fn read_peer(reader: &mut TableReader<'_>) -> Peer {
     Peer { name: reader.name("name"), hall: reader.name("hall"), address: address(reader, "address") }
 }
 
-fn read_limits(reader: &mut Reader<'_>) -> Limits {
+fn read_limits(reader: &mut TableReader<'_>) -> Limits {
     let base = Limits::default();
     let mut seconds =
         |key: &str, base: Duration| reader.integer_opt(key, &(1..=86_400)).map_or(base, Duration::from_secs);
@@ -86,8 +86,8 @@
     }
 }
 
-fn read_way(reader: &mut Reader<'_>) -> Way {
-    match reader.text_opt("way").as_deref() {
+fn read_way(reader: &mut TableReader<'_>) -> Way {
+    match reader.string_opt("way").as_deref() {
         None | Some("owner") => Way::Owner,
         Some("alone-arrival") => Way::Alone(Discipline::Arrival),
         Some("alone-class") => Way::Alone(Discipline::Class),
@@ -104,7 +104,7 @@
     /// # Errors
     /// Every fault at once, unknown keys included.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        let mut reader = Reader::parse(file, text);
+        let mut reader = TableReader::parse(file, text);
         let me = Peer {
             name: reader.name("name"),
             hall: reader.name("hall"),
@@ -116,7 +116,7 @@
             operators: address(&mut reader, "listen_operators"),
             config: address(&mut reader, "platform_config"),
             members: address(&mut reader, "platform_members"),
-            link: Link { key: reader.text("link_key") },
+            link: Link { key: reader.string("link_key") },
             peers: reader.tables("peer", read_peer),
             traffic_threads: reader.integer_opt("traffic_threads", &(1..=64)).unwrap_or(2) as usize,
             limits: read_limits(&mut reader),
@@ -132,7 +132,7 @@
         }
     }
 
-    fn check(&self, reader: &mut Reader<'_>) {
+    fn check(&self, reader: &mut TableReader<'_>) {
         check_link_key(reader, &self.link.key);
         let own = [self.me.address, self.callers, self.operators];
         if own[0] == own[1] || own[0] == own[2] || own[1] == own[2] {
--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -1,7 +1,7 @@
 //! What the fleet's state machines want done.
 
 use crate::{Change, Message};
-use catalog::{BoxId, Catalog, Digest, Order, Release, ServerId};
+use catalog::{BoxId, Catalog, Digest, Release, ReleaseId, ServerId};
 use telemetry::Event;
 
 /// What the fleet's state machines want done.
@@ -16,7 +16,7 @@
     /// Let this change ride along on probes.
     Spread(Change),
     /// Another box refused a release, for this reason: to be shown here as well.
-    Refused(Order, String),
+    Refused(ReleaseId, String),
     /// This release is in force from now on.
     Adopt(Box<Release>, Box<Catalog>),
     /// Get these parts from the platform, for a manifest that it offered.
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,7 +1,7 @@
 //! What boxes say to each other about themselves and about releases.
 
 use crate::{Peer, State};
-use catalog::{BoxId, Digest, Manifest, Order, ServerId};
+use catalog::{BoxId, Digest, Manifest, ReleaseId, ServerId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     /// A release that a box was offered by the platform and refused. Only shown, never obeyed.
     Refused {
         /// Where it stands among others.
-        order: Order,
+        order: ReleaseId,
         /// The first of its faults, cut to [`REASON_MOST`] characters.
         reason: String,
     },
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     /// The earlier release, or none for a whole manifest.
-    pub base: Option<Order>,
+    pub base: Option<ReleaseId>,
     /// The release format.
     pub format: u64,
     /// The release number.
@@ -58,7 +58,7 @@
 impl Delta {
     /// What has to change in `base` to give `to`; the whole of `to` without a base.
     #[must_use]
-    pub fn between(base: Option<(Order, &Manifest)>, to: &Manifest) -> Self {
+    pub fn between(base: Option<(ReleaseId, &Manifest)>, to: &Manifest) -> Self {
         let empty = BTreeMap::new();
         let old = base.map_or(&empty, |(_, m)| &m.parts);
         let changed = to.parts.iter().filter(|(name, digest)| old.get(*name) != Some(digest));
@@ -92,7 +92,7 @@
         /// Pairs the answer.
         number: u32,
         /// The release in force at the sender.
-        order: Option<Order>,
+        order: Option<ReleaseId>,
         /// Changes that are still spreading.
         changes: Vec<Change>,
     },
@@ -101,7 +101,7 @@
         /// The ping's number.
         number: u32,
         /// The release in force at the sender.
-        order: Option<Order>,
+        order: Option<ReleaseId>,
         /// Changes that are still spreading.
         changes: Vec<Change>,
     },
@@ -110,9 +110,9 @@
     /// The box that you asked about answered me.
     AckFor(u32, BoxId),
     /// The manifest of the release in force, please; here is what I have.
-    Pull(Option<Order>),
+    Pull(Option<ReleaseId>),
     /// A manifest.
-    Manifest(Order, Delta),
+    Manifest(ReleaseId, Delta),
     /// These parts, please.
     PullParts(Vec<Digest>),
     /// Parts; each names itself by its digest.
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -2,7 +2,7 @@
 
 use crate::rumour::Rumours;
 use crate::{Action, Change, Member, Message, Peer, State};
-use catalog::{BoxId, Order, ServerId};
+use catalog::{BoxId, ReleaseId, ServerId};
 use policy::Time;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -161,7 +161,7 @@
     }
 
     /// A message about who is alive came in. Messages about releases are left to [`crate::Spread`].
-    pub fn receive(&mut self, from: BoxId, message: &Message, order: Option<Order>, now: Time) -> Vec<Action> {
+    pub fn receive(&mut self, from: BoxId, message: &Message, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
         match message {
             Message::Ping { number, changes, .. } => {
                 self.take_in(changes, now);
@@ -323,7 +323,7 @@
         self.count
     }
 
-    fn ping(&mut self, to: BoxId, order: Option<Order>, now: Time) {
+    fn ping(&mut self, to: BoxId, order: Option<ReleaseId>, now: Time) {
         let number = self.next_number();
         let changes = self.rumours.take();
         self.outstanding.insert(number, Outstanding { to, sent: now, helped: false });
@@ -354,7 +354,7 @@
     }
 
     /// Time has passed. `order` is the release in force here.
-    pub fn tick(&mut self, order: Option<Order>, now: Time) -> Vec<Action> {
+    pub fn tick(&mut self, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
         if now.since(self.ticked) >= policy::PAUSE_MS {
             // It was this box that was away, so nobody's silence means anything.
             self.outstanding.clear();
@@ -371,7 +371,7 @@
         std::mem::take(&mut self.out)
     }
 
-    fn probe_next(&mut self, order: Option<Order>, now: Time) {
+    fn probe_next(&mut self, order: Option<ReleaseId>, now: Time) {
         let far = self.count.is_multiple_of(FAR_EVERY);
         if let Some(to) = self.next_target(far).or_else(|| self.next_target(!far)) {
             self.ping(to, order, now);
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/spread.rs
@@ -1,7 +1,7 @@
 //! Releases: from the platform to few boxes, from them to all, and never back.
 
 use crate::{Action, Change, Delta, Message, REASON_MOST};
-use catalog::{BoxId, Digest, Manifest, Order, Parsed, Release};
+use catalog::{BoxId, Digest, Manifest, ParseCache, Release, ReleaseId};
 use policy::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use telemetry::Event;
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct Refused {
     /// Where it stands among others.
-    pub order: Order,
+    pub order: ReleaseId,
     /// Every fault, for the operator.
     pub reasons: Vec<String>,
 }
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 struct Pull {
     source: Source,
-    order: Order,
+    order: ReleaseId,
     /// None until the manifest is here.
     manifest: Option<(Manifest, String)>,
     parts: BTreeMap<Digest, Vec<u8>>,
@@ -58,7 +58,7 @@
 }
 
 impl Pull {
-    fn new(source: Source, order: Order, now: Time) -> Self {
+    fn new(source: Source, order: ReleaseId, now: Time) -> Self {
         let (parts, missing, awaited) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
         Self { source, order, manifest: None, parts, missing, awaited, since: now }
     }
@@ -69,9 +69,9 @@
 pub struct Spread {
     /// Its order only ever rises.
     current: Option<Release>,
-    history: VecDeque<(Order, Manifest)>,
+    history: VecDeque<(ReleaseId, Manifest)>,
     pull: Option<Pull>,
-    parsed: Parsed,
+    parsed: ParseCache,
     /// What this box found wrong itself. Keeps a release out.
     refused: VecDeque<Refused>,
     /// What others refused and this box wasn't offered. Only shown: acceptance is each box's own finding.
@@ -88,7 +88,7 @@
 
     /// Where the release in force stands.
     #[must_use]
-    pub fn order(&self) -> Option<Order> {
+    pub fn order(&self) -> Option<ReleaseId> {
         self.history.back().map(|(order, _)| *order)
     }
 
@@ -102,11 +102,11 @@
 
     /// True when this box itself found a release wrong.
     #[must_use]
-    pub fn has_refused(&self, order: Order) -> bool {
+    pub fn has_refused(&self, order: ReleaseId) -> bool {
         self.refused.iter().any(|r| r.order == order)
     }
 
-    fn wants(&self, order: Order) -> bool {
+    fn wants(&self, order: ReleaseId) -> bool {
         let newer = self.order().is_none_or(|current| order > current);
         newer && !self.has_refused(order)
     }
@@ -115,7 +115,7 @@
     // From peers
 
     /// A peer's release was heard of.
-    pub fn hear(&mut self, from: BoxId, order: Option<Order>, now: Time) -> Vec<Action> {
+    pub fn hear(&mut self, from: BoxId, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
         if let Some(order) = order.filter(|o| self.wants(*o)) {
             let busy = self.pull.as_ref().is_some_and(|p| now.since(p.since) < PULL_MS && p.order >= order);
             if !busy {
@@ -138,14 +138,14 @@
         std::mem::take(&mut self.out)
     }
 
-    fn send_manifest(&mut self, to: BoxId, have: Option<Order>) {
+    fn send_manifest(&mut self, to: BoxId, have: Option<ReleaseId>) {
         let Some((order, manifest)) = self.history.back() else { return };
         let base = self.history.iter().find(|(o, _)| Some(*o) == have).map(|(o, m)| (*o, m));
         let delta = Delta::between(base, manifest);
         self.out.push(Action::Send(to, Message::Manifest(*order, delta)));
     }
 
-    fn take_manifest(&mut self, from: BoxId, order: Order, delta: &Delta, now: Time) {
+    fn take_manifest(&mut self, from: BoxId, order: ReleaseId, delta: &Delta, now: Time) {
         if !self.wants(order) {
             return;
         }
@@ -185,15 +185,15 @@
         }
         match Manifest::parse(text) {
             Err(faults) => {
-                let order = Order { number: 0, digest };
+                let order = ReleaseId { number: 0, digest };
                 self.refuse(order, faults.iter().map(ToString::to_string).collect());
             }
             Ok(manifest) if manifest.render() != text => {
                 let reason = "manifest: not in the form that `cleatshelf pack` writes".to_owned();
-                self.refuse(Order { number: manifest.number, digest }, vec![reason]);
+                self.refuse(ReleaseId { number: manifest.number, digest }, vec![reason]);
             }
             Ok(manifest) => {
-                let order = Order { number: manifest.number, digest };
+                let order = ReleaseId { number: manifest.number, digest };
                 if self.wants(order) {
                     self.begin(Source::Platform, text, now);
                 } else if let Some(current) = self.order() {
@@ -220,12 +220,12 @@
         let manifest = match Manifest::parse(text) {
             Ok(manifest) => manifest,
             Err(faults) => {
-                let order = Order { number: 0, digest: Digest::of(text.as_bytes()) };
+                let order = ReleaseId { number: 0, digest: Digest::of(text.as_bytes()) };
                 self.refuse(order, faults.iter().map(ToString::to_string).collect());
                 return;
             }
         };
-        let order = Order { number: manifest.number, digest: Digest::of(text.as_bytes()) };
+        let order = ReleaseId { number: manifest.number, digest: Digest::of(text.as_bytes()) };
         let mut pull = Pull::new(source, order, now);
         for digest in manifest.parts.values() {
             match self.current.as_ref().and_then(|c| c.parts.get(digest)) {
@@ -275,14 +275,14 @@
         let Some(pull) = self.pull.take() else { return };
         let Some((manifest, text)) = pull.manifest else { return };
         let release = Release { manifest, text, parts: pull.parts };
-        match release.check_again(&mut self.parsed) {
+        match release.check_cached(&mut self.parsed) {
             Ok(catalog) => self.adopt(release, catalog),
             Err(faults) => self.refuse(pull.order, faults.iter().map(ToString::to_string).collect()),
         }
     }
 
     fn adopt(&mut self, release: Release, catalog: catalog::Catalog) {
-        let order = release.order();
+        let order = release.id();
         if self.order().is_some_and(|current| order <= current) {
             // `wants` was asked before the parts came; a newer release may have come in between.
             return;
@@ -297,7 +297,7 @@
         self.out.push(Action::Adopt(Box::new(release), Box::new(catalog)));
     }
 
-    fn refuse(&mut self, order: Order, reasons: Vec<String>) {
+    fn refuse(&mut self, order: ReleaseId, reasons: Vec<String>) {
         let reason = reasons.first().map(|first| first.chars().take(REASON_MOST).collect()).unwrap_or_default();
         self.out.push(Action::Spread(Change::Refused { order, reason }));
         let shown: Vec<&str> = reasons.iter().take(5).map(String::as_str).collect();
@@ -309,7 +309,7 @@
     }
 
     /// Another box refused a release. Shown and passed on once; this box still judges for itself.
-    pub fn told(&mut self, order: Order, reason: &str) -> Vec<Action> {
+    pub fn told(&mut self, order: ReleaseId, reason: &str) -> Vec<Action> {
         if self.refused.iter().chain(&self.told).any(|r| r.order == order) {
             return Vec::new();
         }
--- a/crates/fleet/tests/random.rs
+++ b/crates/fleet/tests/random.rs
@@ -39,7 +39,7 @@
         world.published.push(release(8, 80));
         (0..800).for_each(|_| world.step());
         prop_assert!(world.wrongs.is_empty(), "{:?}", world.wrongs);
-        let newest = world.published.iter().map(Release::order).max();
+        let newest = world.published.iter().map(Release::id).max();
         for node in &world.nodes {
             prop_assert_eq!(node.spread.order(), newest, "{} is behind", node.peer.name);
             let dead = node.probe.members().filter(|m| m.state != State::Alive).count();
--- a/crates/fleet/tests/refused.rs
+++ b/crates/fleet/tests/refused.rs
@@ -48,9 +48,9 @@
             spread.fetched(&parts, Time(1_000));
         }
     }
-    assert_eq!(spread.order(), Some(good.order()));
-    let said = spread.told(good.order(), "made by a newer cleatshelf");
+    assert_eq!(spread.order(), Some(good.id()));
+    let said = spread.told(good.id(), "made by a newer cleatshelf");
     assert!(said.iter().any(|a| matches!(a, Action::Note(Event::ReleaseRefused, _))), "it is logged: {said:?}");
     assert!(!shows(&spread, 1));
-    assert!(spread.told(good.order(), "made by a newer cleatshelf").is_empty(), "once");
+    assert!(spread.told(good.id(), "made by a newer cleatshelf").is_empty(), "once");
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -146,7 +146,7 @@
         self.check(i, before);
     }
 
-    fn check(&mut self, i: usize, before: Option<catalog::Order>) {
+    fn check(&mut self, i: usize, before: Option<catalog::ReleaseId>) {
         let after = self.nodes[i].spread.order();
         if after < before {
             self.wrongs.push(format!("{} fell from {before:?} to {after:?}", self.nodes[i].peer.name));
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -41,7 +41,7 @@
     pub fn identify(headers: &HeaderMap, snapshot: &Snapshot, limits: &Limits) -> Result<Self, Problem> {
         let bearer = header(headers, "authorization").and_then(|v| v.strip_prefix("Bearer "));
         let api_key = bearer.or_else(|| header(headers, "x-api-key"));
-        let found = api_key.and_then(|key| snapshot.catalog.customer_of(key.trim()));
+        let found = api_key.and_then(|key| snapshot.catalog.customer_by_api_key(key.trim()));
         let Some((index, customer)) = found else {
             return Err(Problem::before(Code::InvalidApiKey, "no customer has this API key"));
         };
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -6,7 +6,7 @@
 use crate::{body, App, Code, Hangup, Outcome, Problem, Snapshot};
 use actix_web::web::{Bytes, Payload};
 use actix_web::{HttpRequest, HttpResponse};
-use catalog::{Digest, Kind};
+use catalog::{Digest, UpstreamKind};
 use serde_json::Value;
 use tokio::sync::mpsc;
 use upstream::{Call, Endpoint, Passed};
@@ -125,7 +125,7 @@
 /// True when every engine of the model can go on with another one's answer.
 fn resumable(snapshot: &Snapshot, model: &str) -> bool {
     let pools = snapshot.catalog.pools.iter().filter(|(pool, _)| pool.serves == model);
-    pools.flat_map(|(_, servers)| servers).all(|u| u.kind == Kind::Engine && u.resume)
+    pools.flat_map(|(_, servers)| servers).all(|u| u.kind == UpstreamKind::Engine && u.resume)
 }
 
 async fn answer(mut parts: mpsc::Receiver<Part>, streamed: bool) -> HttpResponse {
--- a/crates/lab/src/example.rs
+++ b/crates/lab/src/example.rs
@@ -1,7 +1,7 @@
 //! The users' deployments of today as files, with the stand-ins' addresses filled in.
 
 use crate::{Engine, Plain};
-use catalog::{Digest, Fault, Key, Release};
+use catalog::{ApiKeyHasher, Digest, Fault, Release};
 use std::fmt::Write as _;
 
 const LAKES_CLASSES: &str = include_str!("../../../examples/lakes/classes.toml");
@@ -62,7 +62,7 @@
     let table: toml::Table = classes.parse().unwrap_or_default();
     let salt = table["key_salt"].as_str().unwrap_or_default();
     let names: Vec<&str> = table["class"].as_array().into_iter().flatten().filter_map(|c| c["name"].as_str()).collect();
-    let key = Key::new(salt);
+    let key = ApiKeyHasher::new(salt);
     let mut text = String::new();
     for (name, weight, concurrent) in CUSTOMERS {
         let hash: Digest = key.hash(&key_of(name));
--- a/crates/lab/src/fleetlet.rs
+++ b/crates/lab/src/fleetlet.rs
@@ -199,7 +199,7 @@
         let order = node.spread.order();
         let mut actions = node.probe.tick(order, now);
         node.spread.tick(now);
-        if let Some(release) = self.published.as_ref().filter(|r| node.platform && Some(r.order()) > order) {
+        if let Some(release) = self.published.as_ref().filter(|r| node.platform && Some(r.id()) > order) {
             let boxes = node.probe.boxes();
             let alive = boxes.get(&node.peer.hall).map_or(&[][..], Vec::as_slice);
             if watchers(alive).contains(&node.peer.id()) {
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -1,6 +1,6 @@
 //! A load profile: which classes ask how often for how much.
 
-use catalog::{Fault, Reader};
+use catalog::{Fault, TableReader};
 
 /// One class's stream of requests.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,8 +42,8 @@
     pub streams: Vec<Stream>,
 }
 
-fn number(reader: &mut Reader<'_>, key: &str, default: Option<f64>) -> f64 {
-    let text = reader.text_opt(key);
+fn number(reader: &mut TableReader<'_>, key: &str, default: Option<f64>) -> f64 {
+    let text = reader.string_opt(key);
     match text.map(|t| t.parse::<f64>()) {
         Some(Ok(number)) if number >= 0.0 => number,
         Some(_) => {
@@ -58,7 +58,7 @@
 }
 
 impl Stream {
-    fn read(reader: &mut Reader<'_>) -> Self {
+    fn read(reader: &mut TableReader<'_>) -> Self {
         Self {
             class: reader.name("class"),
             rate: number(reader, "rate", None),
@@ -67,7 +67,7 @@
             burst_factor: number(reader, "burst_factor", Some(1.0)),
             burst: (number(reader, "burst_from_s", Some(0.0)), number(reader, "burst_to_s", Some(0.0))),
             once: reader.flag("once", false),
-            service: reader.text_opt("service"),
+            service: reader.string_opt("service"),
             patience_s: number(reader, "patience_s", Some(5.0)),
             first_token_ms: 0,
             between_tokens_ms: 0,
@@ -81,7 +81,7 @@
     /// # Errors
     /// Every fault, a class that isn't in the classes file included.
     pub fn parse(file: &str, text: &str, classes: &str) -> Result<Self, Vec<Fault>> {
-        let mut reader = Reader::parse(file, text);
+        let mut reader = TableReader::parse(file, text);
         let mut profile = Self {
             seed: reader.integer_opt("seed", &(0..=u64::MAX / 2)).unwrap_or(1),
             seconds: reader.integer_opt("seconds", &(1..=86_400)).unwrap_or(20) as f64,
--- a/crates/lab/tests/releases.rs
+++ b/crates/lab/tests/releases.rs
@@ -173,13 +173,13 @@
     deployment.leaving = vec!["nobody".into()];
     deployment.plan.slots = 7;
     let other = deployment.release_of(2).expect("another good release");
-    assert_ne!(one.order(), other.order());
-    let newest = one.order().max(other.order()).digest.to_string();
+    assert_ne!(one.id(), other.id());
+    let newest = one.id().max(other.id()).digest.to_string();
     // Each hall sees another one first; both are on the platform in the end.
     deployment.platform.publish(&one);
     tokio::time::sleep(Duration::from_millis(30)).await;
     deployment.platform.publish(&other);
-    deployment.platform.publish(if one.order() > other.order() { &one } else { &other });
+    deployment.platform.publish(if one.id() > other.id() { &one } else { &other });
     assert!(deployment.until(NEVER, |s| s.digest == newest).await, "all boxes have the higher of both");
     watch.end();
 }
@@ -199,7 +199,7 @@
     deployment.platform.publish(&incomplete);
     let truncated = &good.text[..good.text.len() / 2];
     deployment.platform.put("manifest", truncated.as_bytes().to_vec());
-    deployment.platform.publish(&with_classes(&good, 4, vec![b'#'; catalog::PART_LIMIT + 1]));
+    deployment.platform.publish(&with_classes(&good, 4, vec![b'#'; catalog::MAX_PART_BYTES + 1]));
     let too_large =
         |s: &cleatshelf::Status| s.refused.iter().any(|r| r.number == 4 && r.reasons[0].contains("the most"));
     assert!(deployment.until(NEVER, |s| !s.watcher || too_large(s)).await, "{}", logs(&deployment));
--- a/crates/model/src/deployment.rs
+++ b/crates/model/src/deployment.rs
@@ -1,6 +1,6 @@
 //! What there is: engines, boxes, callers and faults.
 
-use catalog::{Fault as Wrong, Reader};
+use catalog::{Fault as Wrong, TableReader};
 use serde::Serialize;
 
 /// What all engines of a deployment are.
@@ -136,7 +136,7 @@
 const MOST_MACHINES: u64 = 1_000;
 const LONGEST_MS: f64 = 600_000.0;
 
-fn make(reader: &mut Reader<'_>) -> Make {
+fn make(reader: &mut TableReader<'_>) -> Make {
     Make {
         slots: reader.integer("slots", &(1..=4_096)) as u32,
         memory_tokens: reader.integer("memory_tokens", &(1_000..=1_000_000_000)),
@@ -151,7 +151,7 @@
     }
 }
 
-fn class(reader: &mut Reader<'_>) -> Class {
+fn class(reader: &mut TableReader<'_>) -> Class {
     Class {
         name: reader.name("name"),
         per_s: reader.number("per_s", &(0.001..=1_000_000.0)),
@@ -165,11 +165,11 @@
         gap_ms: reader.number("gap_ms", &(1.0..=LONGEST_MS)),
         limit_ms: reader.number("limit_ms", &(1.0..=LONGEST_MS)),
         worth: reader.number("worth", &(0.0..=1_000_000.0)),
-        late: reader.share("late", 0.0),
+        late: reader.ratio("late", 0.0),
     }
 }
 
-fn burst(reader: &mut Reader<'_>) -> Burst {
+fn burst(reader: &mut TableReader<'_>) -> Burst {
     Burst {
         class: reader.name("class"),
         at_s: reader.number("at_s", &(0.0..=LONGEST_S)),
@@ -178,8 +178,8 @@
     }
 }
 
-fn fault(reader: &mut Reader<'_>) -> Fault {
-    let kind = match reader.text("kind").as_str() {
+fn fault(reader: &mut TableReader<'_>) -> Fault {
+    let kind = match reader.string("kind").as_str() {
         "slow" => FaultKind::Slow,
         "crash" => FaultKind::Crash,
         "leave" => FaultKind::Leave,
@@ -204,7 +204,7 @@
     /// # Errors
     /// Every fault at once, unknown keys included.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Wrong>> {
-        let mut reader = Reader::parse(file, text);
+        let mut reader = TableReader::parse(file, text);
         let makes = reader.tables("make", make);
         let deployment = Self {
             name: reader.name("name"),
--- a/crates/model/src/experiment.rs
+++ b/crates/model/src/experiment.rs
@@ -1,7 +1,7 @@
 //! Arms compared on many deployments.
 
 use crate::{Arm, Deployment, Outcome, World};
-use catalog::{Fault, Reader};
+use catalog::{Fault, TableReader};
 use rayon::prelude::*;
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -77,15 +77,15 @@
     /// # Errors
     /// Every fault at once, unknown keys included.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
-        let mut reader = Reader::parse(file, text);
+        let mut reader = TableReader::parse(file, text);
         let mut arms = Vec::new();
-        for (index, name) in reader.texts("arms").iter().enumerate() {
+        for (index, name) in reader.strings("arms").iter().enumerate() {
             match name.parse() {
                 Ok(arm) => arms.push(arm),
                 Err(why) => reader.fault(&format!("arms[{index}]"), why),
             }
         }
-        let files = reader.texts("deployments").into_iter().map(|file| Source::File(PathBuf::from(file)));
+        let files = reader.strings("deployments").into_iter().map(|file| Source::File(PathBuf::from(file)));
         let mut sources: Vec<Source> = files.collect();
         let drawn = reader.integer_opt("draws", &(0..=10_000)).unwrap_or_default();
         let first = reader.integer_opt("first_draw", &(0..=1_000_000)).unwrap_or(1);
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -1,6 +1,6 @@
 //! A release as the decisions need it: shards, classes, weights and limits by short name.
 
-use catalog::{Catalog, Class, ClassId, CustomerId, Kind, Pool, ServerId, ShardId, Upstream};
+use catalog::{Catalog, Class, ClassId, CustomerId, Pool, ServerId, ShardId, Upstream, UpstreamKind};
 use std::collections::{BTreeMap, HashMap};
 
 /// Servers that one owner looks after. A pool with more is cut into several shards.
@@ -14,7 +14,7 @@
     /// The pool it is part of.
     pub pool: Pool,
     /// What its servers speak.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// Its servers. Never empty.
     pub servers: Vec<Upstream>,
 }
@@ -50,7 +50,7 @@
         for class in &catalog.classes {
             out.classes.insert(ClassId::of(&class.name), class.clone());
         }
-        let halls = catalog.halls();
+        let halls = catalog.hall_count();
         for customer in &catalog.customers {
             let share = Share {
                 weight: customer.weight,
--- a/crates/relay/src/noticed.rs
+++ b/crates/relay/src/noticed.rs
@@ -30,7 +30,7 @@
     /// Tells operators of headers that nobody here knows: servers may say by them what boxes should heed.
     pub(crate) fn note_unknown(&self, server: &Server, headers: &HeaderMap) {
         for Unknown { name, value } in self.dialect.unknown(headers) {
-            if self.told.first(name) {
+            if self.told.insert(name) {
                 telemetry::emit(Event::WordUnknown, format_args!("from={} header={name} value={value}", server.id));
             }
         }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -6,7 +6,7 @@
 use routing::{Directory, Evacuations, Table};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
-use telemetry::Once;
+use telemetry::SeenNames;
 
 /// The configuration and servers in force. A new one replaces the old one whole.
 #[derive(Clone, Debug, Default)]
@@ -53,7 +53,7 @@
     /// Requests that are not ended.
     pub running: AtomicUsize,
     /// Headers of answers that operators were told of.
-    pub(crate) told: Once,
+    pub(crate) told: SeenNames,
 }
 
 impl Shared {
@@ -73,7 +73,7 @@
             stopping: AtomicBool::new(false),
             numbers: AtomicU64::new(0),
             running: AtomicUsize::new(0),
-            told: Once::default(),
+            told: SeenNames::default(),
         })
     }
 
--- a/crates/telemetry/src/lines.rs
+++ b/crates/telemetry/src/json_logger.rs
@@ -19,13 +19,13 @@
 
 /// Where lines go: a queue that never blocks, and a thread that empties it.
 #[derive(Clone)]
-pub struct Lines {
+pub struct JsonLogger {
     queue: SyncSender<String>,
     waiting: Arc<AtomicU64>,
     dropped: Arc<AtomicU64>,
 }
 
-impl Lines {
+impl JsonLogger {
     /// Starts a thread that writes lines to `out`.
     ///
     /// # Errors
@@ -43,21 +43,21 @@
     pub fn install(self) {
         let env = env_logger::Env::default().default_filter_or("info");
         let format = move |_: &mut env_logger::fmt::Formatter, record: &Record<'_>| {
-            self.push(record);
+            self.log(record);
             Ok(())
         };
         env_logger::Builder::from_env(env).format(format).init();
     }
 
     /// Queues a line, or drops and counts it.
-    pub fn push(&self, record: &Record<'_>) {
+    pub fn log(&self, record: &Record<'_>) {
         let crowded = self.waiting.load(Ordering::Relaxed) >= WAITING_PLAIN;
         if crowded && record.level() > Level::Warn {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
         self.waiting.fetch_add(1, Ordering::Relaxed);
-        let line = line(record.level(), &record.args().to_string(), SystemTime::now());
+        let line = json_line(record.level(), &record.args().to_string(), SystemTime::now());
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.queue.try_send(line) {
             self.waiting.fetch_sub(1, Ordering::Relaxed);
             self.dropped.fetch_add(1, Ordering::Relaxed);
@@ -91,7 +91,7 @@
             self.waiting.fetch_sub(count, Ordering::Relaxed);
             let dropped = self.dropped.load(Ordering::Relaxed);
             if dropped > told {
-                text.push_str(&line(
+                text.push_str(&json_line(
                     Level::Warn,
                     &format!("E107 LinesDropped count={}", dropped - told),
                     SystemTime::now(),
@@ -107,7 +107,7 @@
 /// A line of JSON from a message `E503 RequestEnded key=value key="two words"`; other messages stand whole under
 /// `text`.
 #[must_use]
-pub fn line(level: Level, message: &str, at: SystemTime) -> String {
+pub fn json_line(level: Level, message: &str, at: SystemTime) -> String {
     let mut fields = Map::new();
     let since = at.duration_since(UNIX_EPOCH).unwrap_or_default();
     fields.insert("at_ms".to_owned(), Value::from(since.as_millis() as u64));
--- a/crates/telemetry/src/series.rs
+++ b/crates/telemetry/src/label_limiter.rs
@@ -9,14 +9,14 @@
 ///
 /// 28,000 customers times three histograms would be more than a scrape can carry.
 #[derive(Clone, Debug)]
-pub struct Series {
+pub struct LabelLimiter {
     /// Never holds more than `bound` names.
     named: HashSet<String>,
     /// The most names that get a label of their own.
     bound: usize,
 }
 
-impl Series {
+impl LabelLimiter {
     /// A set that gives at most `bound` names a label of their own.
     #[must_use]
     pub fn new(bound: usize) -> Self {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -10,13 +10,13 @@
 //! ```
 
 mod event;
-mod lines;
-mod once;
-mod scrape;
-mod series;
+mod json_logger;
+mod label_limiter;
+mod prometheus;
+mod seen_names;
 
 pub use event::{emit, Event};
-pub use lines::{line, Lines};
-pub use once::Once;
-pub use scrape::Scrape;
-pub use series::Series;
+pub use json_logger::{json_line, JsonLogger};
+pub use label_limiter::LabelLimiter;
+pub use prometheus::PrometheusRecorder;
+pub use seen_names::SeenNames;
--- a/crates/telemetry/src/scrape.rs
+++ b/crates/telemetry/src/prometheus.rs
@@ -57,11 +57,11 @@
 
 /// The process's metrics, ready to be rendered for a scrape.
 #[derive(Clone)]
-pub struct Scrape {
+pub struct PrometheusRecorder {
     registry: Arc<Registry<Key, Cells>>,
 }
 
-impl Recorder for Scrape {
+impl Recorder for PrometheusRecorder {
     fn describe_counter(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
 
     fn describe_gauge(&self, _: KeyName, _: Option<Unit>, _: SharedString) {}
@@ -81,7 +81,7 @@
     }
 }
 
-impl Scrape {
+impl PrometheusRecorder {
     /// Metrics that nobody records to yet.
     #[must_use]
     pub fn new() -> Self {
@@ -126,7 +126,7 @@
     }
 }
 
-impl Default for Scrape {
+impl Default for PrometheusRecorder {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/telemetry/tests/lines.rs
+++ b/crates/telemetry/tests/json_logger.rs
@@ -4,12 +4,12 @@
 use std::io::Write;
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, UNIX_EPOCH};
-use telemetry::{line, Lines};
+use telemetry::{json_line, JsonLogger};
 
 #[test]
 fn an_event_becomes_fields() {
     let message = "E503 RequestEnded id=ab12 ms=40 trail=\"+0:s1=Broken(reset by peer) +3:s2=200\"";
-    let line = line(Level::Info, message, UNIX_EPOCH + Duration::from_millis(5));
+    let line = json_line(Level::Info, message, UNIX_EPOCH + Duration::from_millis(5));
     let value: serde_json::Value = serde_json::from_str(&line).expect("JSON");
     assert_eq!(value["at_ms"], 5);
     assert_eq!(value["event"], 503);
@@ -23,7 +23,7 @@
 #[test]
 fn other_messages_stand_whole() {
     let value: serde_json::Value =
-        serde_json::from_str(&line(Level::Warn, "accept: too many files", UNIX_EPOCH)).expect("JSON");
+        serde_json::from_str(&json_line(Level::Warn, "accept: too many files", UNIX_EPOCH)).expect("JSON");
     assert_eq!(value["text"], "accept: too many files");
 }
 
@@ -45,8 +45,8 @@
 #[test]
 fn lines_for_a_reader_that_stands_still_are_dropped_and_counted_warnings_last() {
     let (_go, wait) = channel();
-    let lines = Lines::start(Stuck(wait)).expect("a thread");
-    let push = |level| lines.push(&Record::builder().level(level).args(format_args!("E100 BoxStarted")).build());
+    let lines = JsonLogger::start(Stuck(wait)).expect("a thread");
+    let push = |level| lines.log(&Record::builder().level(level).args(format_args!("E100 BoxStarted")).build());
     for _ in 0..5_000 {
         push(Level::Info);
     }
--- a/crates/telemetry/tests/scrape.rs
+++ b/crates/telemetry/tests/prometheus.rs
@@ -1,10 +1,10 @@
 //! What a scraper reads.
 
-use telemetry::Scrape;
+use telemetry::PrometheusRecorder;
 
 #[test]
 fn counters_gauges_and_histograms_are_rendered() {
-    let scrape = Scrape::new();
+    let scrape = PrometheusRecorder::new();
     metrics::with_local_recorder(&scrape, || {
         metrics::counter!("requests_total", "outcome" => "answered").increment(2);
         metrics::counter!("requests_total", "outcome" => "a\"b").increment(1);
