--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -255,7 +255,7 @@
 
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.now();
-        if now.since(self.ticked) >= policy::PAUSE_MS {
+        if now.since(self.ticked) >= policy::PAUSE_THRESHOLD_MS {
             // What others did meanwhile is unknown: listen before taking calls again.
             self.began = now;
             self.settled = false;
@@ -283,7 +283,7 @@
         let newest = self.spread.order() >= self.best_heard;
         let refused = self.best_heard.is_some_and(|best| self.spread.has_refused(best));
         // Until then this box can't prove of any request key that it is new.
-        let remembers = now.since(self.started) >= policy::SKEW_MS + SKEW_MARGIN_MS;
+        let remembers = now.since(self.started) >= policy::MAX_CLOCK_SKEW_MS + SKEW_MARGIN_MS;
         let current = self.spread.order().is_some() && (newest || refused);
         if !self.settled && remembers && current && asked && (self.heard_peer || waited >= SETTLE_MS) {
             self.settled = true;
@@ -301,7 +301,7 @@
 
     fn gauge_servers(&mut self, context: &mut Context<Self>) {
         let layout = Rc::clone(self.broker.layout());
-        for id in self.broker.watched() {
+        for id in self.broker.polled_servers() {
             let Some(upstream) = layout.server(id) else { continue };
             if upstream.kind != catalog::UpstreamKind::Engine {
                 continue;
@@ -317,7 +317,7 @@
     }
 
     fn take_load(&mut self, id: ServerId, load: Load, context: &mut Context<Self>) {
-        let actions = self.broker.load(id, load, self.now());
+        let actions = self.broker.on_load_report(id, load, self.now());
         self.do_policy(actions, context);
     }
 
--- a/crates/cleatshelf/src/control/actor.rs
+++ b/crates/cleatshelf/src/control/actor.rs
@@ -20,7 +20,7 @@
         let now = self.now();
         match request {
             Request::Enter { number, customer, reply } => {
-                let entered = self.broker.enter(customer, now);
+                let entered = self.broker.admit_request(customer, now);
                 if entered {
                     self.visits.insert(number, customer);
                 }
@@ -29,7 +29,7 @@
             }
             Request::Leave { number, tokens } => {
                 if let Some(customer) = self.visits.remove(&number) {
-                    self.broker.leave(customer, tokens, now);
+                    self.broker.finish_request(customer, tokens, now);
                 }
             }
             Request::Acquire { number, acquire, reply } => {
--- a/crates/cleatshelf/src/control/carry.rs
+++ b/crates/cleatshelf/src/control/carry.rs
@@ -32,7 +32,7 @@
                     }
                 }
                 Action::Claimed(id, verdict) => self.claimed(id, verdict, context),
-                Action::Note(event, detail) => self.note(event, &detail),
+                Action::Log(event, detail) => self.note(event, &detail),
             }
         }
     }
@@ -71,7 +71,7 @@
         self.recalls.remove(&id);
         let now = self.now();
         let actions = match report {
-            Some(report) => self.broker.give_back(id, report, now),
+            Some(report) => self.broker.return_lease(id, report, now),
             None => self.broker.abandon(id, now),
         };
         self.do_policy(actions, context);
@@ -92,7 +92,7 @@
 
     pub(super) fn end_claim(&mut self, number: u64, ran: bool, context: &mut Context<Self>) {
         if let Some(id) = self.claim_numbers.remove(&number) {
-            let actions = self.broker.end_of_claimed(id, ran, self.now());
+            let actions = self.broker.finish_claim(id, ran, self.now());
             self.do_policy(actions, context);
         }
     }
@@ -107,7 +107,7 @@
                     self.do_policy(actions, context);
                 }
                 fleet::Action::Upstream(server, leaving) => {
-                    let actions = self.broker.upstream_leaving(server, leaving, self.now());
+                    let actions = self.broker.set_upstream_leaving(server, leaving, self.now());
                     self.do_policy(actions, context);
                 }
                 fleet::Action::Spread(change) => self.probe.spread(change),
@@ -130,7 +130,7 @@
             return;
         }
         metrics::gauge!("cleatshelf_release_number").set(number as f64);
-        let layout = Rc::new(Layout::of(&catalog));
+        let layout = Rc::new(Layout::from_catalog(&catalog));
         let mut series = LabelLimiter::new(SERIES_MOST);
         let labels = catalog.customers.iter().map(|c| series.label(&c.name)).collect();
         self.update_snapshot(|snapshot| {
--- a/crates/cleatshelf/src/control/telling.rs
+++ b/crates/cleatshelf/src/control/telling.rs
@@ -15,9 +15,9 @@
             digest: order.map_or_else(String::new, |o| o.digest.to_string()),
             refused: self.spread.refused().map(refused_row).collect(),
             peers: self.probe.members().map(peer_row).collect(),
-            shards: self.broker.owned().map(|shard| self.shard_row(shard)).collect(),
-            held: self.broker.held(),
-            pending: self.broker.pending(),
+            shards: self.broker.owned_shards().map(|shard| self.shard_row(shard)).collect(),
+            held: self.broker.lease_count(),
+            pending: self.broker.pending_count(),
             running: self.running.load(Ordering::Relaxed),
             watcher: self.is_watcher(),
             platform_calls: self.allowance.made,
@@ -35,9 +35,9 @@
             id: shard.id.to_string(),
             hall: spec.map_or_else(String::new, |s| s.pool.hall.clone()),
             serves: spec.map_or_else(String::new, |s| s.pool.serves.clone()),
-            recovering: shard.recovering(),
-            held: shard.held(),
-            waiting: shard.depths().iter().map(|(class, n)| (layout.class(*class).name, *n)).collect(),
+            recovering: shard.is_recovering(),
+            held: shard.lease_count(),
+            waiting: shard.queue_depths().iter().map(|(class, n)| (layout.class(*class).name, *n)).collect(),
             upstreams: shard.servers.iter().map(upstream_row).collect(),
         }
     }
@@ -80,7 +80,7 @@
             for shard in layout.shards_in(hall, serves) {
                 let owner = self.broker.shard_owner(*shard);
                 let name = |id| self.probe.peer(id).map_or(&self.settings.me.name, |p| &p.name).clone();
-                let own = self.broker.owned().find(|s| s.id == *shard);
+                let own = self.broker.owned_shards().find(|s| s.id == *shard);
                 rows.push(RouteRow {
                     shard: shard.to_string(),
                     hall: hall.to_owned(),
@@ -115,10 +115,10 @@
     UpstreamRow {
         name: server.name.clone(),
         slots: server.slots,
-        trusted: server.trusted as u32,
+        trusted: server.slot_limit as u32,
         used: server.used,
-        leaving: server.leaving(),
-        ejected: server.ejected(),
+        leaving: server.is_leaving(),
+        ejected: server.is_ejected(),
         first_ms: server.speed.first_ms,
         between_ms: server.speed.between_ms,
     }
--- a/crates/cleatshelf/src/settings.rs
+++ b/crates/cleatshelf/src/settings.rs
@@ -3,7 +3,7 @@
 use catalog::{Fault, TableReader};
 use fleet::Peer;
 use gateway::Limits;
-use policy::{Discipline, Way};
+use policy::{QueueDiscipline, SchedulingMode};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
     /// Bounds on what callers can make grow.
     pub limits: Limits,
     /// How requests find a server.
-    pub way: Way,
+    pub way: SchedulingMode,
     /// Longest time that a planned stop waits for running requests.
     pub stop_time: Duration,
 }
@@ -86,14 +86,14 @@
     }
 }
 
-fn read_way(reader: &mut TableReader<'_>) -> Way {
+fn read_way(reader: &mut TableReader<'_>) -> SchedulingMode {
     match reader.string_opt("way").as_deref() {
-        None | Some("owner") => Way::Owner,
-        Some("alone-arrival") => Way::Alone(Discipline::Arrival),
-        Some("alone-class") => Way::Alone(Discipline::Class),
+        None | Some("owner") => SchedulingMode::Owner,
+        Some("alone-arrival") => SchedulingMode::Uncoordinated(QueueDiscipline::Arrival),
+        Some("alone-class") => SchedulingMode::Uncoordinated(QueueDiscipline::Class),
         Some(other) => {
             reader.fault("way", format!("'{other}' is not owner, alone-arrival or alone-class"));
-            Way::Owner
+            SchedulingMode::Owner
         }
     }
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -355,7 +355,7 @@
 
     /// Time has passed. `order` is the release in force here.
     pub fn tick(&mut self, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
-        if now.since(self.ticked) >= policy::PAUSE_MS {
+        if now.since(self.ticked) >= policy::PAUSE_THRESHOLD_MS {
             // It was this box that was away, so nobody's silence means anything.
             self.outstanding.clear();
             self.trust_after = now.after(self.timing.distrust_ms);
--- a/crates/gateway/src/drive.rs
+++ b/crates/gateway/src/drive.rs
@@ -311,22 +311,22 @@
             }
             Ok(stage)
         }
-        Stop::Broken(sent, why) if spent => Err(Some(failed(&why, sent.close(false)))),
+        Stop::Broken(sent, why) if spent => Err(Some(failed(&why, sent.finish(false)))),
         Stop::Broken(sent, why) => again(sent, &why),
         Stop::Refused(sent, status, body) => {
             if (500..600).contains(&status) && !spent {
-                return match sent.again() {
+                return match sent.retry() {
                     Ok(resend) => Ok(Stage::Resend(resend)),
-                    Err(sent) => Err(Some(passed_on(status, body, sent.close(false)))),
+                    Err(sent) => Err(Some(passed_on(status, body, sent.finish(false)))),
                 };
             }
-            Err(Some(passed_on(status, body, sent.close(status < 500))))
+            Err(Some(passed_on(status, body, sent.finish(status < 500))))
         }
     }
 }
 
 fn again(sent: Sent, why: &str) -> Result<Stage, Option<Problem>> {
-    sent.again().map(Stage::Resend).map_err(|sent| Some(failed(why, sent.close(false))))
+    sent.retry().map(Stage::Resend).map_err(|sent| Some(failed(why, sent.finish(false))))
 }
 
 fn failed(why: &str, ran: Ran) -> Problem {
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -155,7 +155,7 @@
             "type": if self.code.is_callers_fault() { "invalid_request_error" } else { "server_error" },
             "param": null,
             "code": self.code.word(),
-            "ran": self.ran.word(),
+            "ran": self.ran.as_str(),
         }})
     }
 
@@ -165,7 +165,7 @@
         let passed_on = self.passed_on.as_ref();
         let status = passed_on.and_then(|(status, _)| StatusCode::from_u16(*status).ok());
         let mut builder = HttpResponse::build(status.unwrap_or_else(|| self.code.status()));
-        builder.insert_header((RAN_HEADER, self.ran.word()));
+        builder.insert_header((RAN_HEADER, self.ran.as_str()));
         if let Some(ms) = self.retry_ms {
             builder.insert_header(("retry-after", ms.div_ceil(1_000).to_string()));
             builder.insert_header(("retry-after-ms", ms.to_string()));
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -44,7 +44,7 @@
     for (name, value) in &answer.headers {
         builder.insert_header((name.as_str(), value.as_str()));
     }
-    builder.insert_header((RAN_HEADER, Ran::Yes.word()));
+    builder.insert_header((RAN_HEADER, Ran::Yes.as_str()));
     builder.body(answer.body.clone())
 }
 
@@ -138,7 +138,7 @@
         return Ok(Stage::unreached(sent));
     }
     if last {
-        return Err(failed(sent.close(false)));
+        return Err(failed(sent.finish(false)));
     }
-    sent.again().map(Stage::Resend).map_err(|sent| failed(sent.close(false)))
+    sent.retry().map(Stage::Resend).map_err(|sent| failed(sent.finish(false)))
 }
--- a/crates/gateway/src/stage.rs
+++ b/crates/gateway/src/stage.rs
@@ -34,6 +34,6 @@
     /// The stage after a send that reached nobody.
     #[must_use]
     pub fn unreached(sent: Sent) -> Self {
-        sent.unreached().map_or_else(Self::Resend, Self::Unsent)
+        sent.connect_failed().map_or_else(Self::Resend, Self::Unsent)
     }
 }
--- a/crates/lab/src/exchange.rs
+++ b/crates/lab/src/exchange.rs
@@ -4,7 +4,7 @@
 use crate::ownerlet::layout;
 use catalog::{BoxId, ClassId, CustomerId};
 use cleatshelf::Envelope;
-use policy::{Acquire, Action, Broker, Cause, Message, Report, Time, Way};
+use policy::{Acquire, Action, Broker, Cause, Message, Report, SchedulingMode, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
     fn new(exchange: &Exchange, seed: u64) -> Self {
         let now = Time(10_000);
         let ids: Vec<BoxId> = (0..exchange.boxes).map(|i| BoxId::of(&format!("b{i}"))).collect();
-        let brokers = ids.iter().map(|id| Broker::new(*id, "h", Way::Owner, FIRST, now)).collect();
+        let brokers = ids.iter().map(|id| Broker::new(*id, "h", SchedulingMode::Owner, FIRST, now)).collect();
         let mut world = Self {
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -200,7 +200,7 @@
         let over: Vec<(Time, usize, u64)> = over;
         for (_, i, id) in over {
             let report = Report { tokens: 500, first_ms: 300, between_tenths: 400, failed: false, unused: false };
-            let actions = self.brokers[i].give_back(id, report, now);
+            let actions = self.brokers[i].return_lease(id, report, now);
             self.take(i, actions);
         }
     }
--- a/crates/lab/src/fleetlet.rs
+++ b/crates/lab/src/fleetlet.rs
@@ -313,7 +313,7 @@
         if let Message::Parts(..) = message {
             for action in to.receive(BoxId(1), message, Time(2)) {
                 if let Action::Adopt(_, catalog) = action {
-                    std::hint::black_box(policy::Layout::of(&catalog));
+                    std::hint::black_box(policy::Layout::from_catalog(&catalog));
                 }
             }
         }
--- a/crates/lab/src/ownerlet.rs
+++ b/crates/lab/src/ownerlet.rs
@@ -1,7 +1,7 @@
 //! The owner's real code at several sizes, without a network.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId};
-use policy::{Ask, Decider, Decision, Layout, Message, Report, Return, Shard, Time};
+use policy::{Decision, Layout, LeaseReturn, Message, Report, Scheduler, Shard, SlotRequest, Time};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::fmt::Write as _;
@@ -31,7 +31,7 @@
         );
     }
     let catalog = Catalog::parse(&[("classes", &text), ("upstreams", &upstreams)]).expect("good files");
-    Rc::new(Layout::of(&catalog))
+    Rc::new(Layout::from_catalog(&catalog))
 }
 
 /// One owner of all servers, however many: the cut into shards is what is being weighed.
@@ -44,8 +44,8 @@
     Shard::new(&spec, Rc::clone(layout))
 }
 
-fn ask(id: u64, classes: usize, random: &mut ChaCha8Rng) -> Ask {
-    Ask {
+fn ask(id: u64, classes: usize, random: &mut ChaCha8Rng) -> SlotRequest {
+    SlotRequest {
         id,
         class: ClassId::of(&format!("c{}", random.random_range(0..classes))),
         customer: CustomerId(random.random_range(0..100)),
@@ -61,7 +61,7 @@
 
 fn granted(decisions: &[Decision], held: &mut Vec<(BoxId, u64)>) {
     for decision in decisions {
-        if let Decision::Tell(to, Message::Grant { id, .. }) = decision {
+        if let Decision::Send(to, Message::Grant { id, .. }) = decision {
             held.push((*to, *id));
         }
     }
@@ -79,7 +79,7 @@
     let mut put = |shard: &mut Shard, held: &mut Vec<(BoxId, u64)>, now, random: &mut ChaCha8Rng| {
         next += 1;
         let from = BoxId(random.random_range(0..8));
-        let said = shard.ask(from, ask(next, classes, random), now);
+        let said = shard.request_slot(from, ask(next, classes, random), now);
         granted(&said, held);
     };
     for _ in 0..servers * slots + 50 {
@@ -93,7 +93,7 @@
             granted(&shard.tick(now), &mut held);
         }
         let (from, id) = held.swap_remove(random.random_range(0..held.len()));
-        let said = shard.give_back(from, &Return { id, report }, now);
+        let said = shard.return_lease(from, &LeaseReturn { id, report }, now);
         granted(&said, &mut held);
         put(&mut shard, &mut held, now, &mut random);
     }
@@ -111,7 +111,7 @@
     for id in 0..(96 + waiting) as u64 {
         let mut one = ask(id, 8, &mut random);
         one.begun = true;
-        shard.ask(BoxId((id % 8) as u32), one, now);
+        shard.request_slot(BoxId((id % 8) as u32), one, now);
     }
     let began = Instant::now();
     for _ in 0..TICKS {
@@ -130,7 +130,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut leases = Vec::new();
     for id in 0..held as u64 {
-        granted(&shard.ask(BoxId(1), ask(id, 2, &mut random), Time(1_000)), &mut leases);
+        granted(&shard.request_slot(BoxId(1), ask(id, 2, &mut random), Time(1_000)), &mut leases);
     }
     let began = Instant::now();
     for i in 0..TIMES {
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -8,7 +8,7 @@
 use crate::ownerlet;
 use crate::Exchange;
 use catalog::{Catalog, Release};
-use policy::{Limit, Memory, Meter, Share, Time, Usage};
+use policy::{KeyHistory, Quota, Time, Usage, UsageMeter, UsageTable};
 use serde::Serialize;
 use std::fmt::Write as _;
 use std::time::Instant;
@@ -117,7 +117,7 @@
         let before = resident_bytes();
         let release = release(1, size, 0);
         let catalog: Catalog = release.check().expect("a good release");
-        let layout = policy::Layout::of(&catalog);
+        let layout = policy::Layout::from_catalog(&catalog);
         kept.push((release, catalog, layout));
         (resident_bytes() - before).max(0.0)
     }));
@@ -227,26 +227,26 @@
         |n, _| {
             let usages: Vec<Usage> =
                 (0..n).map(|i| Usage { customer: catalog::CustomerId(i as u32), running: 1, tokens: 100 }).collect();
-            let mut limit = Limit::default();
+            let mut limit = UsageTable::default();
             let began = Instant::now();
-            limit.note(catalog::BoxId(1), &usages, Time(1));
+            limit.record(catalog::BoxId(1), &usages, Time(1));
             began.elapsed().as_secs_f64() * 1e6
         },
     ));
     out.push(measure("limit meter", "processor us to tell a second's use", "active customers", &sizes, |n, _| {
-        let mut meter = Meter::default();
-        let none = Share { weight: 1, concurrent: 0, tokens_per_minute: 0 };
+        let mut meter = UsageMeter::default();
+        let none = Quota { weight: 1, max_concurrent: 0, max_tokens_per_minute: 0 };
         for i in 0..n {
-            assert!(meter.enter(catalog::CustomerId(i as u32), none, Time(1)));
+            assert!(meter.admit(catalog::CustomerId(i as u32), none, Time(1)));
         }
         let began = Instant::now();
-        let told = meter.usage(Time(2)).len();
+        let told = meter.usage_to_report(Time(2)).len();
         assert_eq!(told, n);
         began.elapsed().as_secs_f64() * 1e6
     }));
     let keys = [10_000, 50_000, 100_000, 400_000];
     out.push(measure("key keeper", "processor us a claim", "keys remembered", &keys, |n, _| {
-        let mut memory = Memory::new(Time(0));
+        let mut memory = KeyHistory::new(Time(0));
         let claim = |key: u64| policy::Claim { key: key.wrapping_mul(0x9e37_79b9), delivery: key, age_ms: Some(0) };
         (0..n as u64).for_each(|key| {
             memory.claim(&claim(key), Time(5_000));
--- a/crates/policy/src/broker.rs
+++ b/crates/policy/src/broker.rs
@@ -6,10 +6,11 @@
 mod share;
 
 use crate::lessee::{Cause, Pending};
-use crate::limit::{Limit, Meter};
+use crate::usage::{UsageMeter, UsageTable};
 use crate::{
-    owner, ranked, Acquire, Action, Alone, Ask, Budget, Claim, Decider, Decision, Discipline, Grant, Held, Layout,
-    Lessee, Load, Memory, Message, Reason, Refusal, Report, Return, Shard, Time, Usage, Verdict,
+    owner, ranked, Acquire, Action, Claim, Decision, HeldLease, KeyHistory, Layout, LeaseInfo, LeaseReturn, Lessee,
+    Load, Message, QueueDiscipline, Reason, Refusal, Report, RetryBudget, Scheduler, Shard, SlotRequest, Time,
+    TwoChoices, Usage, Verdict,
 };
 use catalog::{BoxId, CustomerId, ServerId, ShardId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -35,7 +36,7 @@
 const RENEW_MS: u64 = 1_000;
 
 /// A gap between two ticks that means this process was paused, in milliseconds.
-pub const PAUSE_MS: u64 = 600;
+pub const PAUSE_THRESHOLD_MS: u64 = 600;
 
 /// A keeper of request keys that hasn't answered for this long is asked again, in milliseconds.
 const CLAIM_MS: u64 = 100;
@@ -61,12 +62,12 @@
 
 /// How requests find a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Way {
+pub enum SchedulingMode {
     /// Owners grant leases: the chosen way.
     #[default]
     Owner,
     /// Each box alone: a baseline for comparison.
-    Alone(Discipline),
+    Uncoordinated(QueueDiscipline),
 }
 
 /// A claim on a request key that is being made.
@@ -86,7 +87,7 @@
 pub struct Broker {
     me: BoxId,
     hall: String,
-    way: Way,
+    mode: SchedulingMode,
     layout: Rc<Layout>,
     /// Boxes that may own something, by hall. Contains this box unless it is stopping.
     boxes: BTreeMap<String, Vec<BoxId>>,
@@ -95,14 +96,14 @@
     /// Shards that this box owns, or that others still take it to own.
     owned: BTreeMap<ShardId, Shard>,
     /// This box's own share of a shard whose owner is out of reach; or the baselines' deciders.
-    local: BTreeMap<ShardId, Box<dyn Decider>>,
+    local: BTreeMap<ShardId, Box<dyn Scheduler>>,
     lessee: Lessee,
     /// Owners that didn't answer, and until when they aren't asked.
     avoided: BTreeMap<ShardId, Time>,
-    budget: Budget,
-    meter: Meter,
-    limit: Limit,
-    memory: Memory,
+    budget: RetryBudget,
+    meter: UsageMeter,
+    limit: UsageTable,
+    memory: KeyHistory,
     claiming: BTreeMap<u64, Claiming>,
     /// Claims that were granted and may yet be taken back.
     claimed: BTreeMap<u64, (Claim, Vec<BoxId>)>,
@@ -120,11 +121,11 @@
 impl Broker {
     /// A box called `me` in `hall`; `first` is a number above all that the box used before a restart.
     #[must_use]
-    pub fn new(me: BoxId, hall: &str, way: Way, first: u64, now: Time) -> Self {
+    pub fn new(me: BoxId, hall: &str, mode: SchedulingMode, first: u64, now: Time) -> Self {
         Self {
             me,
             hall: hall.to_owned(),
-            way,
+            mode,
             layout: Rc::default(),
             boxes: BTreeMap::new(),
             leavers: Vec::new(),
@@ -132,10 +133,10 @@
             local: BTreeMap::new(),
             lessee: Lessee::new(first),
             avoided: BTreeMap::new(),
-            budget: Budget::default(),
-            meter: Meter::default(),
-            limit: Limit::default(),
-            memory: Memory::new(now),
+            budget: RetryBudget::default(),
+            meter: UsageMeter::default(),
+            limit: UsageTable::default(),
+            memory: KeyHistory::new(now),
             claiming: BTreeMap::new(),
             claimed: BTreeMap::new(),
             leaving: BTreeSet::new(),
@@ -166,8 +167,8 @@
         }
         self.boxes = boxes;
         let here: BTreeSet<BoxId> = self.lessees().into_iter().collect();
-        self.limit.keep(&here);
-        self.meter.tell_all();
+        self.limit.retain_boxes(&here);
+        self.meter.mark_all_changed();
         self.settle_ownership(now);
         self.resize_local();
         self.move_pending(now);
@@ -191,7 +192,7 @@
     }
 
     fn settle_ownership(&mut self, now: Time) {
-        if self.way != Way::Owner {
+        if self.mode != SchedulingMode::Owner {
             return;
         }
         let mine = |id: &ShardId| self.owner_of(*id) == Some(self.me);
@@ -210,7 +211,7 @@
         self.owned.insert(id, shard);
         let detail =
             format!("shard={id} hall={} serves={}", spec_hall(&self.layout, id), spec_serves(&self.layout, id));
-        self.out.push(Action::Note(Event::OwnerBegan, detail));
+        self.out.push(Action::Log(Event::OwnerBegan, detail));
         self.carry_out(said);
     }
 
@@ -219,12 +220,12 @@
         let ended: Vec<ShardId> = self
             .owned
             .iter()
-            .filter(|(id, shard)| self.owner_of(**id) != Some(self.me) && shard.idle() && !shard.recovering())
+            .filter(|(id, shard)| self.owner_of(**id) != Some(self.me) && shard.is_idle() && !shard.is_recovering())
             .map(|(id, _)| *id)
             .collect();
         for id in ended {
             self.owned.remove(&id);
-            self.out.push(Action::Note(Event::OwnerEnded, format!("shard={id}")));
+            self.out.push(Action::Log(Event::OwnerEnded, format!("shard={id}")));
         }
     }
 
@@ -286,11 +287,11 @@
     /// A box that was paused distrusts what it owns before it does anything else.
     fn wake(&mut self, now: Time) {
         let paused = now.since(self.ticked);
-        if paused < PAUSE_MS {
+        if paused < PAUSE_THRESHOLD_MS {
             return;
         }
         self.ticked = now;
-        self.out.push(Action::Note(Event::PauseNoticed, format!("ms={paused}")));
+        self.out.push(Action::Log(Event::PauseNoticed, format!("ms={paused}")));
         let boxes = self.lessees();
         let ids: Vec<ShardId> = self.owned.keys().copied().collect();
         for id in ids {
@@ -299,7 +300,7 @@
     }
 
     fn renew(&mut self, now: Time) {
-        if self.way != Way::Owner {
+        if self.mode != SchedulingMode::Owner {
             return;
         }
         for (shard, renewal) in self.lessee.renewals() {
@@ -309,17 +310,17 @@
         }
         self.local.values_mut().for_each(|d| d.renew_all(now));
         self.tell_usage(now);
-        self.limit.tidy(now);
+        self.limit.expire(now);
         self.end_owning();
         self.resize_local();
     }
 
     fn tell_usage(&mut self, now: Time) {
         let limited = |u: &Usage| {
-            let share = self.layout.share(u.customer);
-            share.concurrent > 0 || share.tokens_per_minute > 0
+            let quota = self.layout.quota(u.customer);
+            quota.max_concurrent > 0 || quota.max_tokens_per_minute > 0
         };
-        let usages: Vec<Usage> = self.meter.usage(now).into_iter().filter(limited).collect();
+        let usages: Vec<Usage> = self.meter.usage_to_report(now).into_iter().filter(limited).collect();
         let mut by_keeper: BTreeMap<BoxId, Vec<Usage>> = BTreeMap::new();
         for usage in usages {
             if let Some(keeper) = owner(u64::from(usage.customer.0), self.hall_boxes()) {
@@ -332,33 +333,33 @@
     }
 
     /// A server's own report came in. `leaving` from any word counts.
-    pub fn load(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Action> {
+    pub fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Action> {
         let ids: Vec<ShardId> = self.owned.keys().copied().collect();
         for id in ids {
-            self.at_owner(id, |s| s.load(server, load, now));
+            self.at_owner(id, |s| s.on_load_report(server, load, now));
         }
         let ids: Vec<ShardId> = self.local.keys().copied().collect();
         for id in ids {
-            let said = self.local.get_mut(&id).map(|d| d.load(server, load, now));
+            let said = self.local.get_mut(&id).map(|d| d.on_load_report(server, load, now));
             self.carry_out_local(said.unwrap_or_default());
         }
         self.drain(now)
     }
 
     /// The shards that this box owns now.
-    pub fn owned(&self) -> impl Iterator<Item = &Shard> {
+    pub fn owned_shards(&self) -> impl Iterator<Item = &Shard> {
         self.owned.values()
     }
 
     /// Leases that this box holds.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn lease_count(&self) -> usize {
         self.lessee.held.len()
     }
 
     /// Asks of this box that have no answer yet.
     #[must_use]
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.lessee.pending.len()
     }
 
@@ -376,7 +377,7 @@
 
     /// Servers whose load this box should ask for: those it owns, or all of its hall when it decides alone.
     #[must_use]
-    pub fn watched(&self) -> Vec<ServerId> {
+    pub fn polled_servers(&self) -> Vec<ServerId> {
         let mine = |id: &ShardId| self.owned.contains_key(id) || self.local.contains_key(id);
         let specs = self.layout.shards.values().filter(|s| mine(&s.id));
         specs.flat_map(|s| s.servers.iter()).map(|u| ServerId::of(&u.name)).collect()
--- a/crates/policy/src/broker/callers.rs
+++ b/crates/policy/src/broker/callers.rs
@@ -6,12 +6,12 @@
     /// A caller's request wants a slot. The answer comes as an action with the number given back.
     pub fn acquire(&mut self, acquire: Acquire, now: Time) -> (u64, Vec<Action>) {
         self.wake(now);
-        let id = self.lessee.number();
+        let id = self.lessee.next_id();
         if let Err(reason) = self.may_try(acquire.cause) {
             self.out.push(Action::Refused(id, Refusal { reason, retry_ms: 1_000 }));
             return (id, self.drain(now));
         }
-        let ask = Ask {
+        let ask = SlotRequest {
             id,
             class: acquire.class,
             customer: acquire.customer,
@@ -45,8 +45,8 @@
 
     fn may_try(&mut self, cause: Cause) -> Result<(), Reason> {
         match cause {
-            Cause::First => self.budget.earn(),
-            Cause::Failure if !self.budget.spend() => return Err(Reason::NoBudget),
+            Cause::First => self.budget.record_first_attempt(),
+            Cause::Failure if !self.budget.try_spend() => return Err(Reason::NoBudget),
             Cause::Failure | Cause::Recall => {}
         }
         Ok(())
@@ -54,14 +54,14 @@
 
     /// A caller's request has come in: true unless its customer's limit is reached.
     #[must_use]
-    pub fn enter(&mut self, customer: CustomerId, now: Time) -> bool {
-        let share = self.layout.share(customer);
-        self.meter.enter(customer, share, now)
+    pub fn admit_request(&mut self, customer: CustomerId, now: Time) -> bool {
+        let quota = self.layout.quota(customer);
+        self.meter.admit(customer, quota, now)
     }
 
     /// A caller's request that had entered has ended with `tokens` tokens.
-    pub fn leave(&mut self, customer: CustomerId, tokens: u64, now: Time) {
-        self.meter.leave(customer, tokens, now);
+    pub fn finish_request(&mut self, customer: CustomerId, tokens: u64, now: Time) {
+        self.meter.finish(customer, tokens, now);
     }
 
     /// The caller went away while its request waited, or before its lease was used.
@@ -71,29 +71,29 @@
             self.cancel(&pending, now);
         }
         let unused = Report { unused: true, ..Report::default() };
-        self.give_back_lease(id, unused, now);
+        self.return_held_lease(id, unused, now);
         self.drain(now)
     }
 
     /// A lease is no longer needed.
-    pub fn give_back(&mut self, id: u64, report: Report, now: Time) -> Vec<Action> {
+    pub fn return_lease(&mut self, id: u64, report: Report, now: Time) -> Vec<Action> {
         self.wake(now);
-        self.give_back_lease(id, report, now);
+        self.return_held_lease(id, report, now);
         self.drain(now)
     }
 
-    fn give_back_lease(&mut self, id: u64, report: Report, now: Time) {
+    fn return_held_lease(&mut self, id: u64, report: Report, now: Time) {
         let Some(grant) = self.lessee.held.remove(&id) else { return };
-        let back = Return { id, report };
+        let back = LeaseReturn { id, report };
         if grant.local {
-            let said = self.local.get_mut(&grant.shard).map(|d| d.give_back(self.me, &back, now));
+            let said = self.local.get_mut(&grant.shard).map(|d| d.return_lease(self.me, &back, now));
             self.carry_out_local(said.unwrap_or_default());
         } else {
             self.tell(grant.granter, Message::Return(grant.shard, vec![back.clone()]));
         }
         // A new owner may have been told of this lease meanwhile.
         let owner = self.owner_of(grant.shard).filter(|o| *o != grant.granter || grant.local);
-        if let (Some(owner), Way::Owner) = (owner, self.way) {
+        if let (Some(owner), SchedulingMode::Owner) = (owner, self.mode) {
             self.tell(owner, Message::Return(grant.shard, vec![back]));
         }
     }
@@ -140,7 +140,7 @@
 
     /// Asks another hall as well for what has waited a part of its target in its own. The first grant wins.
     pub(super) fn spill_over(&mut self, now: Time) {
-        if self.way != Way::Owner || self.layout.shards.len() < 2 {
+        if self.mode != SchedulingMode::Owner || self.layout.shards.len() < 2 {
             return;
         }
         let pressed = |p: &Pending| {
@@ -163,8 +163,8 @@
         let Some((shard, owner)) = target else { return };
         pending.spill = Some((shard, owner));
         let age_ms = now.since(pending.arrived) as u32;
-        let ask = Ask { remote: true, age_ms, ..pending.ask.clone() };
-        self.tell(owner, Message::Ask(shard, ask));
+        let ask = SlotRequest { remote: true, age_ms, ..pending.ask.clone() };
+        self.tell(owner, Message::RequestSlot(shard, ask));
     }
 
     /// The other hall no longer needs to answer.
@@ -191,7 +191,7 @@
 
     fn spill_shard(&self, pending: &Pending) -> Option<ShardId> {
         let others_tried = pending.tried.iter().filter(|h| **h != self.hall).count();
-        if self.way != Way::Owner || others_tried >= SPILL_MOST {
+        if self.mode != SchedulingMode::Owner || others_tried >= SPILL_MOST {
             return None;
         }
         self.other_hall(pending, pending.ask.id)
@@ -207,7 +207,7 @@
     fn place(&mut self, id: u64, shard: ShardId, now: Time) {
         let avoided = self.avoided.get(&shard).is_some_and(|until| now < *until);
         let reachable = self.owner_of(shard).is_some();
-        if self.way == Way::Owner && reachable && !avoided {
+        if self.mode == SchedulingMode::Owner && reachable && !avoided {
             self.send_ask(id, shard, now);
         } else {
             self.ask_local(id, shard, now);
@@ -228,6 +228,6 @@
         pending.ask.remote = remote;
         pending.ask.age_ms = now.since(pending.arrived) as u32;
         let ask = pending.ask.clone();
-        self.tell(owner, Message::Ask(shard, ask));
+        self.tell(owner, Message::RequestSlot(shard, ask));
     }
 }
--- a/crates/policy/src/broker/keys.rs
+++ b/crates/policy/src/broker/keys.rs
@@ -6,7 +6,7 @@
     /// A request with a key wants to run. The answer comes as [`Action::Claimed`] with the number given back.
     pub fn claim(&mut self, key: u64, age_ms: Option<u64>, now: Time) -> (u64, Vec<Action>) {
         self.wake(now);
-        let number = self.lessee.number();
+        let number = self.lessee.next_id();
         let delivery = (u64::from(self.me.0) << 32) ^ number;
         let claim = Claim { key, delivery, age_ms };
         let claiming = Claiming { claim, began: now, asked: now, took: Vec::new(), proved: false };
@@ -83,7 +83,7 @@
     }
 
     /// The claimed request has ended; `ran` is false when it certainly did not run.
-    pub fn end_of_claimed(&mut self, number: u64, ran: bool, now: Time) -> Vec<Action> {
+    pub fn finish_claim(&mut self, number: u64, ran: bool, now: Time) -> Vec<Action> {
         if let Some((claim, keepers)) = self.claimed.remove(&number) {
             if !ran {
                 self.unclaim_at(&claim, &keepers);
--- a/crates/policy/src/broker/mail.rs
+++ b/crates/policy/src/broker/mail.rs
@@ -28,8 +28,8 @@
     pub(super) fn carry_out(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
-                Decision::Tell(to, message) => self.tell(to, message),
-                Decision::Note(event, detail) => self.out.push(Action::Note(event, detail)),
+                Decision::Send(to, message) => self.tell(to, message),
+                Decision::Log(event, detail) => self.out.push(Action::Log(event, detail)),
             }
         }
     }
@@ -38,13 +38,13 @@
     pub(super) fn carry_out_local(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
-                Decision::Tell(_, Message::Grant { shard, id, server, waited }) => {
+                Decision::Send(_, Message::Grant { shard, id, server, waited }) => {
                     self.take_grant(self.me, true, (shard, id, server, waited));
                 }
-                Decision::Tell(_, Message::Refuse(_, id, refusal)) => self.take_refusal(id, true, refusal),
-                Decision::Tell(_, Message::Recall(_, id)) => self.out.push(Action::Recalled(id)),
-                Decision::Tell(..) => {}
-                Decision::Note(event, detail) => self.out.push(Action::Note(event, detail)),
+                Decision::Send(_, Message::Refuse(_, id, refusal)) => self.take_refusal(id, true, refusal),
+                Decision::Send(_, Message::Recall(_, id)) => self.out.push(Action::Recalled(id)),
+                Decision::Send(..) => {}
+                Decision::Log(event, detail) => self.out.push(Action::Log(event, detail)),
             }
         }
     }
@@ -55,16 +55,16 @@
             self.avoided.remove(shard);
         }
         match message {
-            Message::Ask(shard, _) | Message::Renew { shard, .. } if !self.serves_shard(shard, now) => {}
-            Message::Ask(shard, ask) => self.at_owner(shard, |s| s.ask(from, ask, now)),
+            Message::RequestSlot(shard, _) | Message::Renew { shard, .. } if !self.serves_shard(shard, now) => {}
+            Message::RequestSlot(shard, ask) => self.at_owner(shard, |s| s.request_slot(from, ask, now)),
             Message::Cancel(shard, id) => self.at_owner(shard, |s| s.cancel(from, id, now)),
             Message::Return(shard, backs) => {
                 for back in backs {
-                    self.at_owner(shard, |s| s.give_back(from, &back, now));
+                    self.at_owner(shard, |s| s.return_lease(from, &back, now));
                 }
             }
             Message::Renew { shard, count, sum } => self.at_owner(shard, |s| s.renew(from, count, sum, now)),
-            Message::Holding(shard, held) => self.at_owner(shard, |s| s.holding(from, &held, now)),
+            Message::Holding(shard, held) => self.at_owner(shard, |s| s.reconcile(from, &held, now)),
             Message::Queued(shard, ids) => self.hear_owner(from, shard, &ids, now),
             Message::Grant { shard, id, server, .. }
                 if self.leaving.contains(&server) && self.lessee.pending.contains_key(&id) =>
@@ -85,7 +85,7 @@
                 }
             }
             Message::Recover(shard) => {
-                let held = self.lessee.holding(shard);
+                let held = self.lessee.leases_of(shard);
                 self.tell(from, Message::Holding(shard, held));
             }
             Message::Recall(_, id) => {
@@ -101,10 +101,10 @@
             Message::Verdict(number, verdict) => self.take_verdict(from, number, verdict, now),
             Message::Unclaim(claim) => self.memory.unclaim(&claim),
             Message::Usage(usages) => {
-                let others = self.limit.note(from, &usages, now);
+                let others = self.limit.record(from, &usages, now);
                 self.tell(from, Message::Others(others));
             }
-            Message::Others(usages) => self.meter.others(&usages, now),
+            Message::Others(usages) => self.meter.record_others(&usages, now),
         }
     }
 
@@ -143,7 +143,7 @@
         let Some(pending) = self.lessee.pending.remove(&id) else {
             // Granted after it was given up, or after another owner was quicker: hand it back unused.
             let report = Report { unused: true, ..Report::default() };
-            self.tell(from, Message::Return(shard, vec![Return { id, report }]));
+            self.tell(from, Message::Return(shard, vec![LeaseReturn { id, report }]));
             return;
         };
         if pending.local && !local {
@@ -156,17 +156,17 @@
         if let Some((other, owner)) = pending.spill.filter(|(other, _)| *other != shard) {
             self.tell(owner, Message::Cancel(other, id));
         }
-        let held = Held {
+        let info = LeaseInfo {
             id,
             server,
             class: pending.ask.class,
             customer: pending.ask.customer,
             resumable: pending.ask.resumable,
         };
-        self.lessee.held.insert(id, Grant { shard, granter: from, local, held });
+        self.lessee.held.insert(id, HeldLease { shard, granter: from, local, info });
         // The owner granted no earlier than this, whatever time the messages took and however often they came.
         let granted = pending.arrived.after(u64::from(waited));
-        let expires = granted.after(crate::shard::LEASE_MS);
+        let expires = granted.after(crate::shard::LEASE_TTL_MS);
         self.out.push(Action::Granted { id, shard, granter: from, server, expires });
     }
 
@@ -174,14 +174,14 @@
     fn decline(&mut self, from: BoxId, shard: ShardId, id: u64, server: ServerId, now: Time) {
         let report = Report { unused: true, ..Report::default() };
         self.tell(from, Message::Leaving(shard, server));
-        self.tell(from, Message::Return(shard, vec![Return { id, report }]));
+        self.tell(from, Message::Return(shard, vec![LeaseReturn { id, report }]));
         let Some(pending) = self.lessee.pending.get_mut(&id) else { return };
         pending.ask.avoid = Some(server);
         self.send_ask(id, shard, now);
     }
 
     /// The membership list, or a box that read it, said that a server is leaving or back.
-    pub fn upstream_leaving(&mut self, server: ServerId, leaving: bool, now: Time) -> Vec<Action> {
+    pub fn set_upstream_leaving(&mut self, server: ServerId, leaving: bool, now: Time) -> Vec<Action> {
         self.mark_leaving(server, leaving);
         self.drain(now)
     }
--- a/crates/policy/src/broker/share.rs
+++ b/crates/policy/src/broker/share.rs
@@ -16,24 +16,24 @@
         pending.ask.remote = false;
         pending.ask.age_ms = now.since(pending.arrived) as u32;
         let ask = pending.ask.clone();
-        let said = self.local.get_mut(&shard).map(|d| d.ask(self.me, ask, now));
+        let said = self.local.get_mut(&shard).map(|d| d.request_slot(self.me, ask, now));
         self.carry_out_local(said.unwrap_or_default());
     }
 
     fn open_local(&mut self, shard: ShardId) -> bool {
         let Some(spec) = self.layout.shards.get(&shard) else { return false };
         let layout = Rc::clone(&self.layout);
-        let mut decider: Box<dyn Decider> = match self.way {
-            Way::Alone(discipline) => {
+        let mut decider: Box<dyn Scheduler> = match self.mode {
+            SchedulingMode::Uncoordinated(discipline) => {
                 let seed = u64::from(self.me.0) ^ u64::from(shard.0);
-                Box::new(Alone::new(spec, layout, discipline, seed))
+                Box::new(TwoChoices::new(spec, layout, discipline, seed))
             }
-            Way::Owner => {
+            SchedulingMode::Owner => {
                 let mut own = Shard::new(spec, layout);
                 own.set_servers(spec, |upstream, id| self.own_slots(upstream.slots, id));
-                own.servers.iter_mut().for_each(|s| s.trusted = f64::from(s.slots));
+                own.servers.iter_mut().for_each(|s| s.slot_limit = f64::from(s.slots));
                 let detail = format!("shard={shard} slots={}", own.servers.iter().map(|s| s.slots).sum::<u32>());
-                self.out.push(Action::Note(Event::LocalFallback, detail));
+                self.out.push(Action::Log(Event::LocalFallback, detail));
                 Box::new(own)
             }
         };
@@ -51,7 +51,7 @@
 
     /// Shares change with the boxes that are alive; one that isn't in use is made anew when needed.
     pub(super) fn resize_local(&mut self) {
-        if self.way != Way::Owner {
+        if self.mode != SchedulingMode::Owner {
             return;
         }
         let used: Vec<ShardId> = self.lessee.held.values().filter(|g| g.local).map(|g| g.shard).collect();
@@ -66,7 +66,7 @@
     ///
     /// An owner that answered gets all of it; one whose silence is some time past gets one ask, to find out.
     pub(super) fn return_to_owners(&mut self, now: Time) {
-        if self.way != Way::Owner {
+        if self.mode != SchedulingMode::Owner {
             return;
         }
         let shards: BTreeSet<ShardId> = self.lessee.pending.values().filter(|p| p.local).map(|p| p.shard).collect();
@@ -127,7 +127,7 @@
             }
             pending.asked = now;
             pending.ask.age_ms = now.since(pending.arrived) as u32;
-            again.push((pending.owner, Message::Ask(pending.shard, pending.ask.clone())));
+            again.push((pending.owner, Message::RequestSlot(pending.shard, pending.ask.clone())));
         }
         for (owner, message) in again {
             self.tell(owner, message);
--- a/crates/policy/src/memory.rs
+++ b/crates/policy/src/key_history.rs
@@ -9,13 +9,13 @@
 use std::collections::{HashMap, VecDeque};
 
 /// How long a key is remembered, in milliseconds.
-pub const RETENTION_MS: u64 = 600_000;
+pub const KEY_RETENTION_MS: u64 = 600_000;
 
 /// Most keys in one memory. When it is full the oldest go, and the memory says it is younger.
 const KEYS_MOST: usize = 1_000_000;
 
 /// Allowance for clocks that differ, in milliseconds. A memory younger than this proves nothing.
-pub const SKEW_MS: u64 = 2_000;
+pub const MAX_CLOCK_SKEW_MS: u64 = 2_000;
 
 /// A wish to run the request with this key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 
 /// The keys that one box remembers.
 #[derive(Clone, Debug)]
-pub struct Memory {
+pub struct KeyHistory {
     /// Everything claimed since this moment is remembered.
     since: Time,
     /// Delivery and first answer by key. Every key in it is also in `order`.
@@ -49,7 +49,7 @@
     order: VecDeque<(Time, u64)>,
 }
 
-impl Memory {
+impl KeyHistory {
     /// An empty memory that begins now.
     #[must_use]
     pub fn new(now: Time) -> Self {
@@ -73,8 +73,10 @@
     fn proves(&self, claim: &Claim, now: Time) -> bool {
         let memory_ms = now.since(self.since);
         match claim.age_ms {
-            Some(age) => age + SKEW_MS < RETENTION_MS && age.saturating_add(SKEW_MS) <= memory_ms,
-            None => memory_ms >= RETENTION_MS,
+            Some(age) => {
+                age + MAX_CLOCK_SKEW_MS < KEY_RETENTION_MS && age.saturating_add(MAX_CLOCK_SKEW_MS) <= memory_ms
+            }
+            None => memory_ms >= KEY_RETENTION_MS,
         }
     }
 
@@ -88,7 +90,7 @@
     fn forget(&mut self, now: Time) {
         while let Some((at, key)) = self.order.front().copied() {
             let crowded = self.order.len() >= KEYS_MOST;
-            if !crowded && now.since(at) < RETENTION_MS {
+            if !crowded && now.since(at) < KEY_RETENTION_MS {
                 return;
             }
             self.order.pop_front();
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// Servers that one owner looks after. A pool with more is cut into several shards.
-pub const SHARD_SERVERS: usize = 12;
+pub const SERVERS_PER_SHARD: usize = 12;
 
 /// One shard: the part of a pool that one box owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spec {
+pub struct ShardSpec {
     /// The shard's short name.
     pub id: ShardId,
     /// The pool it is part of.
@@ -21,13 +21,13 @@
 
 /// A customer as the decisions need it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Share {
+pub struct Quota {
     /// Weight in the round robin, at least 1.
     pub weight: u32,
     /// Most requests at once in one hall; 0 means no limit.
-    pub concurrent: u32,
+    pub max_concurrent: u32,
     /// Most tokens a minute in one hall; 0 means no limit.
-    pub tokens_per_minute: u64,
+    pub max_tokens_per_minute: u64,
 }
 
 /// A release as the decisions need it.
@@ -36,8 +36,8 @@
     /// Classes by short name.
     pub classes: BTreeMap<ClassId, Class>,
     /// Shards by short name.
-    pub shards: BTreeMap<ShardId, Spec>,
-    customers: HashMap<CustomerId, Share>,
+    pub shards: BTreeMap<ShardId, ShardSpec>,
+    customers: HashMap<CustomerId, Quota>,
     serving: BTreeMap<String, BTreeMap<String, Vec<ShardId>>>,
     servers: HashMap<ServerId, Upstream>,
 }
@@ -45,19 +45,19 @@
 impl Layout {
     /// The layout of a checked release.
     #[must_use]
-    pub fn of(catalog: &Catalog) -> Self {
+    pub fn from_catalog(catalog: &Catalog) -> Self {
         let mut out = Self::default();
         for class in &catalog.classes {
             out.classes.insert(ClassId::of(&class.name), class.clone());
         }
         let halls = catalog.hall_count();
         for customer in &catalog.customers {
-            let share = Share {
+            let quota = Quota {
                 weight: customer.weight,
-                concurrent: customer.concurrent.div_ceil(halls as u32),
-                tokens_per_minute: customer.tokens_per_minute.div_ceil(halls as u64),
+                max_concurrent: customer.concurrent.div_ceil(halls as u32),
+                max_tokens_per_minute: customer.tokens_per_minute.div_ceil(halls as u64),
             };
-            out.customers.insert(CustomerId::of(&customer.name), share);
+            out.customers.insert(CustomerId::of(&customer.name), quota);
         }
         for (pool, servers) in &catalog.pools {
             out.add_pool(pool, servers);
@@ -66,14 +66,14 @@
     }
 
     fn add_pool(&mut self, pool: &Pool, servers: &[Upstream]) {
-        let parts = servers.len().div_ceil(SHARD_SERVERS);
+        let parts = servers.len().div_ceil(SERVERS_PER_SHARD);
         for server in servers {
             let id = ServerId::of(&server.name);
             self.servers.insert(id, server.clone());
             // By hash, so that a new server moves no other one while the number of parts stays.
             let part = id.0 as usize % parts;
             let shard = ShardId::of(&format!("{}|{}|{part}", pool.hall, pool.serves));
-            let spec = self.shards.entry(shard).or_insert_with(|| Spec {
+            let spec = self.shards.entry(shard).or_insert_with(|| ShardSpec {
                 id: shard,
                 pool: pool.clone(),
                 kind: server.kind,
@@ -109,8 +109,8 @@
 
     /// A customer's weight and limits; a customer not in this release has weight 1 and no limit.
     #[must_use]
-    pub fn share(&self, id: CustomerId) -> Share {
-        let unknown = Share { weight: 1, concurrent: 0, tokens_per_minute: 0 };
+    pub fn quota(&self, id: CustomerId) -> Quota {
+        let unknown = Quota { weight: 1, max_concurrent: 0, max_tokens_per_minute: 0 };
         self.customers.get(&id).copied().unwrap_or(unknown)
     }
 
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -16,7 +16,7 @@
 impl Ledger {
     /// The invariant: `granted + adopted = held + returned + expired`.
     #[must_use]
-    pub fn even(&self, held: usize) -> bool {
+    pub fn is_balanced(&self, held: usize) -> bool {
         self.granted + self.adopted == held as u64 + self.returned + self.expired
     }
 }
--- a/crates/policy/src/lessee.rs
+++ b/crates/policy/src/lessee.rs
@@ -1,6 +1,6 @@
 //! The requesting side: what was asked for, and which leases this box holds.
 
-use crate::{Ask, Held, Message, Refusal, Time};
+use crate::{LeaseInfo, Message, Refusal, SlotRequest, Time};
 use catalog::{BoxId, ClassId, CustomerId, ServerId, ShardId};
 use std::collections::BTreeMap;
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct Pending {
     /// As it was asked for; `age_ms` is set anew at each sending.
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// The model or plain service.
     pub serves: String,
     /// Where it waits.
@@ -71,7 +71,7 @@
 
 /// A lease that this box holds.
 #[derive(Clone, Debug)]
-pub struct Grant {
+pub struct HeldLease {
     /// Where it is from.
     pub shard: ShardId,
     /// Who granted it; this box itself for its own small share.
@@ -79,7 +79,7 @@
     /// It is from this box's own small share.
     pub local: bool,
     /// What an owner is told of it.
-    pub held: Held,
+    pub info: LeaseInfo,
 }
 
 /// What this box asked for and what it holds. A number is never in both at once.
@@ -88,7 +88,7 @@
     /// Asks without an answer, by number.
     pub pending: BTreeMap<u64, Pending>,
     /// Leases, by number.
-    pub held: BTreeMap<u64, Grant>,
+    pub held: BTreeMap<u64, HeldLease>,
     next: u64,
 }
 
@@ -100,15 +100,15 @@
     }
 
     /// A number that was not used before.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_id(&mut self) -> u64 {
         self.next += 1;
         self.next
     }
 
     /// Everything held of `shard`.
     #[must_use]
-    pub fn holding(&self, shard: ShardId) -> Vec<Held> {
-        self.held.values().filter(|g| g.shard == shard).map(|g| g.held.clone()).collect()
+    pub fn leases_of(&self, shard: ShardId) -> Vec<LeaseInfo> {
+        self.held.values().filter(|g| g.shard == shard).map(|g| g.info.clone()).collect()
     }
 
     /// The short form of [`Self::holding`], for each shard of which something is held.
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -6,7 +6,7 @@
 
 /// A request for one slot, from the box that took the call to the shard's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Unique at the asking box since it started; becomes the lease's number.
     pub id: u64,
     /// The request's class.
@@ -75,7 +75,7 @@
 
 /// A lease handed back.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Return {
+pub struct LeaseReturn {
     /// The lease.
     pub id: u64,
     /// What was seen of the server.
@@ -84,7 +84,7 @@
 
 /// One lease as its lessee knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct LeaseInfo {
     /// The lease.
     pub id: u64,
     /// The server it is for.
@@ -101,7 +101,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Lessee to owner: a slot, please.
-    Ask(ShardId, Ask),
+    #[serde(rename = "Ask")]
+    RequestSlot(ShardId, SlotRequest),
     /// Owner to lessee: these asks wait here, and the owner is alive.
     Queued(ShardId, Vec<u64>),
     /// Lessee to owner: the ask is no longer wanted.
@@ -121,7 +122,7 @@
     /// Owner to lessee: refused, not run.
     Refuse(ShardId, u64, Refusal),
     /// Lessee to owner: leases handed back.
-    Return(ShardId, Vec<Return>),
+    Return(ShardId, Vec<LeaseReturn>),
     /// Lessee to owner: I hold so many leases with this sum of numbers. Renews all if they agree.
     Renew {
         /// The shard.
@@ -134,7 +135,7 @@
     /// Owner to lessee: tell me all that you hold.
     Recover(ShardId),
     /// Lessee to owner: all that I hold.
-    Holding(ShardId, Vec<Held>),
+    Holding(ShardId, Vec<LeaseInfo>),
     /// Owner to lessee: stop this request and ask again.
     Recall(ShardId, u64),
     /// Lessee to owner: this server is leaving, which the owner had not heard.
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -5,7 +5,7 @@
 //! let unsent = Unsent::new(false);
 //! let sent = unsent.send(Permit::new(Time(1000)), Time(5)).expect("the permit is fresh");
 //! // A request that isn't repeatable can't be sent again once it may have run.
-//! assert!(sent.again().is_err());
+//! assert!(sent.retry().is_err());
 //! ```
 
 use crate::Time;
@@ -24,7 +24,7 @@
 impl Ran {
     /// The word used in the header towards callers.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::No => "no",
             Self::Yes => "yes",
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// Gives a [`Resend`] where an earlier send may have reached an upstream.
-    pub fn unreached(self) -> Result<Unsent, Resend> {
+    pub fn connect_failed(self) -> Result<Unsent, Resend> {
         if self.before == 0 {
             Ok(Unsent { repeatable: self.repeatable })
         } else {
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// Gives the request back when it isn't repeatable.
-    pub fn again(self) -> Result<Resend, Sent> {
+    pub fn retry(self) -> Result<Resend, Sent> {
         if self.repeatable {
             Ok(Resend { before: self.before + 1 })
         } else {
@@ -133,7 +133,7 @@
 
     /// What is true of a request that was sent: its upstream's answer says yes, silence says unknown.
     #[must_use]
-    pub fn close(self, answered: bool) -> Ran {
+    pub fn finish(self, answered: bool) -> Ran {
         if answered {
             Ran::Yes
         } else {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,6 +1,6 @@
 //! The waiting requests of one class: deficit round robin over customers, charged by tokens.
 
-use crate::{Ask, Time};
+use crate::{SlotRequest, Time};
 use catalog::{BoxId, CustomerId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,18 +12,18 @@
 
 /// An ask that waits at its owner.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// The box that asked.
     pub from: BoxId,
     /// What it asked for.
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// When the call came in at the asking box, as far as its age tells.
     pub arrived: Time,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Account {
-    line: VecDeque<Waiting>,
+    line: VecDeque<QueuedRequest>,
     /// Tokens the customer may still take in this round; within ±[`CARRY_MOST`].
     deficit: i64,
 }
@@ -53,7 +53,7 @@
     }
 
     /// Puts an ask at the end of its customer's line.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedRequest) {
         let customer = waiting.ask.customer;
         let account = self.accounts.entry(customer).or_default();
         if account.line.is_empty() {
@@ -64,7 +64,7 @@
     }
 
     /// Takes the next ask. `weight` gives a customer's weight.
-    pub fn pop(&mut self, weight: impl Fn(CustomerId) -> u32) -> Option<Waiting> {
+    pub fn pop(&mut self, weight: impl Fn(CustomerId) -> u32) -> Option<QueuedRequest> {
         loop {
             let customer = *self.turn.front()?;
             let account = self.accounts.get_mut(&customer)?;
@@ -96,7 +96,7 @@
     }
 
     /// Corrects a customer's charge once the answer's true length is known.
-    pub fn correct(&mut self, customer: CustomerId, expected: u32, actual: u32) {
+    pub fn adjust_charge(&mut self, customer: CustomerId, expected: u32, actual: u32) {
         let more = i64::from(actual) - i64::from(expected);
         let account = self.accounts.entry(customer).or_default();
         account.deficit = (account.deficit - more).clamp(-CARRY_MOST, CARRY_MOST);
@@ -106,7 +106,7 @@
     }
 
     /// Takes one ask out of the line, wherever it stands.
-    pub fn remove(&mut self, from: BoxId, id: u64) -> Option<Waiting> {
+    pub fn remove(&mut self, from: BoxId, id: u64) -> Option<QueuedRequest> {
         let mut found = None;
         for (customer, account) in &mut self.accounts {
             let at = account.line.iter().position(|w| w.from == from && w.ask.id == id);
@@ -130,7 +130,7 @@
     }
 
     /// All that waits, customer by customer.
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
+    pub fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.accounts.values().flat_map(|a| a.line.iter())
     }
 
@@ -142,14 +142,14 @@
     }
 
     /// The longest-waiting request, out of turn.
-    pub fn pop_oldest(&mut self) -> Option<Waiting> {
+    pub fn pop_oldest(&mut self) -> Option<QueuedRequest> {
         let oldest = self.accounts.values().filter_map(|a| a.line.front()).min_by_key(|w| w.arrived)?;
         let (from, id) = (oldest.from, oldest.ask.id);
         self.remove(from, id)
     }
 
     /// Halves every debt, so that an old one doesn't weigh for ever. Called now and then.
-    pub fn fade(&mut self) {
+    pub fn decay_debts(&mut self) {
         for account in self.accounts.values_mut() {
             account.deficit /= 2;
         }
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/queue_timeout.rs
@@ -9,6 +9,6 @@
 const LEAST_MS: u64 = 2_000;
 
 /// Age in milliseconds at which a waiting request of this class is given up.
-pub(crate) fn give_up_ms(class: &Class) -> u64 {
+pub(crate) fn queue_timeout_ms(class: &Class) -> u64 {
     (class.first_token_ms * TARGETS).max(LEAST_MS)
 }
--- a/crates/policy/src/decider.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,6 +1,6 @@
 //! The border at which ways of deciding can be exchanged, and what a decision may be.
 
-use crate::{Ask, Load, Message, Refusal, Return, Time, Verdict};
+use crate::{LeaseReturn, Load, Message, Refusal, SlotRequest, Time, Verdict};
 use catalog::{BoxId, ServerId, ShardId};
 use telemetry::Event;
 
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
     /// Say this to that box, which may be this one.
-    Tell(BoxId, Message),
+    Send(BoxId, Message),
     /// Log this.
-    Note(Event, String),
+    Log(Event, String),
 }
 
 /// What a box's decision code wants done.
@@ -38,19 +38,19 @@
     /// The answer to a request key's claim.
     Claimed(u64, Verdict),
     /// Log this.
-    Note(Event, String),
+    Log(Event, String),
 }
 
 /// A way of deciding who runs next on the servers of one shard.
-pub trait Decider {
+pub trait Scheduler {
     /// A box asks for a slot.
-    fn ask(&mut self, from: BoxId, ask: Ask, now: Time) -> Vec<Decision>;
+    fn request_slot(&mut self, from: BoxId, ask: SlotRequest, now: Time) -> Vec<Decision>;
     /// A box no longer wants the slot it asked for.
     fn cancel(&mut self, from: BoxId, id: u64, now: Time) -> Vec<Decision>;
     /// A box hands a lease back.
-    fn give_back(&mut self, from: BoxId, back: &Return, now: Time) -> Vec<Decision>;
+    fn return_lease(&mut self, from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision>;
     /// A server's own report came in, late.
-    fn load(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision>;
+    fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision>;
     /// Time has passed.
     fn tick(&mut self, now: Time) -> Vec<Decision>;
     /// Whoever holds the leases is known to hold them all still.
@@ -58,5 +58,5 @@
     /// Words of others said that a server is leaving, or no longer.
     fn set_leaving(&mut self, server: ServerId, leaving: bool);
     /// How many asks wait.
-    fn waiting(&self) -> usize;
+    fn queue_len(&self) -> usize;
 }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -33,11 +33,11 @@
 
 /// What changed in a server's standing, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum HealthChange {
     /// It gets probes only.
     Ejected,
     /// It gets its full share again.
-    Returned,
+    Restored,
 }
 
 /// One server of a shard.
@@ -49,20 +49,20 @@
     pub name: String,
     /// Slots that the file gives it.
     pub slots: u32,
-    /// Slots it is trusted with now: 1 to `slots`.
-    pub trusted: f64,
-    /// Leases on it. May exceed `trusted` after adoption, never by a grant.
+    /// Slots it is slot_limit with now: 1 to `slots`.
+    pub slot_limit: f64,
+    /// Leases on it. May exceed `slot_limit` after adoption, never by a grant.
     pub used: u32,
     /// How fast it has been.
     pub speed: Speed,
     /// The upstreams file says that it is leaving.
-    pub left_by_file: bool,
+    pub leaving_by_config: bool,
     /// The membership list, or a box that read it, says that it is leaving.
-    pub left_by_list: bool,
+    pub leaving_by_membership: bool,
     /// It says itself that it is leaving.
-    pub left_by_word: bool,
+    pub leaving_by_report: bool,
     /// The last prompt prefixes it served, newest last.
-    pub warm: std::collections::VecDeque<u32>,
+    pub warm_prefixes: std::collections::VecDeque<u32>,
     failures: u32,
     ejected_until: Option<Time>,
     probing: bool,
@@ -79,20 +79,20 @@
 const WARM_PREFIXES: usize = 64;
 
 impl Server {
-    /// A server as the file describes it, trusted with `slots` slots.
+    /// A server as the file describes it, slot_limit with `slots` slots.
     #[must_use]
     pub fn new(upstream: &Upstream, slots: u32) -> Self {
         Self {
             id: ServerId::of(&upstream.name),
             name: upstream.name.clone(),
             slots,
-            trusted: f64::from(slots),
+            slot_limit: f64::from(slots),
             used: 0,
             speed: Speed::default(),
-            left_by_file: upstream.leaving,
-            left_by_list: false,
-            left_by_word: false,
-            warm: std::collections::VecDeque::new(),
+            leaving_by_config: upstream.leaving,
+            leaving_by_membership: false,
+            leaving_by_report: false,
+            warm_prefixes: std::collections::VecDeque::new(),
             failures: 0,
             ejected_until: None,
             probing: false,
@@ -106,36 +106,36 @@
 
     /// True when any of the three words says so: the earliest counts.
     #[must_use]
-    pub fn leaving(&self) -> bool {
-        self.left_by_file || self.left_by_list || self.left_by_word
+    pub fn is_leaving(&self) -> bool {
+        self.leaving_by_config || self.leaving_by_membership || self.leaving_by_report
     }
 
     /// Slots that may be granted now.
     #[must_use]
-    pub fn free(&self, now: Time) -> u32 {
-        if self.leaving() || self.ejected_until.is_some_and(|until| now < until) {
+    pub fn free_slots(&self, now: Time) -> u32 {
+        if self.is_leaving() || self.ejected_until.is_some_and(|until| now < until) {
             return 0;
         }
-        (self.trusted as u32).saturating_sub(self.used)
+        (self.slot_limit as u32).saturating_sub(self.used)
     }
 
     /// Slots that count as capacity: none while leaving or ejected.
     #[must_use]
     pub fn capacity(&self, now: Time) -> u32 {
-        if self.leaving() || self.ejected_until.is_some_and(|until| now < until) {
+        if self.is_leaving() || self.ejected_until.is_some_and(|until| now < until) {
             return 0;
         }
-        self.trusted as u32
+        self.slot_limit as u32
     }
 
     /// True when nothing has been heard of its speed for so long that it should be tried.
     #[must_use]
-    pub fn should_try(&self, now: Time) -> bool {
+    pub fn should_probe_speed(&self, now: Time) -> bool {
         now.since(self.tried_at) >= self.try_ms
     }
 
     /// A request goes to it only to find out how fast it is now.
-    pub fn begin_try(&mut self, now: Time) {
+    pub fn begin_speed_probe(&mut self, now: Time) {
         self.tried_at = now;
         self.try_ms = (self.try_ms * 2).min(TRY_MOST_MS);
         self.trying = true;
@@ -143,12 +143,12 @@
 
     /// True while failures keep it from its full share.
     #[must_use]
-    pub fn ejected(&self) -> bool {
+    pub fn is_ejected(&self) -> bool {
         self.probing
     }
 
     /// Takes in what one request showed.
-    pub fn note(&mut self, report: &Report, now: Time) -> Option<Standing> {
+    pub fn record_report(&mut self, report: &Report, now: Time) -> Option<HealthChange> {
         if report.unused {
             return None;
         }
@@ -157,12 +157,12 @@
         }
         self.failures = 0;
         let was = self.speed.between_ms;
-        self.speed.note(report, std::mem::take(&mut self.trying));
+        self.speed.record(report, std::mem::take(&mut self.trying));
         self.tried_at = now;
         if self.speed.between_ms < was {
             self.try_ms = TRY_MS;
         }
-        if self.speed.strained() {
+        if self.speed.is_degraded() {
             self.shrink(now);
         } else {
             self.grow();
@@ -170,9 +170,9 @@
         self.settle()
     }
 
-    fn fail(&mut self, now: Time) -> Option<Standing> {
+    fn fail(&mut self, now: Time) -> Option<HealthChange> {
         self.failures += 1;
-        self.trusted = (self.trusted / 2.0).max(1.0);
+        self.slot_limit = (self.slot_limit / 2.0).max(1.0);
         if self.failures < EJECT_AFTER {
             return None;
         }
@@ -182,40 +182,40 @@
         }
         self.ejected_until = Some(now.after(self.backoff_ms));
         self.backoff_ms = (self.backoff_ms * 2).min(EJECT_MOST_MS);
-        self.trusted = 1.0;
+        self.slot_limit = 1.0;
         let first = !self.probing;
         self.probing = true;
-        first.then_some(Standing::Ejected)
+        first.then_some(HealthChange::Ejected)
     }
 
     fn shrink(&mut self, now: Time) {
         if now.since(self.shrunk_at) >= SHRINK_EVERY_MS {
-            self.trusted = (self.trusted * 0.8).max(1.0);
+            self.slot_limit = (self.slot_limit * 0.8).max(1.0);
             self.shrunk_at = now;
         }
     }
 
     fn grow(&mut self) {
         // Slowly up: a whole slot needs two good answers.
-        self.trusted = (self.trusted + 0.5).min(f64::from(self.slots));
+        self.slot_limit = (self.slot_limit + 0.5).min(f64::from(self.slots));
     }
 
-    fn settle(&mut self) -> Option<Standing> {
-        let recovered = self.probing && self.trusted >= f64::from(self.slots) / 2.0;
+    fn settle(&mut self) -> Option<HealthChange> {
+        let recovered = self.probing && self.slot_limit >= f64::from(self.slots) / 2.0;
         if !recovered {
             return None;
         }
         self.probing = false;
         self.ejected_until = None;
         self.backoff_ms = EJECT_MS;
-        Some(Standing::Returned)
+        Some(HealthChange::Restored)
     }
 
     /// Takes in the server's own report, which is late: it only ever lowers trust, and slowly.
-    pub fn load(&mut self, load: Load, now: Time) {
-        self.left_by_word = load.leaving;
+    pub fn record_load(&mut self, load: Load, now: Time) {
+        self.leaving_by_report = load.leaving;
         if load.waiting > 0 && now.since(self.shrunk_at) >= SHRINK_EVERY_MS {
-            self.trusted = (self.trusted * 0.9).max(1.0);
+            self.slot_limit = (self.slot_limit * 0.9).max(1.0);
             self.shrunk_at = now;
         }
     }
@@ -223,17 +223,17 @@
     /// True when the server has lately served a prompt with this beginning.
     #[must_use]
     pub fn is_warm(&self, prefix: u32) -> bool {
-        prefix != 0 && self.warm.contains(&prefix)
+        prefix != 0 && self.warm_prefixes.contains(&prefix)
     }
 
     /// Remembers that the server serves a prompt with this beginning.
-    pub fn warm_up(&mut self, prefix: u32) {
+    pub fn record_prefix(&mut self, prefix: u32) {
         if prefix == 0 || self.is_warm(prefix) {
             return;
         }
-        self.warm.push_back(prefix);
-        if self.warm.len() > WARM_PREFIXES {
-            self.warm.pop_front();
+        self.warm_prefixes.push_back(prefix);
+        if self.warm_prefixes.len() > WARM_PREFIXES {
+            self.warm_prefixes.pop_front();
         }
     }
 }
--- a/crates/policy/src/shard.rs
+++ b/crates/policy/src/shard.rs
@@ -4,10 +4,10 @@
 mod leases;
 mod order;
 
-use crate::server::Standing;
+use crate::server::HealthChange;
 use crate::{
-    Ask, Decider, Decision, Held, Layout, Ledger, Load, Message, Queue, Reason, Refusal, Report, Return, Server, Spec,
-    Time, Waiting,
+    Decision, Layout, LeaseInfo, LeaseReturn, Ledger, Load, Message, Queue, QueuedRequest, Reason, Refusal, Report,
+    Scheduler, Server, ShardSpec, SlotRequest, Time,
 };
 use catalog::{BoxId, Class, ClassId, CustomerId, ServerId, ShardId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,13 +15,13 @@
 use telemetry::Event;
 
 /// How long a lease lives without being renewed, in milliseconds.
-pub const LEASE_MS: u64 = 3_000;
+pub const LEASE_TTL_MS: u64 = 3_000;
 
 /// How long a new owner waits for its lessees' answers, in milliseconds.
-pub const RECOVER_MS: u64 = 300;
+pub const RECOVERY_TIMEOUT_MS: u64 = 300;
 
 /// Every lessee with something waiting hears from the owner this often, in milliseconds.
-pub const SIGN_MS: u64 = 100;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
 /// A lease younger than this isn't taken as gone because its lessee didn't name it.
 const GRACE_MS: u64 = 1_000;
@@ -120,7 +120,7 @@
 impl Shard {
     /// An owner that grants every slot of `spec`'s servers.
     #[must_use]
-    pub fn new(spec: &Spec, layout: Rc<Layout>) -> Self {
+    pub fn new(spec: &ShardSpec, layout: Rc<Layout>) -> Self {
         let mut shard = Self {
             id: spec.id,
             servers: Vec::new(),
@@ -149,26 +149,27 @@
         self.layout = layout;
         match spec {
             Some(spec) => self.set_servers(&spec, |upstream, _| upstream.slots),
-            None => self.servers.iter_mut().for_each(|s| s.left_by_file = true),
+            None => self.servers.iter_mut().for_each(|s| s.leaving_by_config = true),
         }
     }
 
     /// Sets the servers, with `slots` of each; a server that is gone from the file takes no new work.
-    pub fn set_servers(&mut self, spec: &Spec, slots: impl Fn(&catalog::Upstream, ServerId) -> u32) {
+    pub fn set_servers(&mut self, spec: &ShardSpec, slots: impl Fn(&catalog::Upstream, ServerId) -> u32) {
         let mut next = Vec::new();
         for upstream in &spec.servers {
             let id = ServerId::of(&upstream.name);
             let slots = slots(upstream, id);
             let known = self.servers.iter().find(|s| s.id == id).cloned();
             let mut server = known.unwrap_or_else(|| Server::new(upstream, slots));
-            server.trusted = (server.trusted + f64::from(slots) - f64::from(server.slots)).clamp(0.0, f64::from(slots));
+            server.slot_limit =
+                (server.slot_limit + f64::from(slots) - f64::from(server.slots)).clamp(0.0, f64::from(slots));
             server.slots = slots;
-            server.left_by_file = upstream.leaving;
+            server.leaving_by_config = upstream.leaving;
             next.push(server);
         }
         for mut gone in self.servers.drain(..) {
             if gone.used > 0 && !next.iter().any(|s| s.id == gone.id) {
-                gone.left_by_file = true;
+                gone.leaving_by_config = true;
                 next.push(gone);
             }
         }
@@ -178,7 +179,7 @@
     /// Asks `boxes` what they hold, and grants nothing until they have answered or the wait is over.
     pub fn recover(&mut self, boxes: &[BoxId], now: Time) -> Vec<Decision> {
         for to in boxes {
-            self.out.push(Decision::Tell(*to, Message::Recover(self.id)));
+            self.out.push(Decision::Send(*to, Message::Recover(self.id)));
         }
         self.recovery = Some(Recovery { since: now, pending: boxes.iter().copied().collect() });
         std::mem::take(&mut self.out)
@@ -186,19 +187,19 @@
 
     /// True while lessees are being asked.
     #[must_use]
-    pub fn recovering(&self) -> bool {
+    pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
     /// How many leases are held.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn lease_count(&self) -> usize {
         self.leases.len()
     }
 
     /// How many asks of each class wait.
     #[must_use]
-    pub fn depths(&self) -> Vec<(ClassId, usize)> {
+    pub fn queue_depths(&self) -> Vec<(ClassId, usize)> {
         self.queues.iter().map(|(class, queue)| (*class, queue.len())).collect()
     }
 
@@ -210,7 +211,7 @@
 
     /// True when nothing waits here and nothing is held.
     #[must_use]
-    pub fn idle(&self) -> bool {
-        self.leases.is_empty() && self.waiting() == 0
+    pub fn is_idle(&self) -> bool {
+        self.leases.is_empty() && self.queue_len() == 0
     }
 }
--- a/crates/policy/src/shard/admission.rs
+++ b/crates/policy/src/shard/admission.rs
@@ -1,7 +1,7 @@
 //! Which asks an owner takes, and when it gives one up.
 
 use super::*;
-use crate::patience::give_up_ms;
+use crate::queue_timeout::queue_timeout_ms;
 
 impl Shard {
     pub(super) fn capacity(&self, now: Time) -> u32 {
@@ -97,9 +97,9 @@
         (WAIT_MARGIN * places * self.hold_of(id) / f64::from(slots)) as u64
     }
 
-    pub(super) fn admit(&self, ask: &Ask, now: Time) -> Result<(), Refusal> {
+    pub(super) fn admit(&self, ask: &SlotRequest, now: Time) -> Result<(), Refusal> {
         let class = self.layout.class(ask.class);
-        if self.capacity(now) == 0 && self.servers.iter().all(Server::leaving) {
+        if self.capacity(now) == 0 && self.servers.iter().all(Server::is_leaving) {
             return Err(Refusal { reason: Reason::NoServer, retry_ms: 1_000 });
         }
         let wait = self.wait_ms(&class, ask.class, now);
@@ -132,15 +132,15 @@
         }
         let waiting_before =
             |(id, queue): (&ClassId, &Queue)| !queue.is_empty() && self.layout.class(*id).rank <= class.rank;
-        let free: u32 = self.servers.iter().map(|s| s.free(now)).sum();
+        let free: u32 = self.servers.iter().map(|s| s.free_slots(now)).sum();
         free > 0 && remote < (capacity / REMOTE_DIVISOR).max(1) && !self.queues.iter().any(waiting_before)
     }
 
     pub(super) fn refuse_late(&mut self, now: Time) {
         let mut late = Vec::new();
         for (id, queue) in &self.queues {
-            let limit = give_up_ms(&self.layout.class(*id));
-            let limit_of = |w: &Waiting| if w.ask.begun { limit.max(GIVE_UP_BEGUN_MS) } else { limit };
+            let limit = queue_timeout_ms(&self.layout.class(*id));
+            let limit_of = |w: &QueuedRequest| if w.ask.begun { limit.max(GIVE_UP_BEGUN_MS) } else { limit };
             let waits = queue.iter().filter(|w| now.since(w.arrived) >= limit_of(w));
             late.extend(waits.map(|w| (*id, w.from, w.ask.id)));
         }
@@ -150,7 +150,7 @@
             }
             let wait = self.expected_wait_ms(class, now);
             let message = Message::Refuse(self.id, id, refusal(Reason::Late, wait));
-            self.out.push(Decision::Tell(from, message));
+            self.out.push(Decision::Send(from, message));
         }
     }
 }
--- a/crates/policy/src/shard/leases.rs
+++ b/crates/policy/src/shard/leases.rs
@@ -29,13 +29,13 @@
                 }
             }
         } else {
-            self.out.push(Decision::Tell(from, Message::Recover(self.id)));
+            self.out.push(Decision::Send(from, Message::Recover(self.id)));
         }
         std::mem::take(&mut self.out)
     }
 
     /// A lessee told all that it holds: unknown leases are adopted, missing ones are gone.
-    pub fn holding(&mut self, from: BoxId, held: &[Held], now: Time) -> Vec<Decision> {
+    pub fn reconcile(&mut self, from: BoxId, held: &[LeaseInfo], now: Time) -> Vec<Decision> {
         let named: BTreeSet<u64> = held.iter().map(|h| h.id).collect();
         let gone: Vec<u64> = self
             .leases
@@ -57,7 +57,7 @@
         self.finish(now)
     }
 
-    fn adopt(&mut self, from: BoxId, held: &Held, now: Time) {
+    fn adopt(&mut self, from: BoxId, held: &LeaseInfo, now: Time) {
         if let Some(lease) = self.leases.get_mut(&(from, held.id)) {
             lease.renewed = now;
             return;
@@ -70,7 +70,7 @@
         server.used += 1;
         if server.used > server.slots {
             let detail = format!("upstream={} used={} slots={}", server.name, server.used, server.slots);
-            self.out.push(Decision::Note(Event::LeaseOverlap, detail));
+            self.out.push(Decision::Log(Event::LeaseOverlap, detail));
         }
         let lease = Lease {
             server: held.server,
@@ -91,12 +91,12 @@
 
     fn end_recovery(&mut self, now: Time) {
         let Some(recovery) = &self.recovery else { return };
-        if !recovery.pending.is_empty() && now.since(recovery.since) < RECOVER_MS {
+        if !recovery.pending.is_empty() && now.since(recovery.since) < RECOVERY_TIMEOUT_MS {
             return;
         }
         let detail = format!("shard={} leases={} silent={}", self.id, self.leases.len(), recovery.pending.len());
         self.recovery = None;
-        self.out.push(Decision::Note(Event::OwnerRecovered, detail));
+        self.out.push(Decision::Log(Event::OwnerRecovered, detail));
     }
 
     fn drop_lease(&mut self, key: (BoxId, u64)) -> Option<Lease> {
@@ -109,7 +109,7 @@
     }
 
     fn expire(&mut self, now: Time) {
-        let old = self.leases.iter().filter(|(_, l)| now.since(l.renewed) >= LEASE_MS);
+        let old = self.leases.iter().filter(|(_, l)| now.since(l.renewed) >= LEASE_TTL_MS);
         let keys: Vec<(BoxId, u64)> = old.map(|(key, _)| *key).collect();
         for key in keys {
             self.drop_lease(key);
@@ -118,7 +118,7 @@
     }
 
     fn sign(&mut self, now: Time) {
-        if now.since(self.signed) < SIGN_MS {
+        if now.since(self.signed) < HEARTBEAT_INTERVAL_MS {
             return;
         }
         self.signed = now;
@@ -128,13 +128,13 @@
             ids.entry(waiting.from).or_insert_with(|| vec![waiting.ask.id]);
         }
         for (to, ids) in ids {
-            self.out.push(Decision::Tell(to, Message::Queued(self.id, ids)));
+            self.out.push(Decision::Send(to, Message::Queued(self.id, ids)));
         }
     }
 
     fn finish(&mut self, now: Time) -> Vec<Decision> {
         self.dispatch(now);
-        if !self.ledger.even(self.leases.len()) {
+        if !self.ledger.is_balanced(self.leases.len()) {
             let detail = format!("{:?} held={}", self.ledger, self.leases.len());
             self.broken(Event::LeaseCountBroken, &detail);
         }
@@ -151,42 +151,42 @@
             self.hold_ms.insert(lease.class, old + 0.1 * (hold - old));
         }
         if let Some(queue) = self.queues.get_mut(&lease.class) {
-            queue.correct(lease.customer, lease.tokens, report.tokens);
+            queue.adjust_charge(lease.customer, lease.tokens, report.tokens);
         }
         let Some(server) = self.servers.iter_mut().find(|s| s.id == lease.server) else { return };
-        let event = match server.note(report, now) {
-            Some(Standing::Ejected) => Event::UpstreamEjected,
-            Some(Standing::Returned) => Event::UpstreamReturned,
+        let event = match server.record_report(report, now) {
+            Some(HealthChange::Ejected) => Event::UpstreamEjected,
+            Some(HealthChange::Restored) => Event::UpstreamReturned,
             None => return,
         };
         let detail = format!("upstream={}", server.name);
-        self.out.push(Decision::Note(event, detail));
+        self.out.push(Decision::Log(event, detail));
     }
 }
 
-impl Decider for Shard {
-    fn ask(&mut self, from: BoxId, ask: Ask, now: Time) -> Vec<Decision> {
+impl Scheduler for Shard {
+    fn request_slot(&mut self, from: BoxId, ask: SlotRequest, now: Time) -> Vec<Decision> {
         // A lessee that hears nothing asks again, and the network may deliver twice: say the same again.
         if let Some(lease) = self.leases.get(&(from, ask.id)) {
             let (server, waited) = (lease.server, lease.waited);
-            self.out.push(Decision::Tell(from, Message::Grant { shard: self.id, id: ask.id, server, waited }));
+            self.out.push(Decision::Send(from, Message::Grant { shard: self.id, id: ask.id, server, waited }));
             return std::mem::take(&mut self.out);
         }
         if self.queues.get(&ask.class).is_some_and(|q| q.contains(from, ask.id)) {
-            self.out.push(Decision::Tell(from, Message::Queued(self.id, vec![ask.id])));
+            self.out.push(Decision::Send(from, Message::Queued(self.id, vec![ask.id])));
             return std::mem::take(&mut self.out);
         }
         if let Err(refusal) = self.admit(&ask, now) {
-            self.out.push(Decision::Tell(from, Message::Refuse(self.id, ask.id, refusal)));
+            self.out.push(Decision::Send(from, Message::Refuse(self.id, ask.id, refusal)));
             return self.finish(now);
         }
         let (class, id) = (ask.class, ask.id);
         let arrived = Time(now.0.saturating_sub(u64::from(ask.age_ms)));
-        let waiting = Waiting { from, ask, arrived };
+        let waiting = QueuedRequest { from, ask, arrived };
         self.queues.entry(class).or_default().push(waiting);
         self.dispatch(now);
         if self.queues[&class].contains(from, id) {
-            self.out.push(Decision::Tell(from, Message::Queued(self.id, vec![id])));
+            self.out.push(Decision::Send(from, Message::Queued(self.id, vec![id])));
         }
         self.finish(now)
     }
@@ -203,7 +203,7 @@
         self.finish(now)
     }
 
-    fn give_back(&mut self, from: BoxId, back: &Return, now: Time) -> Vec<Decision> {
+    fn return_lease(&mut self, from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision> {
         if let Some(lease) = self.drop_lease((from, back.id)) {
             self.ledger.returned += 1;
             self.note_report(&lease, &back.report, now);
@@ -211,12 +211,12 @@
         self.finish(now)
     }
 
-    fn load(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision> {
+    fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision> {
         for known in self.servers.iter_mut().filter(|s| s.id == server) {
-            if load.leaving && !known.leaving() {
-                self.out.push(Decision::Note(Event::UpstreamLeaving, format!("upstream={} by=word", known.name)));
+            if load.leaving && !known.is_leaving() {
+                self.out.push(Decision::Log(Event::UpstreamLeaving, format!("upstream={} by=word", known.name)));
             }
-            known.load(load, now);
+            known.record_load(load, now);
         }
         self.finish(now)
     }
@@ -228,7 +228,7 @@
         self.refuse_late(now);
         if now.since(self.faded) >= FADE_MS {
             self.faded = now;
-            self.queues.values_mut().for_each(Queue::fade);
+            self.queues.values_mut().for_each(Queue::decay_debts);
         }
         self.sign(now);
         self.finish(now)
@@ -240,14 +240,14 @@
 
     fn set_leaving(&mut self, server: ServerId, leaving: bool) {
         for known in self.servers.iter_mut().filter(|s| s.id == server) {
-            if leaving && !known.leaving() {
-                self.out.push(Decision::Note(Event::UpstreamLeaving, format!("upstream={} by=list", known.name)));
+            if leaving && !known.is_leaving() {
+                self.out.push(Decision::Log(Event::UpstreamLeaving, format!("upstream={} by=list", known.name)));
             }
-            known.left_by_list = leaving;
+            known.leaving_by_membership = leaving;
         }
     }
 
-    fn waiting(&self) -> usize {
+    fn queue_len(&self) -> usize {
         self.queues.values().map(Queue::len).sum()
     }
 }
--- a/crates/policy/src/shard/order.rs
+++ b/crates/policy/src/shard/order.rs
@@ -34,7 +34,7 @@
 
     /// A class that would only be recalled again leaves the headroom free, but never its floor.
     fn leaves_headroom(&self, id: ClassId, class: &Class, now: Time) -> bool {
-        let free: u32 = self.servers.iter().map(|s| s.free(now)).sum();
+        let free: u32 = self.servers.iter().map(|s| s.free_slots(now)).sum();
         let above_floor = !self.is_owed(id, class, self.capacity(now));
         !class.preemptible || !above_floor || f64::from(free) > self.headroom(now)
     }
@@ -50,17 +50,17 @@
     pub(super) fn fit(&self, server: &Server, class: &Class) -> bool {
         let most = UNFIT_FACTOR * class.between_tokens_ms as f64;
         let slow = |s: &Server| s.speed.between_ms > most;
-        !slow(server) || !self.servers.iter().any(|s| !slow(s) && !s.leaving() && !s.ejected())
+        !slow(server) || !self.servers.iter().any(|s| !slow(s) && !s.is_leaving() && !s.is_ejected())
     }
 
     /// A server with a free slot that is fast enough, or has to be tried.
     fn may_take(&self, server: &Server, class: &Class, now: Time) -> bool {
-        server.free(now) > 0 && (self.fit(server, class) || self.should_try(server, class, now))
+        server.free_slots(now) > 0 && (self.fit(server, class) || self.should_probe_speed(server, class, now))
     }
 
     /// A slow server of which nothing was heard for a while: its slowness may be over.
-    fn should_try(&self, server: &Server, class: &Class, now: Time) -> bool {
-        server.should_try(now) && (server.speed.strained() || !self.fit(server, class))
+    fn should_probe_speed(&self, server: &Server, class: &Class, now: Time) -> bool {
+        server.should_probe_speed(now) && (server.speed.is_degraded() || !self.fit(server, class))
     }
 
     fn next_turn(&self, now: Time) -> Option<Turn> {
@@ -88,14 +88,14 @@
             && !self.leases.values().any(|l| l.class == id && l.passing)
     }
 
-    fn choose(&self, ask: &Ask, now: Time) -> Option<usize> {
+    fn choose(&self, ask: &SlotRequest, now: Time) -> Option<usize> {
         let class = self.layout.class(ask.class);
         let candidates: Vec<usize> =
             (0..self.servers.len()).filter(|i| self.may_take(&self.servers[*i], &class, now)).collect();
         // One that has to be tried would never be the cheapest.
         let tries = |i: &&usize| {
             let server = &self.servers[**i];
-            Some(server.id) != ask.avoid && self.should_try(server, &class, now)
+            Some(server.id) != ask.avoid && self.should_probe_speed(server, &class, now)
         };
         if let Some(index) = candidates.iter().find(tries) {
             return Some(*index);
@@ -110,16 +110,16 @@
     }
 
     /// Expected milliseconds of the answer, more where slots are scarce, less where the prompt is warm.
-    fn cost(&self, server: &Server, ask: &Ask) -> f64 {
+    fn cost(&self, server: &Server, ask: &SlotRequest) -> f64 {
         let saved = if server.is_warm(ask.prefix) { WARM_SAVES * server.speed.first_ms } else { 0.0 };
         let base = server.speed.expected_ms(ask.tokens) - saved + 1.0;
-        base * (1.0 + f64::from(server.used) / server.trusted.max(1.0))
+        base * (1.0 + f64::from(server.used) / server.slot_limit.max(1.0))
     }
 
     fn grant(&mut self, turn: &Turn, now: Time) -> bool {
         let layout = Rc::clone(&self.layout);
         let Some(queue) = self.queues.get_mut(&turn.class) else { return false };
-        let taken = if turn.passing { queue.pop_oldest() } else { queue.pop(|c| layout.share(c).weight) };
+        let taken = if turn.passing { queue.pop_oldest() } else { queue.pop(|c| layout.quota(c).weight) };
         let Some(waiting) = taken else { return false };
         let Some(index) = self.choose(&waiting.ask, now) else {
             if let Some(queue) = self.queues.get_mut(&turn.class) {
@@ -129,18 +129,18 @@
         };
         self.check_order(turn, index, now);
         let class = layout.class(turn.class);
-        if self.should_try(&self.servers[index], &class, now) {
-            self.servers[index].begin_try(now);
+        if self.should_probe_speed(&self.servers[index], &class, now) {
+            self.servers[index].begin_speed_probe(now);
         }
         self.lease(&waiting, index, turn.passing, now);
         true
     }
 
-    pub(super) fn lease(&mut self, waiting: &Waiting, index: usize, passing: bool, now: Time) {
+    pub(super) fn lease(&mut self, waiting: &QueuedRequest, index: usize, passing: bool, now: Time) {
         let ask = &waiting.ask;
         let server = &mut self.servers[index];
         server.used += 1;
-        server.warm_up(ask.prefix);
+        server.record_prefix(ask.prefix);
         let lease = Lease {
             server: server.id,
             class: ask.class,
@@ -160,7 +160,7 @@
             // `ask` refuses a number that is held, so this can't be.
             self.broken(Event::LeaseCountBroken, "a lease was granted twice");
         }
-        self.out.push(Decision::Tell(waiting.from, grant));
+        self.out.push(Decision::Send(waiting.from, grant));
     }
 
     /// The invariant at each grant: above its floor, a class never goes before an urgent one that could run.
@@ -182,7 +182,7 @@
     }
 
     pub(super) fn broken(&mut self, event: Event, detail: &str) {
-        self.out.push(Decision::Note(event, format!("shard={} {detail}", self.id)));
+        self.out.push(Decision::Log(event, format!("shard={} {detail}", self.id)));
     }
 
     /// Asks lesser requests to step back where higher ones are pressed and no slot is free for them.
@@ -205,8 +205,8 @@
                     lease.recalled = true;
                 }
                 self.add_headroom(now);
-                self.out.push(Decision::Tell(key.0, Message::Recall(self.id, key.1)));
-                self.out.push(Decision::Note(Event::LeaseRecalled, format!("shard={} lease={}", self.id, key.1)));
+                self.out.push(Decision::Send(key.0, Message::Recall(self.id, key.1)));
+                self.out.push(Decision::Log(Event::LeaseRecalled, format!("shard={} lease={}", self.id, key.1)));
             }
         }
     }
@@ -232,6 +232,6 @@
 }
 
 /// An urgent request is pressed from the start, any other once a part of its target has gone by.
-fn is_pressed(class: &Class, waiting: &Waiting, now: Time) -> bool {
+fn is_pressed(class: &Class, waiting: &QueuedRequest, now: Time) -> bool {
     class.urgent || now.since(waiting.arrived) * PRESSED_DIVISOR >= class.first_token_ms
 }
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -32,7 +32,7 @@
 
 impl Speed {
     /// Takes in what one request showed; one that was sent as a try counts for more.
-    pub fn note(&mut self, report: &Report, was_try: bool) {
+    pub fn record(&mut self, report: &Report, was_try: bool) {
         let fresh = if was_try { FRESH_TRY } else { FRESH };
         if report.first_ms > 0 {
             self.first_ms = mix(self.first_ms, f64::from(report.first_ms), fresh);
@@ -50,7 +50,7 @@
 
     /// True when the server is much slower between tokens than at its best.
     #[must_use]
-    pub fn strained(&self) -> bool {
+    pub fn is_degraded(&self) -> bool {
         self.reference_ms > 0.0 && self.between_ms > 2.0 * self.reference_ms
     }
 
--- a/crates/policy/src/alone.rs
+++ b/crates/policy/src/two_choices.rs
@@ -1,7 +1,10 @@
 //! The simpler ways, kept as baselines: each box decides alone, by lagged reports.
 
-use crate::patience::give_up_ms;
-use crate::{Ask, Decider, Decision, Layout, Load, Message, Reason, Refusal, Return, Spec, Time, Waiting};
+use crate::queue_timeout::queue_timeout_ms;
+use crate::{
+    Decision, Layout, LeaseReturn, Load, Message, QueuedRequest, Reason, Refusal, Scheduler, ShardSpec, SlotRequest,
+    Time,
+};
 use catalog::{BoxId, ServerId, ShardId};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +13,7 @@
 
 /// In which order a box alone serves what waits in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discipline {
+pub enum QueueDiscipline {
     /// First come, first served.
     Arrival,
     /// By the classes' rank, then first come, first served.
@@ -30,20 +33,20 @@
 
 /// A box that decides alone for one shard: best of two servers by their lagged reports.
 #[derive(Debug)]
-pub struct Alone {
+pub struct TwoChoices {
     shard: ShardId,
-    discipline: Discipline,
+    discipline: QueueDiscipline,
     layout: Rc<Layout>,
     servers: Vec<Seen>,
-    line: Vec<Waiting>,
+    line: Vec<QueuedRequest>,
     held: BTreeMap<u64, ServerId>,
     random: ChaCha8Rng,
 }
 
-impl Alone {
+impl TwoChoices {
     /// A decider for `spec`, with a seed for its choices of two.
     #[must_use]
-    pub fn new(spec: &Spec, layout: Rc<Layout>, discipline: Discipline, seed: u64) -> Self {
+    pub fn new(spec: &ShardSpec, layout: Rc<Layout>, discipline: QueueDiscipline, seed: u64) -> Self {
         let servers = spec.servers.iter().map(|upstream| Seen {
             id: ServerId::of(&upstream.name),
             slots: upstream.slots,
@@ -78,9 +81,9 @@
     }
 
     fn next(&self) -> Option<usize> {
-        let rank = |w: &Waiting| match self.discipline {
-            Discipline::Arrival => 0,
-            Discipline::Class => self.layout.class(w.ask.class).rank,
+        let rank = |w: &QueuedRequest| match self.discipline {
+            QueueDiscipline::Arrival => 0,
+            QueueDiscipline::Class => self.layout.class(w.ask.class).rank,
         };
         (0..self.line.len()).min_by_key(|i| (rank(&self.line[*i]), self.line[*i].arrived))
     }
@@ -95,20 +98,20 @@
             self.held.insert(waiting.ask.id, server.id);
             let waited = now.since(waiting.arrived) as u32;
             let grant = Message::Grant { shard: self.shard, id: waiting.ask.id, server: server.id, waited };
-            out.push(Decision::Tell(waiting.from, grant));
+            out.push(Decision::Send(waiting.from, grant));
         }
         out
     }
 }
 
-impl Decider for Alone {
-    fn ask(&mut self, from: BoxId, ask: Ask, now: Time) -> Vec<Decision> {
+impl Scheduler for TwoChoices {
+    fn request_slot(&mut self, from: BoxId, ask: SlotRequest, now: Time) -> Vec<Decision> {
         let arrived = Time(now.0.saturating_sub(u64::from(ask.age_ms)));
         let id = ask.id;
-        self.line.push(Waiting { from, ask, arrived });
+        self.line.push(QueuedRequest { from, ask, arrived });
         let mut out = self.dispatch(now);
         if self.line.iter().any(|w| w.ask.id == id) {
-            out.push(Decision::Tell(from, Message::Queued(self.shard, vec![id])));
+            out.push(Decision::Send(from, Message::Queued(self.shard, vec![id])));
         }
         out
     }
@@ -119,7 +122,7 @@
         self.dispatch(now)
     }
 
-    fn give_back(&mut self, _from: BoxId, back: &Return, now: Time) -> Vec<Decision> {
+    fn return_lease(&mut self, _from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision> {
         if let Some(server) = self.held.remove(&back.id) {
             for seen in self.servers.iter_mut().filter(|s| s.id == server) {
                 seen.since_report = seen.since_report.saturating_sub(1);
@@ -128,7 +131,7 @@
         self.dispatch(now)
     }
 
-    fn load(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision> {
+    fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision> {
         for seen in self.servers.iter_mut().filter(|s| s.id == server) {
             seen.leaving |= load.leaving;
             seen.load = load;
@@ -139,13 +142,13 @@
 
     fn tick(&mut self, now: Time) -> Vec<Decision> {
         let layout = Rc::clone(&self.layout);
-        let late = |w: &Waiting| now.since(w.arrived) >= give_up_ms(&layout.class(w.ask.class));
+        let late = |w: &QueuedRequest| now.since(w.arrived) >= queue_timeout_ms(&layout.class(w.ask.class));
         let (late, line): (Vec<_>, Vec<_>) = self.line.drain(..).partition(late);
         self.line = line;
         let mut out = self.dispatch(now);
         for waiting in late {
             let refusal = Refusal { reason: Reason::Late, retry_ms: 1_000 };
-            out.push(Decision::Tell(waiting.from, Message::Refuse(self.shard, waiting.ask.id, refusal)));
+            out.push(Decision::Send(waiting.from, Message::Refuse(self.shard, waiting.ask.id, refusal)));
         }
         out
     }
@@ -156,7 +159,7 @@
         self.servers.iter_mut().filter(|s| s.id == server).for_each(|s| s.leaving = leaving);
     }
 
-    fn waiting(&self) -> usize {
+    fn queue_len(&self) -> usize {
         self.line.len()
     }
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/usage.rs
@@ -5,7 +5,7 @@
 //! one. Only customers whose use changed are told, and seldom those whose requests merely run on.
 //! Halls don't speak of this: each has its share, the limit divided by the number of halls.
 
-use crate::layout::Share;
+use crate::layout::Quota;
 use crate::Time;
 use catalog::{BoxId, CustomerId};
 use serde::{Deserialize, Serialize};
@@ -55,22 +55,22 @@
 
 /// The entry box's side: what passes here, and what others were last said to use.
 #[derive(Clone, Debug, Default)]
-pub struct Meter {
+pub struct UsageMeter {
     own: BTreeMap<CustomerId, Own>,
     others: BTreeMap<CustomerId, (Time, Usage)>,
 }
 
-impl Meter {
+impl UsageMeter {
     /// Admits one more request of `customer`, or says that its limit is reached.
     #[must_use]
-    pub fn enter(&mut self, customer: CustomerId, share: Share, now: Time) -> bool {
+    pub fn admit(&mut self, customer: CustomerId, quota: Quota, now: Time) -> bool {
         let others = self.others.get(&customer).filter(|(at, _)| now.since(*at) < STALE_MS);
         let others = others.map(|(_, usage)| *usage).unwrap_or_default();
         let own = self.own.entry(customer).or_default();
         own.slide(now);
         own.changed = true;
-        let full = share.concurrent > 0 && own.running + others.running >= share.concurrent;
-        let spent = share.tokens_per_minute > 0 && own.tokens + others.tokens >= share.tokens_per_minute;
+        let full = quota.max_concurrent > 0 && own.running + others.running >= quota.max_concurrent;
+        let spent = quota.max_tokens_per_minute > 0 && own.tokens + others.tokens >= quota.max_tokens_per_minute;
         if full || spent {
             return false;
         }
@@ -79,7 +79,7 @@
     }
 
     /// A request of `customer` has ended with `tokens` tokens.
-    pub fn leave(&mut self, customer: CustomerId, tokens: u64, now: Time) {
+    pub fn finish(&mut self, customer: CustomerId, tokens: u64, now: Time) {
         let own = self.own.entry(customer).or_default();
         own.running = own.running.saturating_sub(1);
         own.changed = true;
@@ -88,7 +88,7 @@
     }
 
     /// What to tell the keepers: customers whose use changed, or of whom nothing was said for long.
-    pub fn usage(&mut self, now: Time) -> Vec<Usage> {
+    pub fn usage_to_report(&mut self, now: Time) -> Vec<Usage> {
         let mut usages = Vec::new();
         for (customer, own) in &mut self.own {
             own.slide(now);
@@ -103,12 +103,12 @@
     }
 
     /// Boxes came or went, and with them keepers: all that is used has to be told anew.
-    pub fn tell_all(&mut self) {
+    pub fn mark_all_changed(&mut self) {
         self.own.values_mut().for_each(|own| own.changed = true);
     }
 
     /// A keeper said what all other boxes use.
-    pub fn others(&mut self, usages: &[Usage], now: Time) {
+    pub fn record_others(&mut self, usages: &[Usage], now: Time) {
         self.others.retain(|_, (at, _)| now.since(*at) < STALE_MS);
         for usage in usages {
             self.others.insert(usage.customer, (now, *usage));
@@ -118,13 +118,13 @@
 
 /// The keeper's side: what each box last said of each customer.
 #[derive(Clone, Debug, Default)]
-pub struct Limit {
+pub struct UsageTable {
     said: BTreeMap<CustomerId, BTreeMap<BoxId, (Time, Usage)>>,
 }
 
-impl Limit {
+impl UsageTable {
     /// Takes in what `from` uses, and gives what all others use of the same customers.
-    pub fn note(&mut self, from: BoxId, usages: &[Usage], now: Time) -> Vec<Usage> {
+    pub fn record(&mut self, from: BoxId, usages: &[Usage], now: Time) -> Vec<Usage> {
         let mut answer = Vec::new();
         for usage in usages {
             let boxes = self.said.entry(usage.customer).or_default();
@@ -142,14 +142,14 @@
     }
 
     /// Forgets what boxes said that aren't there any more.
-    pub fn keep(&mut self, boxes: &BTreeSet<BoxId>) {
+    pub fn retain_boxes(&mut self, boxes: &BTreeSet<BoxId>) {
         for said in self.said.values_mut() {
             said.retain(|id, _| boxes.contains(id));
         }
     }
 
     /// Forgets customers of whom nobody speaks any more.
-    pub fn tidy(&mut self, now: Time) {
+    pub fn expire(&mut self, now: Time) {
         self.said.retain(|_, boxes| boxes.values().any(|(at, _)| now.since(*at) < STALE_MS));
     }
 }
--- a/crates/policy/tests/home.rs
+++ b/crates/policy/tests/home.rs
@@ -1,7 +1,7 @@
 //! Which of a pool's shards a box uses.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ShardId};
-use policy::{Acquire, Action, Broker, Cause, Layout, Message, Time, Way, SHARD_SERVERS};
+use policy::{Acquire, Action, Broker, Cause, Layout, Message, SchedulingMode, Time, SERVERS_PER_SHARD};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 /// A pool of several shards.
 fn layout() -> Rc<Layout> {
     let mut upstreams = String::new();
-    for i in 0..2 * SHARD_SERVERS {
+    for i in 0..2 * SERVERS_PER_SHARD {
         // Writing to a String can't fail.
         let _ = write!(
             upstreams,
@@ -19,7 +19,7 @@
         );
     }
     let catalog = Catalog::parse(&[("classes", CLASSES), ("upstreams", &upstreams)]).expect("a good release");
-    Rc::new(Layout::of(&catalog))
+    Rc::new(Layout::from_catalog(&catalog))
 }
 
 /// The shards that each of `count` boxes asks for ten requests each.
@@ -30,7 +30,7 @@
     // One more that owns everything, so that all asks go out.
     let stranger = BoxId::of("elsewhere");
     let of_box = |me: &BoxId| {
-        let mut broker = Broker::new(*me, "h", Way::Owner, 0, now);
+        let mut broker = Broker::new(*me, "h", SchedulingMode::Owner, 0, now);
         broker.set_layout(Rc::clone(layout), now);
         broker.set_boxes(BTreeMap::from([("h".to_owned(), ids.clone())]), vec![stranger], now);
         let mut shards = BTreeSet::new();
@@ -48,7 +48,7 @@
             };
             for action in broker.acquire(acquire, now).1 {
                 match action {
-                    Action::Send(_, Message::Ask(shard, _)) | Action::Granted { shard, .. } => {
+                    Action::Send(_, Message::RequestSlot(shard, _)) | Action::Granted { shard, .. } => {
                         shards.insert(shard);
                     }
                     _ => {}
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -1,7 +1,7 @@
 //! Leases between two boxes: what a lessee may believe of the time a lease lives.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ShardId};
-use policy::{Acquire, Action, Broker, Cause, Layout, Message, Time, Way, LEASE_MS};
+use policy::{Acquire, Action, Broker, Cause, Layout, Message, SchedulingMode, Time, LEASE_TTL_MS};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 
 fn layout() -> Rc<Layout> {
     let catalog = Catalog::parse(&[("classes", CLASSES), ("upstreams", UPSTREAMS)]).expect("a good release");
-    Rc::new(Layout::of(&catalog))
+    Rc::new(Layout::from_catalog(&catalog))
 }
 
 fn view(ids: &[BoxId]) -> BTreeMap<String, Vec<BoxId>> {
@@ -54,7 +54,7 @@
 }
 
 fn broker(id: BoxId, layout: &Rc<Layout>, now: Time) -> Broker {
-    let mut broker = Broker::new(id, "h", Way::Owner, 0, now);
+    let mut broker = Broker::new(id, "h", SchedulingMode::Owner, 0, now);
     broker.set_layout(Rc::clone(layout), now);
     broker
 }
@@ -101,7 +101,7 @@
     }
     assert!(!expiries.is_empty(), "the owner says the grant again");
     for expires in expiries {
-        assert!(expires <= granted_at.after(LEASE_MS), "{expires:?} is later than the lease's life");
+        assert!(expires <= granted_at.after(LEASE_TTL_MS), "{expires:?} is later than the lease's life");
     }
 }
 
@@ -114,7 +114,7 @@
     let mut owner = broker(owner_id, &layout, now);
     owner.set_boxes(view(&[owner_id, lessee_id]), Vec::new(), now);
     // While the owner recovers, an ask waits; its lessee got a slot elsewhere and the cancel is lost.
-    let ask = policy::Ask {
+    let ask = policy::SlotRequest {
         id: 7,
         class: ClassId::of("hotline"),
         customer: CustomerId(1),
@@ -126,8 +126,8 @@
         remote: false,
         avoid: None,
     };
-    owner.receive(lessee_id, Message::Ask(shard, ask), now);
-    let held = policy::Held {
+    owner.receive(lessee_id, Message::RequestSlot(shard, ask), now);
+    let held = policy::LeaseInfo {
         id: 7,
         server: catalog::ServerId::of("s1"),
         class: ClassId::of("hotline"),
@@ -137,9 +137,9 @@
     let mut actions = owner.receive(lessee_id, Message::Holding(shard, vec![held]), now);
     actions.extend(owner.tick(now.after(400)));
     let broken: Vec<&Action> =
-        actions.iter().filter(|a| matches!(a, Action::Note(event, _) if event.number() >= 900)).collect();
+        actions.iter().filter(|a| matches!(a, Action::Log(event, _) if event.number() >= 900)).collect();
     assert!(broken.is_empty(), "{broken:?}");
-    assert_eq!(owner.owned().map(policy::Shard::held).sum::<usize>(), 1);
+    assert_eq!(owner.owned_shards().map(policy::Shard::lease_count).sum::<usize>(), 1);
 }
 
 #[test]
@@ -162,7 +162,7 @@
     for grant in give(&mut owner, &mut lessee, now) {
         lessee.receive(owner_id, grant, now);
     }
-    assert_eq!(lessee.held(), 1);
+    assert_eq!(lessee.lease_count(), 1);
     // The second grant is on its way while the lessee renews what it knows of.
     for ms in [300, 600, 900] {
         lessee.tick(now.after(ms));
--- a/crates/policy/tests/remote.rs
+++ b/crates/policy/tests/remote.rs
@@ -1,7 +1,7 @@
 //! What an owner does with asks of other halls.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId};
-use policy::{Ask, Decider, Decision, Layout, Message, Shard, Time};
+use policy::{Decision, Layout, Message, Scheduler, Shard, SlotRequest, Time};
 use std::rc::Rc;
 
 const SLOTS: u64 = 8;
@@ -15,13 +15,13 @@
 
 fn shard() -> Shard {
     let catalog = Catalog::parse(&[("classes", CLASSES), ("upstreams", UPSTREAMS)]).expect("a good release");
-    let layout = Rc::new(Layout::of(&catalog));
+    let layout = Rc::new(Layout::from_catalog(&catalog));
     let spec = layout.shards.values().next().expect("one shard").clone();
     Shard::new(&spec, layout)
 }
 
-fn ask(id: u64, class: &str, remote: bool) -> Ask {
-    Ask {
+fn ask(id: u64, class: &str, remote: bool) -> SlotRequest {
+    SlotRequest {
         id,
         class: ClassId::of(class),
         customer: CustomerId(1),
@@ -36,7 +36,7 @@
 }
 
 fn told(decisions: &[Decision], is: impl Fn(&Message) -> bool) -> usize {
-    decisions.iter().filter(|d| matches!(d, Decision::Tell(_, message) if is(message))).count()
+    decisions.iter().filter(|d| matches!(d, Decision::Send(_, message) if is(message))).count()
 }
 
 fn refused(message: &Message) -> bool {
@@ -51,9 +51,9 @@
 fn full_of_reviews(now: &mut Time) -> Shard {
     let mut shard = shard();
     for id in 0..SLOTS {
-        shard.ask(NEAR, ask(id, "review", false), *now);
+        shard.request_slot(NEAR, ask(id, "review", false), *now);
     }
-    assert_eq!(shard.held() as u64, SLOTS);
+    assert_eq!(shard.lease_count() as u64, SLOTS);
     for _ in 0..100 {
         *now = now.after(20);
         shard.tick(*now);
@@ -65,7 +65,7 @@
 fn another_halls_urgent_ask_is_not_refused_because_of_reviews() {
     let mut now = Time(10_000);
     let mut shard = full_of_reviews(&mut now);
-    let said = shard.ask(FAR, ask(100, "hotline", true), now);
+    let said = shard.request_slot(FAR, ask(100, "hotline", true), now);
     assert_eq!(told(&said, refused), 0, "{said:?}");
     assert_eq!(told(&said, recalled), 1, "{said:?}");
 }
@@ -74,14 +74,15 @@
 fn another_halls_urgent_asks_get_half_of_the_slots_at_the_most() {
     let now = Time(10_000);
     let mut shard = shard();
-    let refusals: usize = (0..SLOTS).map(|id| told(&shard.ask(FAR, ask(id, "hotline", true), now), refused)).sum();
-    assert_eq!((shard.held() as u64, refusals as u64), (SLOTS / 2, SLOTS / 2));
+    let refusals: usize =
+        (0..SLOTS).map(|id| told(&shard.request_slot(FAR, ask(id, "hotline", true), now), refused)).sum();
+    assert_eq!((shard.lease_count() as u64, refusals as u64), (SLOTS / 2, SLOTS / 2));
 }
 
 #[test]
 fn another_halls_reviews_never_wait_and_never_recall() {
     let mut now = Time(10_000);
     let mut shard = full_of_reviews(&mut now);
-    let said = shard.ask(FAR, ask(100, "review", true), now);
+    let said = shard.request_slot(FAR, ask(100, "review", true), now);
     assert_eq!((told(&said, refused), told(&said, recalled)), (1, 0), "{said:?}");
 }
--- a/crates/policy/tests/return.rs
+++ b/crates/policy/tests/return.rs
@@ -1,7 +1,9 @@
 //! A server that failed or slowed gets its share back, but slowly and not for ever without it.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ServerId};
-use policy::{Ask, Decider, Decision, Layout, Message, Report, Return, Server, Shard, Standing, Time};
+use policy::{
+    Decision, HealthChange, Layout, LeaseReturn, Message, Report, Scheduler, Server, Shard, SlotRequest, Time,
+};
 use std::rc::Rc;
 
 const SLOTS: u32 = 8;
@@ -15,7 +17,7 @@
     };
     let upstreams = format!("{}{}", upstream("good"), upstream("ill"));
     let catalog = Catalog::parse(&[("classes", CLASSES), ("upstreams", &upstreams)]).expect("a good release");
-    Rc::new(Layout::of(&catalog))
+    Rc::new(Layout::from_catalog(&catalog))
 }
 
 fn shard() -> Shard {
@@ -33,14 +35,14 @@
     let mut now = Time(10_000);
     let mut server: Server = shard().servers[0].clone();
     for _ in 0..2 {
-        assert_eq!(server.note(&report(10, true), now), None);
+        assert_eq!(server.record_report(&report(10, true), now), None);
     }
-    assert_eq!(server.note(&report(10, true), now), Some(Standing::Ejected));
-    assert_eq!((server.free(now), server.capacity(now)), (0, 0), "no work at first");
+    assert_eq!(server.record_report(&report(10, true), now), Some(HealthChange::Ejected));
+    assert_eq!((server.free_slots(now), server.capacity(now)), (0, 0), "no work at first");
     now = now.after(1_000);
-    assert_eq!(server.free(now), 1, "one probe");
+    assert_eq!(server.free_slots(now), 1, "one probe");
     for answers in 1..SLOTS {
-        let said = server.note(&report(10, false), now);
+        let said = server.record_report(&report(10, false), now);
         assert_eq!(server.capacity(now), 1 + answers / 2, "after {answers} good answers");
         let back = server.capacity(now) >= SLOTS / 2;
         assert_eq!(
@@ -49,7 +51,7 @@
             "{answers}: {said:?}"
         );
     }
-    assert!(!server.ejected());
+    assert!(!server.is_ejected());
 }
 
 #[test]
@@ -57,13 +59,13 @@
     let mut now = Time(10_000);
     let mut server: Server = shard().servers[0].clone();
     (0..3).for_each(|_| {
-        server.note(&report(10, true), now);
+        server.record_report(&report(10, true), now);
     });
     for expected in [1_000, 2_000, 4_000] {
-        assert_eq!(server.free(now.after(expected - 1)), 0);
+        assert_eq!(server.free_slots(now.after(expected - 1)), 0);
         now = now.after(expected);
-        assert_eq!(server.free(now), 1);
-        server.note(&report(10, true), now);
+        assert_eq!(server.free_slots(now), 1);
+        server.record_report(&report(10, true), now);
     }
 }
 
@@ -78,7 +80,7 @@
         let mut said = shard.tick(*now);
         if step % 4 == 0 {
             *next += 1;
-            let ask = Ask {
+            let ask = SlotRequest {
                 id: *next,
                 class: ClassId::of("hotline"),
                 customer: CustomerId(1),
@@ -90,22 +92,22 @@
                 remote: false,
                 avoid: None,
             };
-            said.extend(shard.ask(ME, ask, *now));
+            said.extend(shard.request_slot(ME, ask, *now));
         }
         let (over, going): (Vec<_>, Vec<_>) = running.into_iter().partition(|(at, _, _)| *at <= *now);
         running = going;
         for (_, id, between_ms) in over {
-            said.extend(shard.give_back(ME, &Return { id, report: report(between_ms, false) }, *now));
+            said.extend(shard.return_lease(ME, &LeaseReturn { id, report: report(between_ms, false) }, *now));
         }
         for decision in said {
-            let Decision::Tell(_, Message::Grant { id, server, .. }) = decision else { continue };
+            let Decision::Send(_, Message::Grant { id, server, .. }) = decision else { continue };
             let between = if server == ill { ill_ms } else { 15 };
             granted_ill += u32::from(server == ill);
             running.push((now.after(20 + 20 * u64::from(between)), id, between));
         }
     }
     for (_, id, between_ms) in running {
-        shard.give_back(ME, &Return { id, report: report(between_ms, false) }, *now);
+        shard.return_lease(ME, &LeaseReturn { id, report: report(between_ms, false) }, *now);
     }
     granted_ill
 }
--- a/crates/policy/tests/world/mod.rs
+++ b/crates/policy/tests/world/mod.rs
@@ -2,7 +2,10 @@
 //! pause, die and return; views differ. Not a simulation of speed: only what must never happen counts.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ServerId};
-use policy::{Acquire, Action, Broker, Cause, Layout, Message, Permit, Report, Time, Unsent, Verdict, Way, LEASE_MS};
+use policy::{
+    Acquire, Action, Broker, Cause, Layout, Message, Permit, Report, SchedulingMode, Time, Unsent, Verdict,
+    LEASE_TTL_MS,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -132,7 +135,7 @@
         }
     }
     let catalog = Catalog::parse(&[("classes", CLASSES), ("upstreams", &upstreams)]).expect("a good release");
-    Rc::new(Layout::of(&catalog))
+    Rc::new(Layout::from_catalog(&catalog))
 }
 
 impl World {
@@ -188,7 +191,7 @@
     fn revive(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.life += 1;
-        let mut broker = Broker::new(node.id, &node.hall, Way::Owner, node.life << 32, self.now);
+        let mut broker = Broker::new(node.id, &node.hall, SchedulingMode::Owner, node.life << 32, self.now);
         let actions = broker.set_layout(Rc::clone(&self.layout), self.now);
         node.broker = Some(broker);
         self.carry_out(index, actions);
@@ -237,10 +240,10 @@
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(index, to, &message),
-                Action::Note(event, detail) if event.number() >= 900 => {
+                Action::Log(event, detail) if event.number() >= 900 => {
                     self.wrongs.push(format!("E{} {detail}", event.number()));
                 }
-                Action::Note(..) => {}
+                Action::Log(..) => {}
                 other => {
                     self.check_expiry(index, &other);
                     self.answer(index, other);
@@ -255,7 +258,7 @@
         let me = self.nodes[index].id;
         let said = self.grants.range((me, *id, *granter, 0)..=(me, *id, *granter, u32::MAX));
         let granted = if *granter == me { Some(self.now) } else { said.map(|(_, at)| *at).max() };
-        if granted.is_none_or(|granted| *expires > granted.after(LEASE_MS)) {
+        if granted.is_none_or(|granted| *expires > granted.after(LEASE_TTL_MS)) {
             self.wrongs.push(format!("a permit ends at {expires:?}, granted at {granted:?}"));
         }
     }
@@ -305,7 +308,7 @@
             }
             Action::Recalled(id) => self.recalled(index, id),
             Action::Claimed(id, verdict) => self.claimed(index, id, verdict),
-            Action::Send(..) | Action::Note(..) => {}
+            Action::Send(..) | Action::Log(..) => {}
         }
     }
 
@@ -315,7 +318,7 @@
         let sent = Unsent::new(true).send(Permit::new(expires), now);
         if sent.is_err() {
             // Too late: hand it back and ask again, as the gateway does.
-            self.give_back(index, id, Report { unused: true, ..Report::default() });
+            self.return_lease(index, id, Report { unused: true, ..Report::default() });
             self.acquire(index, request, Cause::Recall);
             return;
         }
@@ -342,17 +345,17 @@
         }
     }
 
-    fn give_back(&mut self, index: usize, id: u64, report: Report) {
+    fn return_lease(&mut self, index: usize, id: u64, report: Report) {
         let now = self.now;
         if let Some(broker) = &mut self.nodes[index].broker {
-            let actions = broker.give_back(id, report, now);
+            let actions = broker.return_lease(id, report, now);
             self.carry_out(index, actions);
         }
     }
 
     fn recalled(&mut self, index: usize, id: u64) {
         let Some(running) = self.nodes[index].running.remove(&id) else { return };
-        self.give_back(index, id, Report { tokens: 3, ..Report::default() });
+        self.return_lease(index, id, Report { tokens: 3, ..Report::default() });
         self.acquire(index, running.request, Cause::Recall);
     }
 
@@ -519,7 +522,7 @@
             let Some(running) = self.nodes[index].running.remove(&id) else { continue };
             let failed = self.chance(self.faults.failures);
             let report = Report { tokens: 50, first_ms: 40, between_tenths: 100, failed, unused: false };
-            self.give_back(index, id, report);
+            self.return_lease(index, id, report);
             *self.finished.entry(self.requests[running.request].class).or_default() += 1;
         }
         if let Some(broker) = &mut self.nodes[index].broker {
@@ -552,12 +555,17 @@
         }
         for node in &self.nodes {
             let Some(broker) = &node.broker else { continue };
-            if broker.held() != 0 || broker.pending() != 0 {
-                self.wrongs.push(format!("{} holds {} and waits for {}", node.id, broker.held(), broker.pending()));
+            if broker.lease_count() != 0 || broker.pending_count() != 0 {
+                self.wrongs.push(format!(
+                    "{} holds {} and waits for {}",
+                    node.id,
+                    broker.lease_count(),
+                    broker.pending_count()
+                ));
             }
-            for shard in broker.owned() {
-                if shard.held() != 0 {
-                    self.wrongs.push(format!("{} still counts {} leases", node.id, shard.held()));
+            for shard in broker.owned_shards() {
+                if shard.lease_count() != 0 {
+                    self.wrongs.push(format!("{} still counts {} leases", node.id, shard.lease_count()));
                 }
             }
         }
