--- a/crates/catalog/src/api_key.rs
+++ b/crates/catalog/src/api_key.rs
@@ -1,29 +1,30 @@
-//! API keys, which stand in the files only as keyed hashes.
+//! API keys, which the files contain only as keyed hashes.
 
 use crate::Digest;
 
-/// Names the purpose of the derived key, as BLAKE3 asks for.
+/// Context string of the BLAKE3 key derivation.
 const CONTEXT: &str = "cleatshelf 2026-12 api key";
 
-/// Hashes callers' API keys with the release's salt.
+/// Hashes API keys with the release's salt.
 ///
-/// Keys are long and random, so a fast hash is enough; the salt keeps two operators' equal keys apart.
+/// API keys are long and random, so a fast hash is enough. The salt makes equal keys of two operators hash
+/// differently.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiKeyHasher {
-    derived: [u8; 32],
+    derived_key: [u8; 32],
 }
 
 impl ApiKeyHasher {
-    /// A hasher for the salt that stands in the classes file.
+    /// Creates a hasher for the `key_salt` of a classes file.
     #[must_use]
     pub fn new(salt: &str) -> Self {
-        Self { derived: blake3::derive_key(CONTEXT, salt.as_bytes()) }
+        Self { derived_key: blake3::derive_key(CONTEXT, salt.as_bytes()) }
     }
 
-    /// The hash under which `api_key` stands in a customers file.
+    /// Returns the hash that a customers file has for `api_key`.
     #[must_use]
     pub fn hash(&self, api_key: &str) -> Digest {
-        let hash = blake3::keyed_hash(&self.derived, api_key.as_bytes());
+        let hash = blake3::keyed_hash(&self.derived_key, api_key.as_bytes());
         let mut short = [0; 16];
         short.copy_from_slice(&hash.as_bytes()[..16]);
         Digest(short)
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The three files together, parsed and checked as a whole.
+//! The content of the three files, parsed and checked as a whole.
 
 use crate::{
     ApiKeyHasher, Class, Customer, Digest, Fault, ParseCache, Pool, Service, TableReader, Upstream, UpstreamKind,
@@ -7,20 +7,21 @@
 use std::fmt::Display;
 use std::hash::Hash;
 
-/// The parsed content of a release. Every name in it refers to something that exists.
+/// The parsed content of a release. Every name in it refers to an existing entry.
 #[derive(Clone, Debug)]
 pub struct Catalog {
-    /// Hashes callers' keys.
+    /// Hashes callers' API keys.
     pub key_hasher: ApiKeyHasher,
-    /// Classes in the file's order; a class's index is its short name between boxes.
+    /// Classes in the order of the file.
     pub classes: Vec<Class>,
-    /// Customers; a customer's index holds only within one release.
+    /// Customers; a customer's index is valid only within one release.
     pub customers: Vec<Customer>,
     /// Servers by pool. A pool is never empty.
     pub pools: BTreeMap<Pool, Vec<Upstream>>,
     /// Plain services by name.
     pub services: BTreeMap<String, Service>,
-    by_key: HashMap<Digest, usize>,
+    /// Indexes of customers by the hash of their API key.
+    customers_by_key: HashMap<Digest, usize>,
 }
 
 impl Default for Catalog {
@@ -31,7 +32,7 @@
             customers: Vec::new(),
             pools: BTreeMap::new(),
             services: BTreeMap::new(),
-            by_key: HashMap::new(),
+            customers_by_key: HashMap::new(),
         }
     }
 }
@@ -40,37 +41,38 @@
     /// Parses parts named `classes`, `upstreams` and `customers…`.
     ///
     /// # Errors
-    /// Every fault of every part, in the parts' order.
+    /// All faults of all parts, in the order of the parts.
     pub fn parse(parts: &[(&str, &str)]) -> Result<Self, Vec<Fault>> {
         let parts: Vec<_> = parts.iter().map(|(name, text)| (*name, Digest::of(text.as_bytes()), *text)).collect();
         Self::parse_cached(&parts, &mut ParseCache::default())
     }
 
-    /// The same for parts with their digests, using what was parsed before.
+    /// Parses parts with their digests, reusing the cached ones and updating the cache. The result equals that of
+    /// [`Catalog::parse`].
     ///
     /// # Errors
-    /// The same faults as [`Catalog::parse`].
-    pub fn parse_cached(parts: &[(&str, Digest, &str)], parsed: &mut ParseCache) -> Result<Self, Vec<Fault>> {
+    /// All faults of all parts, in the order of the parts.
+    pub fn parse_cached(parts: &[(&str, Digest, &str)], cache: &mut ParseCache) -> Result<Self, Vec<Fault>> {
         let mut out = Self::default();
         let mut faults = Vec::new();
         for (name, digest, text) in parts {
-            if let Some(known) = parsed.get(digest) {
-                out.customers.extend_from_slice(&known);
+            if let Some(customers) = cache.get(digest) {
+                out.customers.extend_from_slice(&customers);
                 continue;
             }
             let before = out.customers.len();
-            let found = out.read_part(name, text);
-            if found.is_empty() && out.customers.len() > before {
-                parsed.put(*digest, &out.customers[before..]);
+            let part_faults = out.read_part(name, text);
+            if part_faults.is_empty() && out.customers.len() > before {
+                cache.insert(*digest, &out.customers[before..]);
             }
-            faults.extend(found);
+            faults.extend(part_faults);
         }
-        parsed.keep(&parts.iter().map(|(_, digest, _)| *digest).collect());
+        cache.retain(&parts.iter().map(|(_, digest, _)| *digest).collect());
         faults.extend(out.check());
         if !faults.is_empty() {
             return Err(faults);
         }
-        out.by_key = out.customers.iter().enumerate().map(|(i, c)| (c.key_hash, i)).collect();
+        out.customers_by_key = out.customers.iter().enumerate().map(|(i, c)| (c.key_hash, i)).collect();
         Ok(out)
     }
 
@@ -83,7 +85,7 @@
             }
             "customers" => self.customers.extend(reader.tables("customer", Customer::read)),
             "upstreams" => self.read_upstreams(&mut reader),
-            _ => reader.fault("", "is not a part that cleatshelf knows"),
+            _ => reader.fault("", "is not a known part: expected classes, customers or upstreams"),
         }
         reader.finish()
     }
@@ -104,13 +106,13 @@
         }
         let floors: f64 = self.classes.iter().map(|c| c.floor).sum();
         if floors > 0.9 {
-            faults.push(Fault::new("classes", "floor", format!("floors add up to {floors:.2}; 0.9 is the most")));
+            faults.push(Fault::new("classes", "floor", format!("floors add up to {floors:.2}, more than 0.9")));
         }
-        faults.extend(twice("classes", "class", self.classes.iter().map(|c| c.name.as_str())));
-        faults.extend(twice("customers", "customer", self.customers.iter().map(|c| c.name.as_str())));
-        faults.extend(twice("customers", "key_hash", self.customers.iter().map(|c| c.key_hash)));
+        faults.extend(duplicates("classes", "class", self.classes.iter().map(|c| c.name.as_str())));
+        faults.extend(duplicates("customers", "customer", self.customers.iter().map(|c| c.name.as_str())));
+        faults.extend(duplicates("customers", "key_hash", self.customers.iter().map(|c| c.key_hash)));
         let servers = || self.pools.values().flatten();
-        faults.extend(twice("upstreams", "upstream", servers().map(|u| u.name.as_str())));
+        faults.extend(duplicates("upstreams", "upstream", servers().map(|u| u.name.as_str())));
         faults.extend(self.check_customers());
         faults.extend(self.check_services());
         faults
@@ -121,7 +123,7 @@
         let mut faults = Vec::new();
         for customer in &self.customers {
             for class in customer.classes.iter().filter(|c| !known.contains(c.as_str())) {
-                let reason = format!("customer '{}' names class '{class}', which isn't there", customer.name);
+                let reason = format!("customer '{}' uses class '{class}', which does not exist", customer.name);
                 faults.push(Fault::new("customers", "classes", reason));
             }
         }
@@ -133,26 +135,26 @@
         plain
             .filter(|u| !self.services.contains_key(&u.pool.serves))
             .map(|u| {
-                let reason = format!("'{}' serves '{}', for which no [[service]] stands here", u.name, u.pool.serves);
+                let reason = format!("'{}' serves '{}', which has no [[service]] entry", u.name, u.pool.serves);
                 Fault::new("upstreams", "service", reason)
             })
             .collect()
     }
 
-    /// The customer who holds `api_key`.
+    /// Returns the index and the customer for `api_key`.
     #[must_use]
     pub fn customer_by_api_key(&self, api_key: &str) -> Option<(usize, &Customer)> {
-        let index = *self.by_key.get(&self.key_hasher.hash(api_key))?;
+        let index = *self.customers_by_key.get(&self.key_hasher.hash(api_key))?;
         Some((index, &self.customers[index]))
     }
 
-    /// The index of the class called `name`.
+    /// Returns the index of the class `name`.
     #[must_use]
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|c| c.name == name)
     }
 
-    /// Names of all models, each once.
+    /// Returns the names of all models, sorted and without duplicates.
     #[must_use]
     pub fn models(&self) -> Vec<&str> {
         let engines = self.pools.iter().filter(|(_, servers)| servers[0].kind == UpstreamKind::Engine);
@@ -162,7 +164,7 @@
         names
     }
 
-    /// How many halls have upstreams, at least 1.
+    /// Returns the number of halls with upstreams, at least 1.
     #[must_use]
     pub fn hall_count(&self) -> usize {
         let halls: HashSet<&str> = self.pools.keys().map(|p| p.hall.as_str()).collect();
@@ -170,10 +172,7 @@
     }
 }
 
-fn twice<T: Copy + Eq + Hash + Display>(file: &str, key: &str, names: impl Iterator<Item = T>) -> Vec<Fault> {
+fn duplicates<T: Copy + Eq + Hash + Display>(file: &str, key: &str, names: impl Iterator<Item = T>) -> Vec<Fault> {
     let mut seen = HashSet::new();
-    names
-        .filter(|name| !seen.insert(*name))
-        .map(|name| Fault::new(file, key, format!("'{name}' stands there twice")))
-        .collect()
+    names.filter(|name| !seen.insert(*name)).map(|name| Fault::new(file, key, format!("duplicate '{name}'"))).collect()
 }
--- a/crates/catalog/src/class.rs
+++ b/crates/catalog/src/class.rs
@@ -2,24 +2,24 @@
 
 use crate::TableReader;
 
-/// A request class: its place in the order, its targets and what it is owed.
+/// A request class: its rank, its latency targets and its guarantees.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// The class's name, unique in a release.
     pub name: String,
-    /// Place in the order; 0 goes first. Two classes may share a rank.
+    /// Scheduling rank; 0 is served first. Two classes may have the same rank.
     pub rank: u8,
-    /// Urgent requests are never shed or preempted for a lesser class.
+    /// True if requests are never shed or preempted in favour of a lower class.
     pub urgent: bool,
-    /// Target for the first token (or a plain service's answer), in milliseconds from arrival.
+    /// Target time from arrival to the first token (or a plain service's response), in milliseconds.
     pub first_token_ms: u64,
-    /// Target between tokens, in milliseconds.
+    /// Target time between tokens, in milliseconds.
     pub between_tokens_ms: u64,
-    /// Share of a shard's slots that the class may always use while it has work, 0 to 1.
+    /// Guaranteed fraction of a shard's slots while the class has requests, 0 to 1.
     pub floor: f64,
-    /// Age in milliseconds after which a waiting request passes the higher ranks once; 0 means never.
+    /// Age in milliseconds at which a waiting request is served once ahead of higher ranks; 0 disables this.
     pub pass_after_ms: u64,
-    /// Running requests may be stopped for an urgent one and resumed later.
+    /// True if a running request may be stopped for an urgent one and resumed later.
     pub preemptible: bool,
 }
 
--- a/crates/catalog/src/customer.rs
+++ b/crates/catalog/src/customer.rs
@@ -2,22 +2,22 @@
 
 use crate::{Digest, TableReader};
 
-/// A customer: who may call, as what, and how much.
+/// A customer: its credentials, its classes and its limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
     /// The customer's name, unique in a release.
     pub name: String,
-    /// Keyed hash of the API key; the key itself never stands in a file.
+    /// Keyed hash of the API key; no file contains the key itself.
     pub key_hash: Digest,
-    /// Classes the customer may use. Never empty in a checked release.
+    /// The classes that the customer may use. Never empty in a checked release.
     pub classes: Vec<String>,
-    /// The class of a request that names none; always one of `classes`.
+    /// The class of requests that don't specify one; always one of `classes`.
     pub default_class: String,
-    /// Share within a class relative to other customers, 1 to 1000.
+    /// Weight relative to other customers of the same class, 1 to 1000.
     pub weight: u32,
-    /// Most requests at once over all halls; 0 means no limit.
+    /// Maximum number of concurrent requests over all halls; 0 means no limit.
     pub concurrent: u32,
-    /// Most tokens a minute over all halls; 0 means no limit.
+    /// Maximum number of tokens per minute over all halls; 0 means no limit.
     pub tokens_per_minute: u64,
 }
 
--- a/crates/catalog/src/digest.rs
+++ b/crates/catalog/src/digest.rs
@@ -1,4 +1,4 @@
-//! The name of a run of bytes.
+//! Content digests.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -8,7 +8,7 @@
 pub struct Digest(pub [u8; 16]);
 
 impl Digest {
-    /// The digest of `bytes`.
+    /// Returns the digest of `bytes`.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         let hash = blake3::hash(bytes);
@@ -17,7 +17,7 @@
         Self(short)
     }
 
-    /// Reads 32 hexadecimal digits; anything else is `None`.
+    /// Parses 32 hexadecimal digits; returns `None` for any other text.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != 32 || !text.is_ascii() {
--- a/crates/catalog/src/id.rs
+++ b/crates/catalog/src/id.rs
@@ -1,4 +1,4 @@
-//! Short names between boxes: 32-bit hashes, the same on every box whatever its release.
+//! Short ids used between boxes: 32-bit hashes of names, equal on every box regardless of its release.
 
 use crate::Digest;
 use serde::{Deserialize, Serialize};
@@ -11,10 +11,10 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The short name of what is called `name`.
+            /// Returns the id for `name`.
             #[must_use]
             pub fn of(name: &str) -> Self {
-                Self(short(name))
+                Self(short_hash(name))
             }
         }
 
@@ -33,19 +33,19 @@
 }
 
 ids! {
-    /// A box.
+    /// Identifies a box.
     BoxId;
-    /// A class.
+    /// Identifies a class.
     ClassId;
-    /// A customer.
+    /// Identifies a customer.
     CustomerId;
-    /// A server, that is one upstream.
+    /// Identifies a server, that is, one upstream.
     ServerId;
-    /// A part of a pool that one box owns.
+    /// Identifies a shard: the part of a pool that one box owns.
     ShardId;
 }
 
-fn short(name: &str) -> u32 {
+fn short_hash(name: &str) -> u32 {
     let digest = Digest::of(name.as_bytes());
     u32::from_le_bytes([digest.0[0], digest.0[1], digest.0[2], digest.0[3]])
 }
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,9 +1,8 @@
-//! The operators' files: what a class, a customer and an upstream are, how they are checked, and
-//! how they travel as a [`Release`].
+//! The operators' files (classes, customers, upstreams), their validation, and their distribution
+//! as a [`Release`].
 //!
-//! Everything here is a pure function of bytes. Nothing is read from a network or a disk, so every
-//! box that sees the same release comes to the same verdict. It isn't where requests are decided:
-//! that is `policy`.
+//! Everything here is a pure function of bytes, without any I/O, so every box that reads the same
+//! release reaches the same verdict. Decisions about requests are made in `policy`.
 //!
 //! ```
 //! let faults = catalog::Catalog::parse(&[("classes", "[[class]]\nname = 'x'")]).unwrap_err();
--- a/crates/catalog/src/release.rs
+++ b/crates/catalog/src/release.rs
@@ -1,4 +1,4 @@
-//! Releases: a manifest and the parts it names by digest.
+//! Releases: a manifest and the parts that it refers to by digest.
 
 use crate::{Catalog, Digest, Fault, ParseCache, TableReader};
 use serde::{Deserialize, Serialize};
@@ -8,50 +8,50 @@
 /// The newest release format that this program reads.
 pub const RELEASE_FORMAT: u64 = 1;
 
-/// Into how many parts customers are cut, so that one changed customer moves one small part.
+/// Number of parts into which customers are split, so that a change to one customer changes one small part.
 pub const CUSTOMER_PARTS: usize = 256;
 
-/// The largest part, in bytes: the platform holds values up to a megabyte.
+/// Maximum size of a part; the platform holds values of up to a megabyte.
 pub const MAX_PART_BYTES: usize = 1_000_000;
 
-/// Where a release stands among others: the number first, then the manifest's digest.
+/// Identifies a release, ordered by its number and then by the manifest's digest.
 ///
-/// Two operators who publish the same number at once still leave one order that all boxes share.
+/// The digest keeps the order total, and equal on all boxes, when two operators publish the same number at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ReleaseId {
-    /// The operators' release number.
+    /// The release number assigned by operators.
     pub number: u64,
-    /// The manifest's digest.
+    /// The digest of the manifest.
     pub digest: Digest,
 }
 
-/// What a release is made of.
+/// The list of a release's parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Manifest {
-    /// The release format, at most [`RELEASE_FORMAT`] if this program can read it.
+    /// The release format, at most [`RELEASE_FORMAT`].
     pub format: u64,
-    /// The operators' release number, rising.
+    /// The release number assigned by operators; increases with each release.
     pub number: u64,
-    /// Digest of each part by its name.
+    /// The digest of each part by name.
     pub parts: BTreeMap<String, Digest>,
 }
 
-/// A whole release: the manifest and all its parts.
+/// A release: the manifest and its parts.
 #[derive(Clone, Debug)]
 pub struct Release {
-    /// What the release is made of.
+    /// The parsed manifest.
     pub manifest: Manifest,
-    /// The manifest as published; its digest is the release's.
+    /// The manifest as published; its digest identifies the release.
     pub text: String,
-    /// The parts' bytes by digest. Holds every digest that the manifest names.
+    /// The bytes of the parts by digest; complete in a checked release.
     pub parts: BTreeMap<Digest, Vec<u8>>,
 }
 
 impl Manifest {
-    /// Reads a manifest as published.
+    /// Parses a manifest as published.
     ///
     /// # Errors
-    /// Every fault; a format newer than [`RELEASE_FORMAT`] is one of them.
+    /// All faults, or only that of the format if it is newer than [`RELEASE_FORMAT`].
     pub fn parse(text: &str) -> Result<Self, Vec<Fault>> {
         let mut reader = TableReader::parse("manifest", text);
         let format = reader.integer("format", &(1..=u64::from(u32::MAX)));
@@ -68,8 +68,8 @@
                 Some(digest) if !parts.contains_key(&name) => {
                     parts.insert(name, digest);
                 }
-                Some(_) => reader.fault("part", format!("'{name}' stands there twice")),
-                None => reader.fault("part", format!("'{digest}' is not a digest")),
+                Some(_) => reader.fault("part", format!("duplicate '{name}'")),
+                None => reader.fault("part", format!("'{digest}' is not a digest of 32 hexadecimal digits")),
             }
         }
         let faults = reader.finish();
@@ -80,12 +80,12 @@
         }
     }
 
-    /// The manifest as it is published.
+    /// Renders the manifest as it is published.
     #[must_use]
     pub fn render(&self) -> String {
         let mut text = format!("format = {}\nnumber = {}\n", self.format, self.number);
         for (name, digest) in &self.parts {
-            // Writing to a String can't fail.
+            // Writing to a `String` can't fail.
             let _ = write!(text, "\n[[part]]\nname = \"{name}\"\ndigest = \"{digest}\"\n");
         }
         text
@@ -93,18 +93,18 @@
 }
 
 impl Release {
-    /// Cuts the three files into parts and makes the manifest.
+    /// Splits the three files into parts and creates the manifest.
     ///
     /// # Errors
-    /// Every fault that [`Catalog::parse`] finds, or a part over [`MAX_PART_BYTES`].
+    /// All faults that [`Catalog::parse`] finds, or a part larger than [`MAX_PART_BYTES`].
     pub fn pack(number: u64, classes: &str, customers: &str, upstreams: &str) -> Result<Self, Vec<Fault>> {
         Catalog::parse(&[("classes", classes), ("customers", customers), ("upstreams", upstreams)])?;
         let mut manifest = Manifest { format: RELEASE_FORMAT, number, parts: BTreeMap::new() };
         let mut parts = BTreeMap::new();
-        let mut named = cut_customers(customers);
-        named.insert("classes".to_owned(), classes.to_owned());
-        named.insert("upstreams".to_owned(), upstreams.to_owned());
-        for (name, text) in named {
+        let mut texts = split_customers(customers);
+        texts.insert("classes".to_owned(), classes.to_owned());
+        texts.insert("upstreams".to_owned(), upstreams.to_owned());
+        for (name, text) in texts {
             let digest = Digest::of(text.as_bytes());
             manifest.parts.insert(name, digest);
             parts.insert(digest, text.into_bytes());
@@ -114,19 +114,19 @@
         release.check().map(|_| release)
     }
 
-    /// Checks the whole release and gives its content. A pure function of the release.
+    /// Checks the release and returns its content. A pure function of the release.
     ///
     /// # Errors
-    /// Every fault: a missing, corrupt or oversized part, or what [`Catalog::parse`] finds.
+    /// All missing, corrupt or oversized parts, or the faults that [`Catalog::parse`] finds.
     pub fn check(&self) -> Result<Catalog, Vec<Fault>> {
         self.check_cached(&mut ParseCache::default())
     }
 
-    /// The same, using what was parsed before: the verdict is the same, and sooner here.
+    /// Checks the release with a cache of parsed parts. The result equals that of [`Release::check`].
     ///
     /// # Errors
-    /// The same faults as [`Release::check`].
-    pub fn check_cached(&self, parsed: &mut ParseCache) -> Result<Catalog, Vec<Fault>> {
+    /// All missing, corrupt or oversized parts, or the faults that [`Catalog::parse`] finds.
+    pub fn check_cached(&self, cache: &mut ParseCache) -> Result<Catalog, Vec<Fault>> {
         let mut faults = Vec::new();
         let mut texts = Vec::new();
         for (name, digest) in &self.manifest.parts {
@@ -141,33 +141,33 @@
         if !faults.is_empty() {
             return Err(faults);
         }
-        Catalog::parse_cached(&texts, parsed)
+        Catalog::parse_cached(&texts, cache)
     }
 
-    /// Where this release stands among others.
+    /// Returns the id by which releases are ordered.
     #[must_use]
     pub fn id(&self) -> ReleaseId {
         ReleaseId { number: self.manifest.number, digest: Digest::of(self.text.as_bytes()) }
     }
 
-    /// Faults in publishing this release while `current` is in force.
+    /// Returns the faults that prevent publishing this release while `current` is in force.
     #[must_use]
     pub fn check_against(&self, current: &Release) -> Vec<Fault> {
         if self.id() > current.id() && self.manifest.number > current.manifest.number {
             return Vec::new();
         }
         let reason = format!(
-            "release {} must have a number above the current {}",
+            "number {} must be greater than the current release's {}",
             self.manifest.number, current.manifest.number
         );
         vec![Fault::new("manifest", "number", reason)]
     }
 }
 
-/// The text of a part, if it has the digest that the manifest names and fits the platform.
+/// Returns the text of a part if it matches its digest in the manifest and is not larger than [`MAX_PART_BYTES`].
 fn check_part<'a>(bytes: &'a [u8], digest: &Digest) -> Result<&'a str, String> {
     if bytes.len() > MAX_PART_BYTES {
-        return Err(format!("the part has {} bytes; {MAX_PART_BYTES} is the most", bytes.len()));
+        return Err(format!("the part has {} bytes, more than {MAX_PART_BYTES}", bytes.len()));
     }
     if Digest::of(bytes) != *digest {
         return Err("the part's bytes don't match the manifest's digest".to_owned());
@@ -175,16 +175,16 @@
     std::str::from_utf8(bytes).map_err(|_| "the part is not UTF-8".to_owned())
 }
 
-/// The part in which the customer called `name` stands.
+/// Returns the index of the part that contains the customer `name`.
 #[must_use]
 pub fn customer_part(name: &str) -> usize {
     let hash = Digest::of(name.as_bytes());
     usize::from(u16::from_le_bytes([hash.0[0], hash.0[1]])) % CUSTOMER_PARTS
 }
 
-fn cut_customers(text: &str) -> BTreeMap<String, String> {
+fn split_customers(text: &str) -> BTreeMap<String, String> {
     let mut parts: BTreeMap<String, String> = BTreeMap::new();
-    // The text has been checked, so the table and its list are there unless there is no customer.
+    // The text has been checked, so the list is missing only if there are no customers.
     let table: toml::Table = text.parse().unwrap_or_default();
     let list = table.get("customer").and_then(toml::Value::as_array);
     for customer in list.into_iter().flatten() {
--- a/crates/catalog/src/upstream.rs
+++ b/crates/catalog/src/upstream.rs
@@ -1,51 +1,51 @@
-//! Upstreams and the pools they form.
+//! Upstreams and the pools that they form.
 
 use crate::TableReader;
 use std::net::SocketAddr;
 
-/// What an upstream speaks.
+/// The kind of service that an upstream provides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum UpstreamKind {
     /// A language-model server.
     Engine,
-    /// A plain service: registry look-ups, top-ups and the like.
+    /// A plain service, such as registry look-ups or top-ups.
     Plain,
 }
 
 /// The servers of one model or one plain service in one hall.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Pool {
-    /// The hall in which the servers stand.
+    /// The hall in which the servers run.
     pub hall: String,
-    /// The model's or plain service's name.
+    /// The name of the model or plain service.
     pub serves: String,
 }
 
-/// One server behind cleatshelf.
+/// A server behind cleatshelf.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Upstream {
     /// The server's name, unique in a release.
     pub name: String,
-    /// Where it stands and what it serves.
+    /// Its hall, and the model or service that it serves.
     pub pool: Pool,
-    /// What it speaks.
+    /// The kind of service that it provides.
     pub kind: UpstreamKind,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Most requests it bears at once, 1 to 4096.
+    /// Maximum number of concurrent requests, 1 to 4096.
     pub slots: u32,
-    /// It gets no new work.
+    /// True if it receives no new requests.
     pub leaving: bool,
-    /// It can go on with an answer of which the first tokens are already known.
+    /// True if it can continue a response whose first tokens are given.
     pub resume: bool,
 }
 
-/// How a plain service's calls may be treated.
+/// A plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Service {
     /// The service's name.
     pub name: String,
-    /// Methods that may be sent again after a failure.
+    /// HTTP methods whose requests may be sent again after a failure.
     pub repeatable: Vec<String>,
 }
 
@@ -57,7 +57,7 @@
         let service = reader.string_opt("service");
         let kind = if model.is_some() { UpstreamKind::Engine } else { UpstreamKind::Plain };
         if model.is_some() == service.is_some() {
-            reader.fault("model", "name either a model or a service, and not both");
+            reader.fault("model", "exactly one of model and service must be set");
         }
         let address = reader.parsed("address", "an address such as 10.0.0.5:8000");
         Self {
--- a/crates/catalog/tests/files.rs
+++ b/crates/catalog/tests/files.rs
@@ -1,4 +1,4 @@
-//! The operators' files: every fault at once, and releases that are what they say.
+//! Validation of the operators' files and integrity of releases.
 
 use catalog::{ApiKeyHasher, Catalog, Digest, Fault, Manifest, Release, CUSTOMER_PARTS, MAX_PART_BYTES};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn every_fault_of_every_file_is_told_at_once() {
+fn all_faults_of_all_files_are_reported_at_once() {
     let classes = r#"
 colour = "red"
 [[class]]
@@ -62,34 +62,34 @@
 }
 
 #[test]
-fn the_examples_pack_and_one_changed_customer_moves_one_part() {
-    let one = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a good release");
+fn examples_pack_and_a_change_to_one_customer_changes_one_part() {
+    let one = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a valid release");
     let changed = CUSTOMERS.replacen("weight = 4", "weight = 5", 1);
-    let two = Release::pack(2, CLASSES, &changed, UPSTREAMS).expect("a good release");
-    let moved = two.parts.keys().filter(|digest| !one.parts.contains_key(*digest)).count();
-    assert_eq!(moved, 1);
+    let two = Release::pack(2, CLASSES, &changed, UPSTREAMS).expect("a valid release");
+    let changed_parts = two.parts.keys().filter(|digest| !one.parts.contains_key(*digest)).count();
+    assert_eq!(changed_parts, 1);
     assert!(two.check_against(&one).is_empty());
     assert_eq!(one.check_against(&two).len(), 1);
-    assert_eq!(two.check_against(&two).len(), 1, "the same number again is refused before publishing");
+    assert_eq!(two.check_against(&two).len(), 1, "a repeated number is refused before publishing");
 }
 
 #[test]
-fn twenty_eight_thousand_customers_fit_the_platforms_values() {
+fn parts_with_28_000_customers_fit_into_values_of_the_platform() {
     let customer = |i: usize| {
         format!("[[customer]]\nname = \"customer-{i:05}\"\nkey_hash = \"{i:032x}\"\nclasses = [\"hotline\"]\n\n")
     };
     let customers: String = (0..28_000).map(customer).collect();
-    let release = Release::pack(1, CLASSES, &customers, UPSTREAMS).expect("a good release");
+    let release = Release::pack(1, CLASSES, &customers, UPSTREAMS).expect("a valid release");
     assert_eq!(release.parts.len(), CUSTOMER_PARTS + 2);
     let largest = release.parts.values().map(Vec::len).max().expect("parts");
     assert!(largest < 20_000, "{largest} bytes in one part");
     assert!(release.text.len() < MAX_PART_BYTES);
-    assert_eq!(release.check().expect("a good release").customers.len(), 28_000);
+    assert_eq!(release.check().expect("a valid release").customers.len(), 28_000);
 }
 
 #[test]
-fn a_corrupt_a_missing_and_an_oversized_part_are_refused() {
-    let good = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a good release");
+fn corrupt_missing_and_oversized_parts_are_refused() {
+    let good = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a valid release");
     let digest = good.manifest.parts["classes"];
     let mut corrupt = good.clone();
     corrupt.parts.insert(digest, b"other bytes".to_vec());
@@ -99,12 +99,12 @@
     assert!(lines(&missing.check().expect_err("missing")).contains("missing"));
     let mut oversized = good.clone();
     oversized.parts.insert(digest, vec![b'#'; MAX_PART_BYTES + 1]);
-    assert!(lines(&oversized.check().expect_err("oversized")).contains("is the most"));
+    assert!(lines(&oversized.check().expect_err("oversized")).contains("more than 1000000"));
 }
 
 #[test]
-fn a_manifest_of_a_newer_format_is_refused_with_that_reason_alone() {
-    let good = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a good release");
+fn manifest_of_a_newer_format_is_refused_for_that_reason_only() {
+    let good = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a valid release");
     let newer = format!("{}\nsomething_new = true\n", good.text.replace("format = 1", "format = 2"));
     let faults = Manifest::parse(&newer).expect_err("a newer format");
     assert_eq!(faults.len(), 1);
@@ -112,32 +112,32 @@
 }
 
 #[test]
-fn what_was_parsed_before_changes_no_verdict() {
-    let mut parsed = catalog::ParseCache::default();
-    let one = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a good release");
+fn cached_parts_do_not_change_the_verdict() {
+    let mut cache = catalog::ParseCache::default();
+    let one = Release::pack(1, CLASSES, CUSTOMERS, UPSTREAMS).expect("a valid release");
     let changed = CUSTOMERS.replacen("weight = 4", "weight = 5", 1);
-    let two = Release::pack(2, CLASSES, &changed, UPSTREAMS).expect("a good release");
+    let two = Release::pack(2, CLASSES, &changed, UPSTREAMS).expect("a valid release");
     for release in [&one, &two, &one, &two] {
-        let again = release.check_cached(&mut parsed).expect("a good release");
-        let anew = release.check().expect("a good release");
-        assert_eq!(again.customers, anew.customers);
-        assert_eq!(again.classes, anew.classes);
-        assert_eq!(again.pools, anew.pools);
+        let cached = release.check_cached(&mut cache).expect("a valid release");
+        let uncached = release.check().expect("a valid release");
+        assert_eq!(cached.customers, uncached.customers);
+        assert_eq!(cached.classes, uncached.classes);
+        assert_eq!(cached.pools, uncached.pools);
     }
-    // Faults between parts are found although each part is known.
+    // Faults between parts are found although each part is cached.
     let mut twin = two.clone();
     let digest = twin.manifest.parts
         ["customers-000".replace("000", &format!("{:03}", catalog::customer_part("audit"))).as_str()];
     twin.manifest.parts.insert("customers-copy".into(), digest);
-    let faults = twin.check_cached(&mut parsed).expect_err("a customer stands there twice");
-    assert_eq!(lines(&faults), lines(&twin.check().expect_err("the same")));
+    let faults = twin.check_cached(&mut cache).expect_err("a duplicate customer");
+    assert_eq!(lines(&faults), lines(&twin.check().expect_err("a duplicate customer")));
 }
 
 #[test]
-fn a_key_is_found_by_its_hash_only_under_the_right_salt() {
+fn api_key_is_found_by_its_hash_only_with_the_right_salt() {
     let hash = ApiKeyHasher::new("lakes-east-2026").hash("a key");
     let customers = format!("[[customer]]\nname = \"a\"\nkey_hash = \"{hash}\"\nclasses = [\"hotline\"]\n");
-    let catalog = Catalog::parse(&[("classes", CLASSES), ("customers", &customers)]).expect("good files");
+    let catalog = Catalog::parse(&[("classes", CLASSES), ("customers", &customers)]).expect("valid files");
     assert_eq!(catalog.customer_by_api_key("a key").map(|(index, _)| index), Some(0));
     assert!(catalog.customer_by_api_key("another key").is_none());
     assert_ne!(hash, ApiKeyHasher::new("another salt").hash("a key"));
@@ -147,16 +147,16 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_text_whatever_makes_the_checks_panic(text in "\\PC{0,200}", name in "classes|customers-001|upstreams|else") {
+    fn parsers_never_panic(text in "\\PC{0,200}", name in "classes|customers-001|upstreams|else") {
         let _ = Catalog::parse(&[(name.as_str(), text.as_str())]);
         let _ = Manifest::parse(&text);
         let _ = Digest::parse(&text);
     }
 
     #[test]
-    fn a_manifest_reads_as_it_was_written(number in 1..u64::MAX / 4, names in prop::collection::btree_set("[a-z]{1,9}", 0..9)) {
+    fn manifest_round_trips(number in 1..u64::MAX / 4, names in prop::collection::btree_set("[a-z]{1,9}", 0..9)) {
         let parts = names.iter().map(|n| (n.clone(), Digest::of(n.as_bytes()))).collect();
         let manifest = Manifest { format: 1, number, parts };
-        prop_assert_eq!(Manifest::parse(&manifest.render()).expect("its own form"), manifest);
+        prop_assert_eq!(Manifest::parse(&manifest.render()).expect("a rendered manifest parses"), manifest);
     }
 }
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -1,32 +1,32 @@
-//! The numbered events. docs/EVENTS.md says of each what it means and what an operator does.
+//! The numbered events. docs/EVENTS.md documents the meaning of each and the operator's response.
 
 use log::Level;
 
 macro_rules! events {
     ($($(#[doc = $doc:literal])+ $name:ident = $number:literal, $level:ident;)+) => {
-        /// One numbered kind of log line. Numbers never change their meaning.
+        /// A numbered kind of log line. A number never changes its meaning.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Event {
             $($(#[doc = $doc])+ $name,)+
         }
 
         impl Event {
-            /// Every event, in the order of its number.
+            /// All events in ascending order of their numbers.
             pub const ALL: &'static [Event] = &[$(Event::$name,)+];
 
-            /// The event's number, as printed in the log.
+            /// Returns the event's number, as printed in the log.
             #[must_use]
             pub fn number(self) -> u16 {
                 match self { $(Event::$name => $number,)+ }
             }
 
-            /// The level at which the event is logged.
+            /// Returns the level at which the event is logged.
             #[must_use]
             pub fn level(self) -> Level {
                 match self { $(Event::$name => Level::$level,)+ }
             }
 
-            /// The event's name, as in docs/EVENTS.md.
+            /// Returns the event's name, as in docs/EVENTS.md.
             #[must_use]
             pub fn name(self) -> &'static str {
                 match self { $(Event::$name => stringify!($name),)+ }
@@ -36,125 +36,125 @@
 }
 
 events! {
-    /// A box has started and listens.
+    /// A box has started and is listening.
     BoxStarted = 100, Info;
-    /// A box takes calls from now on.
+    /// A box now accepts requests.
     BoxReady = 101, Info;
-    /// A planned stop began: no new work is taken.
+    /// A planned stop began: the box accepts no new requests.
     StopBegun = 102, Info;
-    /// A planned stop ended with nothing cut off.
+    /// A planned stop completed with no request aborted.
     StopClean = 103, Info;
-    /// A stop ended while requests still ran; they were cut.
+    /// A stop ended while requests were still running; they were aborted.
     StopCut = 104, Error;
-    /// This process was paused and has just woken.
+    /// The process was suspended and has just resumed.
     PauseNoticed = 105, Warn;
-    /// A part of the program could not start.
+    /// A component could not start.
     StartFailed = 106, Error;
-    /// Log lines were dropped, since their reader was too slow.
+    /// Log lines were dropped because their reader was too slow.
     LinesDropped = 107, Warn;
     /// A release is in force on this box.
     ReleaseInForce = 200, Info;
-    /// A release was refused; the former one stays.
+    /// A release was refused; the previous one stays in force.
     ReleaseRefused = 201, Error;
-    /// The configuration service did not answer.
+    /// The configuration service did not respond.
     PlatformUnreachable = 202, Warn;
-    /// The configuration service answers again.
+    /// The configuration service responds again.
     PlatformReachable = 203, Info;
     /// The platform offered a release older than the one in force.
     ReleaseStale = 204, Warn;
-    /// This box began or ended holding the platform's watch.
+    /// This box started or stopped watching the platform.
     WatchRole = 205, Info;
-    /// The servers in force changed.
+    /// The list of servers in force changed.
     ServersChanged = 206, Info;
-    /// The settings were read again.
+    /// The settings were reloaded.
     SettingsReloaded = 207, Info;
-    /// Settings that were read again have faults; the former ones stay.
+    /// Reloaded settings have faults; the previous ones stay in force.
     SettingsRefused = 208, Error;
-    /// Other halls are evacuated than before.
+    /// The set of evacuated halls changed.
     HallsEvacuated = 209, Info;
-    /// The platform came back from an older copy of what it publishes.
+    /// The platform's store was restored from an older copy.
     StoreRestored = 210, Warn;
     /// A peer is reachable.
     PeerAlive = 300, Info;
-    /// A peer does not answer probes.
+    /// A peer does not respond to probes.
     PeerSuspect = 301, Warn;
-    /// A peer is taken as dead.
+    /// A peer is considered dead.
     PeerDead = 302, Warn;
     /// A peer announced that it is leaving.
     PeerLeaving = 303, Info;
-    /// A frame from a peer was refused and its stream closed.
+    /// A frame from a peer was refused and its connection closed.
     FrameRefused = 304, Warn;
-    /// A peer could not prove that it holds the shared key.
+    /// A peer failed to prove that it holds the shared key.
     PeerUnproved = 305, Error;
     /// This box became the owner of a shard.
     OwnerBegan = 400, Info;
-    /// This box is no longer the owner of a shard.
+    /// This box ceased to be the owner of a shard.
     OwnerEnded = 401, Info;
-    /// A new owner has asked its lessees and grants from now on.
+    /// A new owner has recovered the leases from its lessees and now grants new ones.
     OwnerRecovered = 402, Info;
-    /// Leases beyond the known slots were reported to an owner.
+    /// More leases were reported to an owner than there are known slots.
     LeaseOverlap = 403, Warn;
-    /// An owner did not answer in time; a local share is used.
+    /// An owner did not respond in time; the box falls back to its local share.
     LocalFallback = 404, Warn;
-    /// A server failed often and gets probes only.
+    /// A server failed repeatedly and receives only probes.
     UpstreamEjected = 405, Warn;
-    /// A server that had failed gets its full share again.
+    /// An ejected server receives its full share again.
     UpstreamReturned = 406, Info;
-    /// A server is leaving and gets no new work.
+    /// A server is leaving and receives no new requests.
     UpstreamLeaving = 407, Info;
-    /// A running request of a lesser class was asked to step back.
+    /// The lease of a running request of a lower class was recalled.
     LeaseRecalled = 408, Info;
-    /// A stream broke and was resumed on another server.
+    /// A stream was interrupted and resumed on another server.
     StreamResumed = 500, Info;
-    /// A request ended with an outcome of which nobody knows whether it ran.
+    /// A request ended and it is unknown whether it ran.
     OutcomeUnknown = 501, Warn;
-    /// A request with a known key was delivered again and refused.
+    /// A repeated delivery of a request with a known key was refused.
     RepeatRefused = 502, Info;
-    /// A request ended otherwise than by the first server's whole answer.
+    /// A request ended other than by a complete response from the first server.
     RequestEnded = 503, Info;
-    /// A request was not passed on, by the caller's fault.
+    /// A request was rejected because of a caller error.
     RequestRejected = 504, Info;
     /// A server was chosen for a request.
     ServerChosen = 505, Debug;
-    /// The first event of a stream came.
+    /// The first event of a stream arrived.
     StreamBegan = 506, Debug;
-    /// A request ended with the first server's whole answer.
+    /// A request ended with a complete response from the first server.
     RequestAnswered = 507, Debug;
-    /// A server's connection broke, and its address refuses new ones.
+    /// A server's connection was lost, and its address refuses new ones.
     ServerEnded = 508, Info;
-    /// A server's connection broke, and the server was not found to have ended.
+    /// A server's connection was lost, and the server was not found to have terminated.
     ServerBroke = 509, Debug;
-    /// A request is held: servers ended under it at several moments.
+    /// A request is held because servers terminated while running it, at several separate times.
     RequestHeld = 510, Warn;
-    /// A request that was held is sent again: a server survived it, or an operator said so.
+    /// A held request is sent again because a server survived it or an operator lifted the hold.
     RequestLifted = 511, Info;
-    /// A request that is held was let through once.
+    /// A held request was sent once as a half-open probe.
     RequestTried = 512, Warn;
-    /// A server's answer says that it leaves.
+    /// A server's response announces that the server is leaving.
     ServerLeaves = 513, Info;
-    /// A server turned a request away and wants nothing more from this box for a while.
+    /// A server refused a request and asked this box to back off for a while.
     ServerRests = 514, Info;
-    /// A server names another limit of the requests that it takes from all boxes together, or none any more.
+    /// A server changed or removed its limit on requests from all boxes together.
     ServerLimits = 515, Info;
-    /// An answer bears a header that nobody here knows.
+    /// A response has an unknown header.
     WordUnknown = 516, Warn;
-    /// Leases granted no longer equal held, returned and expired ones.
+    /// The count of leases granted no longer equals those held, returned and expired.
     LeaseCountBroken = 900, Error;
-    /// A grant went above the floor while a more urgent request waited.
+    /// A grant exceeded the class's floor while a more urgent request was waiting.
     GrantOrderBroken = 901, Error;
-    /// A request that isn't repeatable was about to be sent twice.
+    /// A non-repeatable request was about to be sent twice.
     SecondSendBroken = 902, Error;
-    /// The release in force was about to go back.
+    /// The release in force was about to be replaced by an older one.
     ReleaseOrderBroken = 903, Error;
-    /// A request was about to get a second outcome.
+    /// A second outcome was about to be recorded for a request.
     SecondOutcomeBroken = 904, Error;
     /// A request that may have run was about to be refused as not run.
     RefusalBroken = 905, Error;
 }
 
-/// Logs `event` with its number, name and `detail`, and counts it.
+/// Logs `event` with its number, name and `detail`, and increments its counter.
 ///
-/// `detail` is a list of `key=value` pairs, so that lines can be searched.
+/// `detail` is a list of `key=value` pairs, so that log lines can be searched.
 pub fn emit(event: Event, detail: std::fmt::Arguments<'_>) {
     metrics::counter!("cleatshelf_events_total", "event" => event.name()).increment(1);
     log::log!(target: "cleatshelf", event.level(), "E{:03} {} {detail}", event.number(), event.name());
--- a/crates/telemetry/src/label_limiter.rs
+++ b/crates/telemetry/src/label_limiter.rs
@@ -1,37 +1,36 @@
-//! A bound on the number of metric series that customers can make.
+//! A limit on the number of metric series that customers can create.
 
 use std::collections::HashSet;
 
-/// The label of every customer beyond the bound.
-const OTHER: &str = "other";
+/// The shared label of all names beyond the limit.
+const OTHER_LABEL: &str = "other";
 
-/// Names that may become a metric label; all further names share one label.
+/// Assigns metric labels to names; names beyond a limit share one label.
 ///
-/// 28,000 customers times three histograms would be more than a scrape can carry.
+/// A scrape can't carry three histograms for each of 28,000 customers.
 #[derive(Clone, Debug)]
 pub struct LabelLimiter {
-    /// Never holds more than `bound` names.
-    named: HashSet<String>,
-    /// The most names that get a label of their own.
-    bound: usize,
+    /// Names with a label of their own, at most `max_labels`.
+    labelled: HashSet<String>,
+    max_labels: usize,
 }
 
 impl LabelLimiter {
-    /// A set that gives at most `bound` names a label of their own.
+    /// Creates a limiter that gives at most `max_labels` names a label of their own.
     #[must_use]
-    pub fn new(bound: usize) -> Self {
-        Self { named: HashSet::new(), bound }
+    pub fn new(max_labels: usize) -> Self {
+        Self { labelled: HashSet::new(), max_labels }
     }
 
-    /// The label for `name`: itself while there is room, then `other`.
+    /// Returns the label for `name`: the name itself while the limit is not reached, otherwise `other`.
     pub fn label(&mut self, name: &str) -> String {
-        if self.named.contains(name) {
+        if self.labelled.contains(name) {
             return name.to_owned();
         }
-        if self.named.len() >= self.bound {
-            return OTHER.to_owned();
+        if self.labelled.len() >= self.max_labels {
+            return OTHER_LABEL.to_owned();
         }
-        self.named.insert(name.to_owned());
+        self.labelled.insert(name.to_owned());
         name.to_owned()
     }
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
-//! What cleatshelf tells its operators: numbered log events, metrics and histograms.
+//! Observability for cleatshelf: numbered log events, metrics and histograms.
 //!
-//! It knows nothing of requests, boxes or files; every other crate calls it. It isn't a logging
-//! framework: lines go through [`log`], figures through [`metrics`].
+//! The crate depends on no other crate of the workspace and is used by all of them. It is not a
+//! logging framework: log lines go through [`log`], metrics through [`metrics`].
 //!
 //! ```
 //! use telemetry::Event;
--- a/crates/telemetry/src/prometheus.rs
+++ b/crates/telemetry/src/prometheus.rs
@@ -1,8 +1,8 @@
-//! The scrape endpoint's text.
+//! Metrics in the Prometheus text format.
 //!
-//! Registry and handles are `metrics-util`'s; the text is written here. The ready-made exporter measures the
-//! processor's clock for a fifth of a second whenever a process starts, which on a quarter of a core keeps a box
-//! away from its callers for most of a second.
+//! The registry and the handles come from `metrics-util`; only the rendering is implemented here. The existing
+//! Prometheus exporter calibrates the CPU clock for 200 ms at each process start, which on a quarter of a core
+//! delays a box's first requests by most of a second.
 
 use metrics::{Counter, Gauge, Histogram, HistogramFn, Key, KeyName, Metadata, Recorder, SharedString, Unit};
 use metrics_util::registry::{Registry, Storage};
@@ -11,33 +11,33 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Bucket bounds in seconds, from a fast token to a long answer.
-const SECONDS: [f64; 16] =
+/// Histogram bucket bounds in seconds, from a fast token to a long response.
+const BUCKET_BOUNDS_S: [f64; 16] =
     [0.001, 0.002, 0.005, 0.01, 0.02, 0.045, 0.1, 0.2, 0.56, 1.0, 2.0, 5.0, 15.0, 60.0, 300.0, 1200.0];
 
-/// Sums are kept in millionths, so that they can be added without a lock.
+/// Sums are integers in millionths, so that atomics can add them without a lock.
 const MILLIONTHS: f64 = 1_000_000.0;
 
-/// A histogram in [`SECONDS`].
+/// A histogram with the bounds [`BUCKET_BOUNDS_S`].
 #[derive(Default)]
 struct Buckets {
-    /// Samples up to each bound and above the one before; the last is above all bounds.
-    counts: [AtomicU64; SECONDS.len() + 1],
+    /// Number of samples per bucket, not cumulative; the last bucket holds samples above all bounds.
+    counts: [AtomicU64; BUCKET_BOUNDS_S.len() + 1],
     /// Sum of all samples in millionths.
     sum: AtomicU64,
 }
 
 impl HistogramFn for Buckets {
     fn record(&self, value: f64) {
-        let bucket = SECONDS.partition_point(|bound| *bound < value);
+        let bucket = BUCKET_BOUNDS_S.partition_point(|bound| *bound < value);
         self.counts[bucket].fetch_add(1, Ordering::Relaxed);
         self.sum.fetch_add((value * MILLIONTHS) as u64, Ordering::Relaxed);
     }
 }
 
-struct Cells;
+struct AtomicStorage;
 
-impl Storage<Key> for Cells {
+impl Storage<Key> for AtomicStorage {
     type Counter = Arc<AtomicU64>;
     type Gauge = Arc<AtomicU64>;
     type Histogram = Arc<Buckets>;
@@ -55,10 +55,10 @@
     }
 }
 
-/// The process's metrics, ready to be rendered for a scrape.
+/// A metrics recorder that renders its metrics for Prometheus.
 #[derive(Clone)]
 pub struct PrometheusRecorder {
-    registry: Arc<Registry<Key, Cells>>,
+    registry: Arc<Registry<Key, AtomicStorage>>,
 }
 
 impl Recorder for PrometheusRecorder {
@@ -82,23 +82,24 @@
 }
 
 impl PrometheusRecorder {
-    /// Metrics that nobody records to yet.
+    /// Creates an empty recorder without installing it.
     #[must_use]
     pub fn new() -> Self {
-        Self { registry: Arc::new(Registry::new(Cells)) }
+        Self { registry: Arc::new(Registry::new(AtomicStorage)) }
     }
 
-    /// Installs the process-wide recorder.
+    /// Installs a recorder for the whole process.
     ///
     /// # Errors
-    /// When a recorder is already installed.
+    /// If a recorder is already installed.
     pub fn install() -> eyre::Result<Self> {
-        let scrape = Self::new();
-        metrics::set_global_recorder(scrape.clone()).map_err(|_| eyre::eyre!("a recorder is already installed"))?;
-        Ok(scrape)
+        let recorder = Self::new();
+        metrics::set_global_recorder(recorder.clone())
+            .map_err(|_| eyre::eyre!("a metrics recorder is already installed"))?;
+        Ok(recorder)
     }
 
-    /// The metrics in the text format that scrapers read.
+    /// Renders all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> String {
         let mut families: BTreeMap<String, (&'static str, Vec<String>)> = BTreeMap::new();
@@ -118,7 +119,7 @@
             if kind != "histogram" {
                 lines.sort();
             }
-            // Writing to a text can't fail.
+            // Writing to a `String` can't fail.
             let _ = writeln!(text, "# TYPE {name} {kind}");
             text.push_str(&lines.concat());
         }
@@ -135,9 +136,9 @@
 fn buckets(key: &Key, histogram: &Buckets) -> Vec<String> {
     let mut lines = Vec::new();
     let mut sum = 0;
-    for (at, count) in histogram.counts.iter().enumerate() {
+    for (index, count) in histogram.counts.iter().enumerate() {
         sum += count.load(Ordering::Relaxed);
-        let bound = SECONDS.get(at).map_or_else(|| "+Inf".to_owned(), f64::to_string);
+        let bound = BUCKET_BOUNDS_S.get(index).map_or_else(|| "+Inf".to_owned(), f64::to_string);
         lines.push(sample(key, "_bucket", Some(&bound), sum));
     }
     lines.push(sample(key, "_sum", None, histogram.sum.load(Ordering::Relaxed) as f64 / MILLIONTHS));
@@ -146,12 +147,12 @@
 }
 
 fn sample(key: &Key, suffix: &str, bound: Option<&str>, value: impl std::fmt::Display) -> String {
-    let own = key.labels().map(|label| format!("{}=\"{}\"", label.key(), escaped(label.value())));
+    let own = key.labels().map(|label| format!("{}=\"{}\"", label.key(), escape_label(label.value())));
     let labels: Vec<String> = own.chain(bound.map(|bound| format!("le=\"{bound}\""))).collect();
     let labels = if labels.is_empty() { String::new() } else { format!("{{{}}}", labels.join(",")) };
     format!("{}{suffix}{labels} {value}\n", key.name())
 }
 
-fn escaped(value: &str) -> String {
+fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
--- a/crates/telemetry/src/seen_names.rs
+++ b/crates/telemetry/src/seen_names.rs
@@ -1,21 +1,21 @@
-//! What is told of once.
+//! Limits repeated reports to one per name.
 
 use std::collections::BTreeSet;
 use std::sync::{Mutex, PoisonError};
 
-/// Most names that are kept: whoever sends a new one each time fills neither memory nor the log.
-const NAMES_MOST: usize = 64;
+/// Maximum number of names kept, so that a sender of ever new names fills neither memory nor the log.
+const MAX_NAMES: usize = 64;
 
-/// Names of which each is told once for as long as the process runs, and only the first so many.
+/// The names reported since the process started, at most [`MAX_NAMES`].
 #[derive(Debug, Default)]
 pub struct SeenNames {
     names: Mutex<BTreeSet<String>>,
 }
 
 impl SeenNames {
-    /// True for the first time with this name, as long as there is room.
+    /// Returns true if `name` is new and there is room for it, and remembers it.
     pub fn insert(&self, name: &str) -> bool {
         let mut names = self.names.lock().unwrap_or_else(PoisonError::into_inner);
-        names.len() < NAMES_MOST && !names.contains(name) && names.insert(name.to_owned())
+        names.len() < MAX_NAMES && !names.contains(name) && names.insert(name.to_owned())
     }
 }
--- a/crates/telemetry/tests/events.rs
+++ b/crates/telemetry/tests/events.rs
@@ -1,4 +1,4 @@
-//! Holds docs/EVENTS.md and the code together.
+//! Checks that docs/EVENTS.md lists exactly the events of the code.
 
 use std::collections::HashSet;
 use telemetry::Event;
@@ -12,13 +12,13 @@
 }
 
 #[test]
-fn the_page_has_exactly_the_events_of_the_code() {
+fn events_page_lists_exactly_the_events_of_the_code() {
     let code = Event::ALL.iter().map(|e| (e.number().to_string(), e.name().to_owned(), e.level().to_string()));
     assert_eq!(rows(), code.collect::<Vec<_>>());
 }
 
 #[test]
-fn no_number_stands_for_two_events() {
+fn event_numbers_are_unique() {
     let numbers: HashSet<u16> = Event::ALL.iter().map(|e| e.number()).collect();
     assert_eq!(numbers.len(), Event::ALL.len());
 }
--- a/crates/telemetry/tests/json_logger.rs
+++ b/crates/telemetry/tests/json_logger.rs
@@ -1,4 +1,4 @@
-//! Log lines are JSON, and a reader that stands still holds nobody up.
+//! Log lines are valid JSON, and a stalled reader blocks no caller of the logger.
 
 use log::{Level, Record};
 use std::io::Write;
@@ -7,7 +7,7 @@
 use telemetry::{json_line, JsonLogger};
 
 #[test]
-fn an_event_becomes_fields() {
+fn event_details_become_json_fields() {
     let message = "E503 RequestEnded id=ab12 ms=40 trail=\"+0:s1=Broken(reset by peer) +3:s2=200\"";
     let line = json_line(Level::Info, message, UNIX_EPOCH + Duration::from_millis(5));
     let value: serde_json::Value = serde_json::from_str(&line).expect("JSON");
@@ -21,18 +21,18 @@
 }
 
 #[test]
-fn other_messages_stand_whole() {
+fn other_messages_are_kept_unparsed_under_text() {
     let value: serde_json::Value =
         serde_json::from_str(&json_line(Level::Warn, "accept: too many files", UNIX_EPOCH)).expect("JSON");
     assert_eq!(value["text"], "accept: too many files");
 }
 
-/// Takes nothing until it is told to.
-struct Stuck(Receiver<()>);
+/// A writer that blocks until the test sends a message.
+struct StalledWriter(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for StalledWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // An error means that the test is over.
+        // An error means that the test has ended.
         let _ = self.0.recv();
         Ok(bytes.len())
     }
@@ -43,17 +43,17 @@
 }
 
 #[test]
-fn lines_for_a_reader_that_stands_still_are_dropped_and_counted_warnings_last() {
-    let (_go, wait) = channel();
-    let lines = JsonLogger::start(Stuck(wait)).expect("a thread");
-    let push = |level| lines.log(&Record::builder().level(level).args(format_args!("E100 BoxStarted")).build());
+fn lines_for_a_stalled_reader_are_dropped_and_counted_warnings_last() {
+    let (_unblock, blocked) = channel();
+    let logger = JsonLogger::start(StalledWriter(blocked)).expect("the writer thread starts");
+    let log = |level| logger.log(&Record::builder().level(level).args(format_args!("E100 BoxStarted")).build());
     for _ in 0..5_000 {
-        push(Level::Info);
+        log(Level::Info);
     }
-    let plain = lines.dropped();
-    assert!(plain > 3_000, "{plain} of 5,000 dropped");
+    let dropped_info = logger.dropped();
+    assert!(dropped_info > 3_000, "{dropped_info} of 5,000 lines dropped");
     for _ in 0..500 {
-        push(Level::Warn);
+        log(Level::Warn);
     }
-    assert_eq!(lines.dropped(), plain, "there is room for warnings still");
+    assert_eq!(logger.dropped(), dropped_info, "the queue still has room for warnings");
 }
--- a/crates/telemetry/tests/prometheus.rs
+++ b/crates/telemetry/tests/prometheus.rs
@@ -1,11 +1,11 @@
-//! What a scraper reads.
+//! The Prometheus text format.
 
 use telemetry::PrometheusRecorder;
 
 #[test]
 fn counters_gauges_and_histograms_are_rendered() {
-    let scrape = PrometheusRecorder::new();
-    metrics::with_local_recorder(&scrape, || {
+    let recorder = PrometheusRecorder::new();
+    metrics::with_local_recorder(&recorder, || {
         metrics::counter!("requests_total", "outcome" => "answered").increment(2);
         metrics::counter!("requests_total", "outcome" => "a\"b").increment(1);
         metrics::gauge!("running").set(3.5);
@@ -13,7 +13,7 @@
             metrics::histogram!("request_seconds").record(seconds);
         }
     });
-    let text = scrape.render();
+    let text = recorder.render();
     assert!(text.contains("# TYPE requests_total counter\n"));
     assert!(text.contains("requests_total{outcome=\"answered\"} 2\n"));
     assert!(text.contains("requests_total{outcome=\"a\\\"b\"} 1\n"));
