--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -13,7 +13,7 @@
 use clock::Clock;
 use feed::{Allowance, Listing, Source, Trouble, Value, MANIFEST};
 use fleet::{watchers, Probe, Spread, State, Timing};
-use gateway::{Offer, Request, Snapshot};
+use gateway::{ControlRequest, LeaseGrant, Snapshot};
 use policy::{Action, Broker, Layout, Load, Permit, Refusal, Time, Verdict};
 use rand::Rng;
 use std::collections::HashMap;
@@ -24,7 +24,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use telemetry::{Event, LabelLimiter};
 use tokio::sync::oneshot;
-use upstream::Gauge;
+use upstream::LoadProbe;
 use wire::{Key, Link, Listener};
 
 /// How often the decisions are told the time.
@@ -68,7 +68,7 @@
 /// From a traffic thread.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub struct Traffic(pub Request);
+pub struct Traffic(pub ControlRequest);
 
 /// From another box.
 #[derive(Message)]
@@ -130,7 +130,7 @@
     shared: Shared,
     running: Arc<AtomicUsize>,
     source: Rc<dyn Source>,
-    gauge: Rc<dyn Gauge>,
+    gauge: Rc<dyn LoadProbe>,
     broker: Broker,
     probe: Probe,
     spread: Spread,
@@ -139,7 +139,7 @@
     links: HashMap<BoxId, (SocketAddr, Link<Envelope>)>,
     listener: Option<Listener<Envelope>>,
     /// Traffic's wishes that wait for an answer, by the broker's number.
-    wishes: HashMap<u64, (u64, oneshot::Sender<Result<Offer, Refusal>>)>,
+    wishes: HashMap<u64, (u64, oneshot::Sender<Result<LeaseGrant, Refusal>>)>,
     /// The broker's number by traffic's, for wishes and for leases.
     numbers: HashMap<u64, u64>,
     /// How to tell traffic that a lease is recalled, by the broker's number.
@@ -203,7 +203,7 @@
         Self {
             broker: Broker::new(me.id(), &me.hall, settings.way, first, now),
             source: Rc::new(feed::Http::new(settings.config, settings.members)),
-            gauge: Rc::new(upstream::Http::default()),
+            gauge: Rc::new(upstream::HttpClient::default()),
             allowance: Allowance::new(CALLS_PER_SECOND, CALLS_AT_ONCE, now),
             settings,
             clock,
--- a/crates/cleatshelf/src/control/actor.rs
+++ b/crates/cleatshelf/src/control/actor.rs
@@ -19,34 +19,34 @@
     fn handle(&mut self, Traffic(request): Traffic, context: &mut Self::Context) {
         let now = self.now();
         match request {
-            Request::Enter { number, customer, reply } => {
+            ControlRequest::Admit { number, customer, reply } => {
                 let entered = self.broker.admit_request(customer, now);
                 if entered {
                     self.visits.insert(number, customer);
                 }
-                // If the caller is gone, its `Leave` follows.
+                // If the caller is gone, its `Finish` follows.
                 let _ = reply.send(entered);
             }
-            Request::Leave { number, tokens } => {
+            ControlRequest::Finish { number, tokens } => {
                 if let Some(customer) = self.visits.remove(&number) {
                     self.broker.finish_request(customer, tokens, now);
                 }
             }
-            Request::Acquire { number, acquire, reply } => {
+            ControlRequest::Acquire { number, acquire, reply } => {
                 let (id, actions) = self.broker.acquire(acquire, now);
                 self.wishes.insert(id, (number, reply));
                 self.numbers.insert(number, id);
                 self.do_policy(actions, context);
             }
-            Request::Abandon(number) => self.end_lease(number, None, context),
-            Request::GiveBack(number, report) => self.end_lease(number, Some(report), context),
-            Request::Claim { number, key, age_ms, reply } => {
+            ControlRequest::Abandon(number) => self.end_lease(number, None, context),
+            ControlRequest::ReturnLease(number, report) => self.end_lease(number, Some(report), context),
+            ControlRequest::Claim { number, key, age_ms, reply } => {
                 let (id, actions) = self.broker.claim(key, age_ms, now);
                 self.claims.insert(id, (number, reply));
                 self.claim_numbers.insert(number, id);
                 self.do_policy(actions, context);
             }
-            Request::EndClaim(number, ran) => self.end_claim(number, ran, context),
+            ControlRequest::EndClaim(number, ran) => self.end_claim(number, ran, context),
         }
     }
 }
--- a/crates/cleatshelf/src/control/carry.rs
+++ b/crates/cleatshelf/src/control/carry.rs
@@ -48,7 +48,7 @@
         };
         let (recall, recalled) = oneshot::channel();
         self.recalls.insert(id, recall);
-        let offer = Offer { server: upstream, permit: Permit::new(expires), recalled };
+        let offer = LeaseGrant { server: upstream, permit: Permit::new(expires), recalled };
         if reply.send(Ok(offer)).is_err() {
             // The caller went away; traffic's word for that is on its way and finds nothing.
             self.end_lease(number, None, context);
@@ -124,7 +124,7 @@
 
     fn adopt(&mut self, release: &catalog::Release, catalog: catalog::Catalog, context: &mut Context<Self>) {
         let number = release.manifest.number;
-        let was = self.shared.read().map_or(0, |s| s.number);
+        let was = self.shared.read().map_or(0, |s| s.release);
         if number < was {
             self.note(Event::ReleaseOrderBroken, &format!("from={was} to={number}"));
             return;
@@ -136,7 +136,7 @@
         self.update_snapshot(|snapshot| {
             snapshot.catalog = catalog;
             snapshot.labels = labels;
-            snapshot.number = number;
+            snapshot.release = number;
         });
         let actions = self.broker.set_layout(layout, self.now());
         self.do_policy(actions, context);
--- a/crates/cleatshelf/src/control/telling.rs
+++ b/crates/cleatshelf/src/control/telling.rs
@@ -21,8 +21,8 @@
             running: self.running.load(Ordering::Relaxed),
             watcher: self.is_watcher(),
             platform_calls: self.allowance.made,
-            sent_bytes: self.links.values().map(|(_, link)| link.bytes()).sum(),
-            received_bytes: self.listener.as_ref().map_or(0, Listener::bytes),
+            sent_bytes: self.links.values().map(|(_, link)| link.bytes_sent()).sum(),
+            received_bytes: self.listener.as_ref().map_or(0, Listener::bytes_received),
             sent_messages: self.sent_messages,
             broken: self.broken,
         }
--- a/crates/cleatshelf/src/desk.rs
+++ b/crates/cleatshelf/src/desk.rs
@@ -3,7 +3,7 @@
 use crate::Control;
 use actix::Addr;
 use clock::Clock;
-use gateway::{Desk, Request, Snapshot};
+use gateway::{ControlHandle, ControlRequest, Snapshot};
 use policy::Time;
 use std::sync::{Arc, RwLock};
 
@@ -20,8 +20,8 @@
     pub clock: Arc<dyn Clock>,
 }
 
-impl Desk for ControlDesk {
-    fn submit(&self, request: Request) {
+impl ControlHandle for ControlDesk {
+    fn submit(&self, request: ControlRequest) {
         // The number of requests is bounded at the door, so this queue is bounded as well.
         self.control.do_send(crate::control::Traffic(request));
     }
--- a/crates/cleatshelf/src/router/advice.rs
+++ b/crates/cleatshelf/src/router/advice.rs
@@ -3,7 +3,7 @@
 use clock::Clock;
 use peers::{Millis, Profile, Silence};
 use placement::{Fingerprint, Leave, News, Opinion, Owner, Permit, Question, Record, Report, Sign, Statement};
-use relay::Advisor;
+use relay::PeerClient;
 use routing::{rank, rank_address, Server};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
@@ -237,11 +237,11 @@
     boxes.max_by_key(|address| rank_address(key, address)).copied()
 }
 
-/// The advisor of the traffic threads.
+/// The peer client of the traffic threads.
 pub(super) struct Desk(pub(super) Arc<Advice>);
 
-impl Advisor for Desk {
-    fn ask(&self, server: &Server, question: Question) -> Option<oneshot::Receiver<Opinion>> {
+impl PeerClient for Desk {
+    fn request_opinion(&self, server: &Server, question: Question) -> Option<oneshot::Receiver<Opinion>> {
         let advice = &self.0;
         let now = advice.now();
         let mut state = advice.state();
@@ -259,7 +259,7 @@
         Some(waiting)
     }
 
-    fn permit(&self, server: &Server, permit: Permit) -> Option<oneshot::Receiver<Leave>> {
+    fn request_permit(&self, server: &Server, permit: Permit) -> Option<oneshot::Receiver<Leave>> {
         let advice = &self.0;
         let now = advice.now();
         let mut state = advice.state();
@@ -304,22 +304,22 @@
         advice.send(To::One(owner), Message::Report(report));
     }
 
-    fn silent(&self, server: &Server) {
+    fn on_missed_reply(&self, server: &Server) {
         let now = self.0.now();
         let mut state = self.0.state();
         let Some(owner) = state.owner_of(server, now).filter(|owner| *owner != self.0.me) else { return };
         state.silence.missed(owner, now);
     }
 
-    fn suspect(&self, records: Vec<Record>, signs: Vec<Sign>) {
+    fn broadcast_suspects(&self, records: Vec<Record>, signs: Vec<Sign>) {
         self.0.send(To::Each, Message::Suspects { records, signs, asks: false });
     }
 
-    fn leaves(&self, life: &str) {
+    fn broadcast_leaving(&self, life: &str) {
         self.0.send(To::All, Message::Notices { leaving: vec![life.to_owned()], limits: Vec::new(), asks: false });
     }
 
-    fn limits(&self, statement: &Statement) {
+    fn broadcast_limit(&self, statement: &Statement) {
         self.0.send(To::All, Message::Notices { leaving: Vec::new(), limits: vec![statement.clone()], asks: false });
     }
 
--- a/crates/cleatshelf/src/router/operators.rs
+++ b/crates/cleatshelf/src/router/operators.rs
@@ -63,7 +63,7 @@
         let Ok(number) = u64::from_str_radix(request, 16) else {
             return answer(StatusCode::BAD_REQUEST, "not a request's 16 hexadecimal digits");
         };
-        if self.shared.survived(Fingerprint(number)) {
+        if self.shared.record_survival(Fingerprint(number)) {
             answer(StatusCode::OK, "lifted")
         } else {
             answer(StatusCode::NOT_FOUND, "not suspected")
@@ -92,8 +92,8 @@
         let statements = self.shared.placement().statements();
         let limited: BTreeMap<String, String> = statements.into_iter().map(|s| (s.life, s.limit.to_string())).collect();
         serde_json::json!({
-            "ready": self.shared.ready(),
-            "stopping": self.shared.stopping(),
+            "ready": self.shared.is_ready(),
+            "stopping": self.shared.is_stopping(),
             "configuration": holding.table,
             "servers_position": holding.directory.to_string(),
             "view_age_ms": self.knowledge.age().as_millis() as u64,
--- a/crates/cleatshelf/src/router/peering.rs
+++ b/crates/cleatshelf/src/router/peering.rs
@@ -123,7 +123,7 @@
                     this.carry_out(actions);
                 }
                 Envelope::Advice(advice::Message::Suspects { records, signs, asks }) => {
-                    let signs = this.shared.hear_suspects(&records, signs);
+                    let signs = this.shared.on_peer_suspects(&records, signs);
                     if asks || !signs.is_empty() {
                         this.send_suspects(from, signs, false);
                     }
@@ -158,8 +158,8 @@
 
     /// Takes what another box heard of servers, and passes on what is new here.
     fn hear_notices(&self, from: SocketAddr, leaving: &[String], limits: Vec<Statement>) {
-        let leaving = self.shared.hear_leaving(leaving);
-        let limits = self.shared.hear_limits(limits);
+        let leaving = self.shared.on_peer_leaving(leaving);
+        let limits = self.shared.on_peer_limits(limits);
         if leaving.is_empty() && limits.is_empty() {
             return;
         }
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -11,7 +11,7 @@
 use eyre::WrapErr;
 use peers::{Peers, Profile, Watch};
 use placement::{Budget, Placement};
-use relay::{Front, Ready, Shared};
+use relay::{Frontend, ReadinessServer, Shared};
 use routing::{rank, Publisher, Subject};
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -47,9 +47,9 @@
         .with_seed(rand::random());
     let (advice, sent) = Advice::new(settings.boxes, Arc::clone(&clock));
     let desk = Desk(Arc::clone(&advice));
-    let shared = Shared::new(relay::Parts {
-        dialect: Box::new(platform::Headers),
-        advisor: Box::new(desk),
+    let shared = Shared::new(relay::Dependencies {
+        header_codec: Box::new(platform::Headers),
+        peer_client: Box::new(desk),
         placement,
         secret: rank(0, &settings.link_key),
         clock,
@@ -67,7 +67,7 @@
     telemetry::emit(Event::BoxStarted, format_args!("name={} hall={}", settings.name, settings.hall));
     wait_for_stop(&hangup).await?;
     telemetry::emit(Event::StopBegun, format_args!("running={}", shared.running.load(Ordering::Relaxed)));
-    shared.stop();
+    shared.begin_stop();
     peering.leave();
     let began = Instant::now();
     // The front holds the other end until it is done.
@@ -97,9 +97,9 @@
             telemetry::emit(Event::StartFailed, format_args!("why=\"listeners\""));
             return;
         };
-        let balancer = Ready { shared: Arc::clone(&shared), path: platform::READY_PATH.to_owned() };
+        let balancer = ReadinessServer { shared: Arc::clone(&shared), path: platform::READY_PATH.to_owned() };
         actix_rt::spawn(balancer.run(ready));
-        let front = Front::new(shared, connections_most);
+        let front = Frontend::new(shared, connections_most);
         actix_rt::spawn(async move {
             front.run(callers, stopped).await;
             // Nobody waits any more when the stop's time is over.
--- a/crates/cleatshelf/src/serve.rs
+++ b/crates/cleatshelf/src/serve.rs
@@ -95,15 +95,15 @@
     let numbers = Arc::new(AtomicU64::new(1));
     let name: Arc<str> = settings.me.name.as_str().into();
     let make = move || {
-        let http = Rc::new(upstream::Http::default());
+        let http = Rc::new(upstream::HttpClient::default());
         let app = gateway::App {
-            desk: Arc::<ControlDesk>::clone(&desk),
-            engine: Rc::<upstream::Http>::clone(&http),
+            control: Arc::<ControlDesk>::clone(&desk),
+            engine: Rc::<upstream::HttpClient>::clone(&http),
             plain: http,
             limits: Arc::clone(&limits),
             name: Arc::clone(&name),
             running: Arc::clone(&running),
-            numbers: Arc::clone(&numbers),
+            next_answer: Arc::clone(&numbers),
         };
         App::new().app_data(Data::new(app)).configure(gateway::configure)
     };
--- a/crates/cleatshelf/src/settings.rs
+++ b/crates/cleatshelf/src/settings.rs
@@ -71,18 +71,18 @@
     let base = Limits::default();
     let mut seconds =
         |key: &str, base: Duration| reader.integer_opt(key, &(1..=86_400)).map_or(base, Duration::from_secs);
-    let body_time = seconds("body_seconds", base.body_time);
-    let unread_time = seconds("unread_seconds", base.unread_time);
-    let request_time = seconds("request_seconds", base.request_time);
+    let body_timeout = seconds("body_seconds", base.body_timeout);
+    let unread_timeout = seconds("unread_seconds", base.unread_timeout);
+    let request_timeout = seconds("request_seconds", base.request_timeout);
     let mut number =
         |key: &str, base: usize, most: u64| reader.integer_opt(key, &(1..=most)).map_or(base, |n| n as usize);
     Limits {
-        body_most: number("body_bytes", base.body_most, 1 << 30),
-        body_time,
-        requests_most: number("requests", base.requests_most, 1_000_000),
-        unread_time,
-        key_most: number("request_key_bytes", base.key_most, 4_096),
-        request_time,
+        max_body_bytes: number("body_bytes", base.max_body_bytes, 1 << 30),
+        body_timeout,
+        max_requests: number("requests", base.max_requests, 1_000_000),
+        unread_timeout,
+        max_key_bytes: number("request_key_bytes", base.max_key_bytes, 4_096),
+        request_timeout,
     }
 }
 
--- a/crates/gateway/src/app.rs
+++ b/crates/gateway/src/app.rs
@@ -1,23 +1,23 @@
 //! The routes, and what every handler shares.
 
-use crate::{completion, service, Code, Desk, Limits, Problem, Snapshot};
+use crate::{completion, service, Code, ControlHandle, Limits, Problem, Snapshot};
 use actix_web::web::{self, Data, Payload, ServiceConfig};
 use actix_web::{HttpRequest, HttpResponse};
 use serde_json::json;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
-use upstream::{Endpoint, Engine, Plain};
+use upstream::{Endpoint, Engine, PlainService};
 
 /// What every handler of one traffic thread shares.
 #[derive(Clone)]
 pub struct App {
     /// The control thread.
-    pub desk: Arc<dyn Desk>,
+    pub control: Arc<dyn ControlHandle>,
     /// The way to engines.
     pub engine: Rc<dyn Engine>,
     /// The way to plain services.
-    pub plain: Rc<dyn Plain>,
+    pub plain: Rc<dyn PlainService>,
     /// Bounds.
     pub limits: Arc<Limits>,
     /// The box's name, which begins each answer's id.
@@ -25,7 +25,7 @@
     /// Requests now in this box, over all traffic threads.
     pub running: Arc<AtomicUsize>,
     /// Numbers answers, over all traffic threads.
-    pub numbers: Arc<AtomicU64>,
+    pub next_answer: Arc<AtomicU64>,
 }
 
 /// One request's place among those that the box takes at once.
@@ -42,30 +42,30 @@
     pub(crate) fn place(&self) -> Option<Place> {
         let before = self.running.fetch_add(1, Ordering::Relaxed);
         let place = Place(Arc::clone(&self.running));
-        (before < self.limits.requests_most).then_some(place)
+        (before < self.limits.max_requests).then_some(place)
     }
 
     /// The problem of a box that has no room.
     pub(crate) fn full(&self) -> Problem {
-        let message = format!("this box already has {} requests", self.limits.requests_most);
-        Problem::before(Code::NotReady, message).retry(1_000)
+        let message = format!("this box already has {} requests", self.limits.max_requests);
+        Problem::before_send(Code::NotReady, message).with_retry_ms(1_000)
     }
 
     /// The snapshot, if this box takes requests.
     pub(crate) fn ready_snapshot(&self) -> Result<Arc<Snapshot>, Problem> {
-        let snapshot = self.desk.snapshot();
+        let snapshot = self.control.snapshot();
         if snapshot.stopping {
-            return Err(Problem::before(Code::NotReady, "this box is stopping").retry(1_000));
+            return Err(Problem::before_send(Code::NotReady, "this box is stopping").with_retry_ms(1_000));
         }
         if !snapshot.ready {
-            return Err(Problem::before(Code::NotReady, "this box has no configuration yet").retry(1_000));
+            return Err(Problem::before_send(Code::NotReady, "this box has no configuration yet").with_retry_ms(1_000));
         }
         Ok(snapshot)
     }
 
     /// The name of a new answer.
     pub(crate) fn answer_id(&self) -> String {
-        format!("cmpl-{}-{}", self.name, self.numbers.fetch_add(1, Ordering::Relaxed))
+        format!("cmpl-{}-{}", self.name, self.next_answer.fetch_add(1, Ordering::Relaxed))
     }
 }
 
@@ -116,8 +116,8 @@
 }
 
 async fn ready(app: Data<App>) -> HttpResponse {
-    let snapshot = app.desk.snapshot();
-    let body = json!({"ready": snapshot.ready && !snapshot.stopping, "release": snapshot.number});
+    let snapshot = app.control.snapshot();
+    let body = json!({"ready": snapshot.ready && !snapshot.stopping, "release": snapshot.release});
     if snapshot.ready && !snapshot.stopping {
         HttpResponse::Ok().json(body)
     } else {
@@ -126,5 +126,5 @@
 }
 
 async fn nowhere() -> HttpResponse {
-    Problem::before(Code::NotFound, "there is nothing at this path").response()
+    Problem::before_send(Code::NotFound, "there is nothing at this path").response()
 }
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -12,15 +12,16 @@
     let all = async {
         let mut body = BytesMut::new();
         while let Some(part) = payload.next().await {
-            let part = part.map_err(|e| Problem::before(Code::InvalidRequest, format!("the body broke off: {e}")))?;
-            if body.len() + part.len() > limits.body_most {
-                let message = format!("the body has more than {} bytes", limits.body_most);
-                return Err(Problem::before(Code::BodyTooLarge, message));
+            let part =
+                part.map_err(|e| Problem::before_send(Code::InvalidRequest, format!("the body broke off: {e}")))?;
+            if body.len() + part.len() > limits.max_body_bytes {
+                let message = format!("the body has more than {} bytes", limits.max_body_bytes);
+                return Err(Problem::before_send(Code::BodyTooLarge, message));
             }
             body.extend_from_slice(&part);
         }
         Ok(body.freeze())
     };
-    let slow = || Problem::before(Code::BodyTooSlow, "the body didn't come in time");
-    tokio::time::timeout(limits.body_time, all).await.unwrap_or_else(|_| Err(slow()))
+    let slow = || Problem::before_send(Code::BodyTooSlow, "the body didn't come in time");
+    tokio::time::timeout(limits.body_timeout, all).await.unwrap_or_else(|_| Err(slow()))
 }
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -43,14 +43,14 @@
         let api_key = bearer.or_else(|| header(headers, "x-api-key"));
         let found = api_key.and_then(|key| snapshot.catalog.customer_by_api_key(key.trim()));
         let Some((index, customer)) = found else {
-            return Err(Problem::before(Code::InvalidApiKey, "no customer has this API key"));
+            return Err(Problem::before_send(Code::InvalidApiKey, "no customer has this API key"));
         };
         let wanted = header(headers, CLASS_HEADER).unwrap_or(&customer.default_class);
         let Some(class) = snapshot.catalog.class_index(wanted) else {
-            return Err(Problem::before(Code::UnknownClass, format!("there is no class '{wanted}'")));
+            return Err(Problem::before_send(Code::UnknownClass, format!("there is no class '{wanted}'")));
         };
         if !customer.classes.iter().any(|c| c == wanted) {
-            return Err(Problem::before(Code::ClassNotAllowed, format!("class '{wanted}' isn't allowed to you")));
+            return Err(Problem::before_send(Code::ClassNotAllowed, format!("class '{wanted}' isn't allowed to you")));
         }
         Ok(Self {
             customer: CustomerId::of(&customer.name),
@@ -71,9 +71,9 @@
 fn request_key(headers: &HeaderMap, customer: &str, limits: &Limits) -> Result<Option<RequestKey>, Problem> {
     let Some(key) = headers.get(KEY_HEADER) else { return Ok(None) };
     let key = key.to_str().unwrap_or_default();
-    if key.is_empty() || key.len() > limits.key_most {
-        let message = format!("{KEY_HEADER} must have 1 to {} visible characters", limits.key_most);
-        return Err(Problem::before(Code::InvalidRequest, message));
+    if key.is_empty() || key.len() > limits.max_key_bytes {
+        let message = format!("{KEY_HEADER} must have 1 to {} visible characters", limits.max_key_bytes);
+        return Err(Problem::before_send(Code::InvalidRequest, message));
     }
     let digest = catalog::Digest::of(format!("{customer}\n{key}").as_bytes());
     let mut short = [0; 8];
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -9,9 +9,9 @@
 use catalog::{Digest, UpstreamKind};
 use serde_json::Value;
 use tokio::sync::mpsc;
-use upstream::{Call, Endpoint, Passed};
+use upstream::{Call, Delivered, Endpoint};
 
-/// Events that may wait for a slow caller.
+/// EventSplitter that may wait for a slow caller.
 const UNREAD_MOST: usize = 64;
 
 /// Bytes of the prompt that name its beginning.
@@ -28,7 +28,7 @@
         Ok((drive, streamed)) => {
             let (out, parts) = mpsc::channel(UNREAD_MOST);
             // A task of its own: the answer goes on when the handler has returned its head.
-            let most = app.limits.request_time;
+            let most = app.limits.request_timeout;
             let hangup = request.conn_data::<Hangup>().cloned();
             actix_rt::spawn(async move {
                 tokio::select! {
@@ -54,12 +54,12 @@
     payload: Payload,
     endpoint: Endpoint,
 ) -> Result<(Drive, bool), Problem> {
-    let arrived = app.desk.now();
+    let arrived = app.control.now();
     let snapshot = app.ready_snapshot()?;
     let caller = Caller::identify(request.headers(), &snapshot, &app.limits)?;
     let bytes = body::read(payload, &app.limits).await?;
     let body: Value = serde_json::from_slice(&bytes)
-        .map_err(|e| Problem::before(Code::InvalidJson, format!("the body is no JSON: {e}")))?;
+        .map_err(|e| Problem::before_send(Code::InvalidJson, format!("the body is no JSON: {e}")))?;
     let model = model_of(&body, &snapshot)?;
     let prompt = prompt_of(&body, endpoint)?;
     let resumable = resumable(&snapshot, &model);
@@ -71,10 +71,10 @@
         id: app.answer_id(),
         priority: caller.class.rank,
         repeatable: caller.repeatable,
-        passed: Passed::default(),
+        delivered: Delivered::default(),
     };
     let drive = Drive {
-        desk: std::sync::Arc::clone(&app.desk),
+        control: std::sync::Arc::clone(&app.control),
         engine: std::rc::Rc::clone(&app.engine),
         limits: std::sync::Arc::clone(&app.limits),
         caller,
@@ -90,10 +90,10 @@
 
 fn model_of(body: &Value, snapshot: &Snapshot) -> Result<String, Problem> {
     let Some(model) = body["model"].as_str() else {
-        return Err(Problem::before(Code::InvalidRequest, "the body names no model"));
+        return Err(Problem::before_send(Code::InvalidRequest, "the body names no model"));
     };
     if !snapshot.catalog.models().contains(&model) {
-        return Err(Problem::before(Code::NotFound, format!("no upstream serves the model '{model}'")));
+        return Err(Problem::before_send(Code::NotFound, format!("no upstream serves the model '{model}'")));
     }
     Ok(model.to_owned())
 }
@@ -104,7 +104,7 @@
         Endpoint::Text => ("prompt", body["prompt"].is_string() || body["prompt"].is_array()),
     };
     if !fits {
-        return Err(Problem::before(Code::InvalidRequest, format!("'{field}' is missing or of the wrong kind")));
+        return Err(Problem::before_send(Code::InvalidRequest, format!("'{field}' is missing or of the wrong kind")));
     }
     Ok(body[field].to_string())
 }
@@ -143,7 +143,7 @@
     }
     let mut whole = Whole::default();
     let mut event = first;
-    while !upstream::Events::is_done(&event) {
+    while !upstream::EventSplitter::is_done(&event) {
         whole.take(&event);
         event = match parts.recv().await {
             Some(Ok(next)) => next,
@@ -156,7 +156,7 @@
 
 /// The task that drives the request ended without a word; that is never a whole answer.
 fn broken_off() -> Problem {
-    Problem::after(Code::UpstreamFailed, "the request was cut off", policy::Ran::Unknown)
+    Problem::after_send(Code::UpstreamFailed, "the request was cut off", policy::Ran::Unknown)
 }
 
 type Rest = Option<(Option<Bytes>, mpsc::Receiver<Part>)>;
@@ -171,7 +171,7 @@
     }
     match parts.recv().await {
         Some(Ok(event)) => {
-            let done = upstream::Events::is_done(&event);
+            let done = upstream::EventSplitter::is_done(&event);
             Some((Ok(event), (!done).then_some((None, parts))))
         }
         Some(Err(problem)) => {
@@ -188,8 +188,8 @@
     fn count_early(&self, problem: &Problem) {
         let outcome = problem.outcome();
         debug_assert_ne!(outcome, Outcome::Whole);
-        let labels = [("class", "none".to_owned()), ("outcome", outcome.word().to_owned())];
+        let labels = [("class", "none".to_owned()), ("outcome", outcome.as_str().to_owned())];
         metrics::counter!("cleatshelf_requests_total", &labels).increment(1);
-        metrics::counter!("cleatshelf_problems_total", "code" => problem.code.word()).increment(1);
+        metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
     }
 }
--- a/crates/gateway/src/desk.rs
+++ b/crates/gateway/src/control.rs
@@ -11,7 +11,7 @@
     /// The release's content.
     pub catalog: Catalog,
     /// The release's number; 0 while there is none.
-    pub number: u64,
+    pub release: u64,
     /// Callers' requests are taken.
     pub ready: bool,
     /// A planned stop has begun.
@@ -22,7 +22,7 @@
 
 /// A lease as a traffic thread gets it.
 #[derive(Debug)]
-pub struct Offer {
+pub struct LeaseGrant {
     /// The server to use.
     pub server: Upstream,
     /// Leave to send once.
@@ -33,9 +33,9 @@
 
 /// What a traffic thread asks of the control thread. `number` is the asker's, unique in the process.
 #[derive(Debug)]
-pub enum Request {
+pub enum ControlRequest {
     /// A request came in: may its customer have one more?
-    Enter {
+    Admit {
         /// Names the request.
         number: u64,
         /// Whose it is.
@@ -44,7 +44,7 @@
         reply: oneshot::Sender<bool>,
     },
     /// A request that had entered, or had tried to, has ended.
-    Leave {
+    Finish {
         /// Names the request.
         number: u64,
         /// Tokens of its answer.
@@ -57,12 +57,12 @@
         /// What for.
         acquire: Acquire,
         /// The lease, or the refusal.
-        reply: oneshot::Sender<Result<Offer, Refusal>>,
+        reply: oneshot::Sender<Result<LeaseGrant, Refusal>>,
     },
     /// The wish or its lease is over and was not used.
     Abandon(u64),
     /// The lease was used.
-    GiveBack(u64, Report),
+    ReturnLease(u64, Report),
     /// A request with a key wants to run.
     Claim {
         /// Names the claim.
@@ -79,9 +79,9 @@
 }
 
 /// The control thread, as the traffic threads see it.
-pub trait Desk: Send + Sync {
+pub trait ControlHandle: Send + Sync {
     /// Hands over a request. Never waits.
-    fn submit(&self, request: Request);
+    fn submit(&self, request: ControlRequest);
     /// What is in force now.
     fn snapshot(&self) -> Arc<Snapshot>;
     /// The time on the clock that counts through a freeze.
--- a/crates/gateway/src/drive.rs
+++ b/crates/gateway/src/drive.rs
@@ -5,7 +5,7 @@
 use crate::pace::Pace;
 use crate::stage::Stage;
 use crate::visit::{Claim, Lease, Visit};
-use crate::{Code, Desk, Limits, Outcome, Problem};
+use crate::{Code, ControlHandle, Limits, Outcome, Problem};
 use bytes::Bytes;
 use catalog::ServerId;
 use policy::{Acquire, Cause, Ran, Sent, Time, Unsent};
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use telemetry::Event;
 use tokio::sync::mpsc;
-use upstream::{Call, Engine, Events, Failure, Passed, Tokens};
+use upstream::{Call, Delivered, Engine, EventSplitter, Failure, TokenStream};
 
 /// Tries of one request, the first included.
 const TRIES_MOST: u32 = 4;
@@ -28,7 +28,7 @@
 /// One model request.
 pub struct Drive {
     /// The control thread.
-    pub desk: Arc<dyn Desk>,
+    pub control: Arc<dyn ControlHandle>,
     /// The way to engines.
     pub engine: std::rc::Rc<dyn Engine>,
     /// Bounds.
@@ -66,7 +66,7 @@
 /// What is passed on so far.
 struct Passing {
     out: mpsc::Sender<Part>,
-    /// Events passed on, kept while the answer may have to be resumed.
+    /// EventSplitter passed on, kept while the answer may have to be resumed.
     events: Vec<Bytes>,
     keep: bool,
     journal: Journal,
@@ -94,9 +94,9 @@
         };
         let Err((problem, journal)) = whole else { return };
         journal.close(problem.outcome());
-        metrics::counter!("cleatshelf_problems_total", "code" => problem.code.word()).increment(1);
+        metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
         if problem.ran == Ran::Unknown && problem.code != Code::KeyUsed {
-            let detail = format_args!("class={} code={}", self.caller.class.name, problem.code.word());
+            let detail = format_args!("class={} code={}", self.caller.class.name, problem.code.as_str());
             telemetry::emit(Event::OutcomeUnknown, detail);
         }
         // The caller may be gone; then nobody needs to be told.
@@ -109,7 +109,7 @@
             Ok(claim) => claim,
             Err(problem) => return Err((problem, journal)),
         };
-        let visit = match Visit::enter(&self.desk, self.caller.customer).await {
+        let visit = match Visit::enter(&self.control, self.caller.customer).await {
             Ok(visit) => visit,
             Err(refusal) => return Err((Problem::refused(refusal, unsent.refuse()), journal)),
         };
@@ -129,7 +129,7 @@
 
     async fn claim(&self) -> Result<Option<Claim>, Problem> {
         match self.caller.key.filter(|_| !self.caller.repeatable) {
-            Some(key) => Claim::make(&self.desk, key.hash, key.age_ms).await.map(Some),
+            Some(key) => Claim::make(&self.control, key.hash, key.age_ms).await.map(Some),
             None => Ok(None),
         }
     }
@@ -147,12 +147,12 @@
         let mut may_have_run = false;
         loop {
             let acquire = self.wish(cause, avoid, recalls);
-            let (lease, permit) = match Lease::acquire(&self.desk, acquire).await {
+            let (lease, permit) = match Lease::acquire(&self.control, acquire).await {
                 Ok(granted) => granted,
                 Err(refusal) => return Err(Some(Problem::refused(refusal, stage.refuse()))),
             };
             let server = ServerId::of(&lease.server.name);
-            let sent = match stage.send(permit, self.desk.now()) {
+            let sent = match stage.send(permit, self.control.now()) {
                 Ok(sent) => sent,
                 Err(same) => {
                     // We woke late: the slot may be somebody else's by now.
@@ -199,11 +199,11 @@
             serves: self.model.clone(),
             class: self.caller.class_id(),
             customer: self.caller.customer,
-            tokens: self.tokens.saturating_sub(self.call.passed.tokens).max(1),
+            tokens: self.tokens.saturating_sub(self.call.delivered.tokens).max(1),
             prefix: self.prefix,
             resumable: self.caller.repeatable && self.resumable && recalls < RECALLS_MOST,
             // After a recall the wait begins anew: the class's target was met or missed before.
-            arrived: if self.call.passed.tokens == 0 { self.arrived } else { self.desk.now() },
+            arrived: if self.call.delivered.tokens == 0 { self.arrived } else { self.control.now() },
             cause,
             avoid,
         }
@@ -216,10 +216,10 @@
         }
         if !self.resumable {
             let message = "the engine broke off and no engine can resume the answer";
-            return Err(Some(Problem::after(Code::UpstreamFailed, message, Ran::Yes)));
+            return Err(Some(Problem::after_send(Code::UpstreamFailed, message, Ran::Yes)));
         }
-        self.call.passed = passed(&passing.events);
-        let detail = format_args!("class={} tokens={}", self.caller.class.name, self.call.passed.tokens);
+        self.call.delivered = passed(&passing.events);
+        let detail = format_args!("class={} tokens={}", self.caller.class.name, self.call.delivered.tokens);
         telemetry::emit(Event::StreamResumed, detail);
         Ok(())
     }
@@ -251,7 +251,7 @@
 
     async fn pass_on(
         &self,
-        mut tokens: Box<dyn Tokens>,
+        mut tokens: Box<dyn TokenStream>,
         mut lease: Lease,
         sent: Sent,
         passing: &mut Passing,
@@ -264,7 +264,7 @@
                 Ok(()) = &mut lease.recalled => return Err(Stop::Recalled(sent)),
             };
             match event {
-                Ok(Some(event)) if Events::is_done(&event) => {
+                Ok(Some(event)) if EventSplitter::is_done(&event) => {
                     // With this the caller's side may end at once; nothing must wait after it.
                     return if self.hand_over(&passing.out, event).await { Ok(()) } else { Err(Stop::Gone) };
                 }
@@ -291,7 +291,7 @@
             Ok(()) => true,
             Err(mpsc::error::TrySendError::Closed(_)) => false,
             Err(mpsc::error::TrySendError::Full(event)) => {
-                matches!(tokio::time::timeout(self.limits.unread_time, out.send(event)).await, Ok(Ok(())))
+                matches!(tokio::time::timeout(self.limits.unread_timeout, out.send(event)).await, Ok(Ok(())))
             }
         }
     }
@@ -307,7 +307,7 @@
             let stage = Stage::unreached(sent);
             if spent {
                 let message = "no upstream could be reached";
-                return Err(Some(Problem::after(Code::NoServer, message, stage.refuse()).retry(1_000)));
+                return Err(Some(Problem::after_send(Code::NoServer, message, stage.refuse()).with_retry_ms(1_000)));
             }
             Ok(stage)
         }
@@ -330,19 +330,19 @@
 }
 
 fn failed(why: &str, ran: Ran) -> Problem {
-    Problem::after(Code::UpstreamFailed, format!("the upstream failed: {why}"), ran)
+    Problem::after_send(Code::UpstreamFailed, format!("the upstream failed: {why}"), ran)
 }
 
 fn passed_on(status: u16, body: Vec<u8>, ran: Ran) -> Problem {
-    let problem = Problem::after(Code::UpstreamRefused, format!("the upstream answered {status}"), ran);
-    Problem { passed_on: Some((status, body)), ..problem }
+    let problem = Problem::after_send(Code::UpstreamRefused, format!("the upstream answered {status}"), ran);
+    Problem { upstream_answer: Some((status, body)), ..problem }
 }
 
 /// The tokens and the text of events.
-fn passed(events: &[Bytes]) -> Passed {
-    let mut passed = Passed::default();
+fn passed(events: &[Bytes]) -> Delivered {
+    let mut passed = Delivered::default();
     for event in events {
-        let Ok(value) = serde_json::from_slice::<Value>(Events::data(event)) else { continue };
+        let Ok(value) = serde_json::from_slice::<Value>(EventSplitter::data(event)) else { continue };
         let choice = &value["choices"][0];
         let text = choice["delta"]["content"].as_str().or_else(|| choice["text"].as_str()).unwrap_or_default();
         if !text.is_empty() {
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -54,7 +54,7 @@
         if self.closed {
             // Dropping a closed journal is the rule; closing it once more would be a second outcome.
             if outcome != Outcome::Gone {
-                telemetry::emit(Event::SecondOutcomeBroken, format_args!("outcome={}", outcome.word()));
+                telemetry::emit(Event::SecondOutcomeBroken, format_args!("outcome={}", outcome.as_str()));
             }
             return;
         }
@@ -62,7 +62,7 @@
         if outcome == Outcome::Whole {
             self.record("cleatshelf_whole_answer_seconds", Instant::now());
         }
-        let labels = [("class", self.class.clone()), ("outcome", outcome.word().to_owned())];
+        let labels = [("class", self.class.clone()), ("outcome", outcome.as_str().to_owned())];
         metrics::counter!("cleatshelf_requests_total", &labels).increment(1);
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! HTTP towards callers, in the shape that language-model clients already speak.
 //!
-//! A request is identified, checked, put before the control thread through [`Desk`], sent to the
+//! A request is identified, checked, put before the control thread through [`ControlHandle`], sent to the
 //! upstream that the lease names, and its answer is passed on. Each request ends with one
 //! [`Outcome`]. This crate knows nothing of other boxes and decides nothing about order or servers.
 
@@ -8,7 +8,7 @@
 mod body;
 mod caller;
 mod completion;
-mod desk;
+mod control;
 mod drive;
 mod hangup;
 mod journal;
@@ -22,7 +22,7 @@
 mod whole;
 
 pub use app::{configure, App};
-pub use desk::{Desk, Offer, Request, Snapshot};
+pub use control::{ControlHandle, ControlRequest, LeaseGrant, Snapshot};
 pub use hangup::Hangup;
 pub use limits::Limits;
 pub use outcome::Outcome;
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -6,28 +6,28 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest request body in bytes.
-    pub body_most: usize,
+    pub max_body_bytes: usize,
     /// Longest time in which a body must have come.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// Most requests at once in this box, waiting ones included.
-    pub requests_most: usize,
+    pub max_requests: usize,
     /// Longest time a caller may leave its answer unread.
-    pub unread_time: Duration,
+    pub unread_timeout: Duration,
     /// Longest request key in bytes.
-    pub key_most: usize,
+    pub max_key_bytes: usize,
     /// Longest whole life of a request.
-    pub request_time: Duration,
+    pub request_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            body_most: 4 * 1024 * 1024,
-            body_time: Duration::from_secs(10),
-            requests_most: 10_000,
-            unread_time: Duration::from_secs(30),
-            key_most: 128,
-            request_time: Duration::from_secs(3_600),
+            max_body_bytes: 4 * 1024 * 1024,
+            body_timeout: Duration::from_secs(10),
+            max_requests: 10_000,
+            unread_timeout: Duration::from_secs(30),
+            max_key_bytes: 128,
+            request_timeout: Duration::from_secs(3_600),
         }
     }
 }
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -18,7 +18,7 @@
 impl Outcome {
     /// The metric label.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Whole => "whole",
             Self::NotRun => "not_run",
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -46,7 +46,7 @@
 impl Code {
     /// The code as callers see it.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::InvalidApiKey => "invalid_api_key",
             Self::InvalidJson => "invalid_json",
@@ -99,20 +99,20 @@
     /// When to come back, in milliseconds.
     pub retry_ms: Option<u32>,
     /// An upstream's own error: status and body, passed on as they are.
-    pub passed_on: Option<(u16, Vec<u8>)>,
+    pub upstream_answer: Option<(u16, Vec<u8>)>,
 }
 
 impl Problem {
     /// A problem found before anything was sent.
     #[must_use]
-    pub fn before(code: Code, message: impl Into<String>) -> Self {
-        Self { code, message: message.into(), ran: Ran::No, retry_ms: None, passed_on: None }
+    pub fn before_send(code: Code, message: impl Into<String>) -> Self {
+        Self { code, message: message.into(), ran: Ran::No, retry_ms: None, upstream_answer: None }
     }
 
     /// A problem of a request that was sent.
     #[must_use]
-    pub fn after(code: Code, message: impl Into<String>, ran: Ran) -> Self {
-        Self { code, message: message.into(), ran, retry_ms: None, passed_on: None }
+    pub fn after_send(code: Code, message: impl Into<String>, ran: Ran) -> Self {
+        Self { code, message: message.into(), ran, retry_ms: None, upstream_answer: None }
     }
 
     /// A refusal by the decisions; `ran` comes from the request's state.
@@ -127,12 +127,12 @@
             Reason::NotReady => (Code::NotReady, "this box takes no requests now"),
             Reason::NoBudget => (Code::UpstreamFailed, "the upstream failed and the budget for retries is spent"),
         };
-        Self { code, message: message.into(), ran, retry_ms: Some(refusal.retry_ms), passed_on: None }
+        Self { code, message: message.into(), ran, retry_ms: Some(refusal.retry_ms), upstream_answer: None }
     }
 
     /// Adds when to come back, in milliseconds.
     #[must_use]
-    pub fn retry(mut self, ms: u32) -> Self {
+    pub fn with_retry_ms(mut self, ms: u32) -> Self {
         self.retry_ms = Some(ms);
         self
     }
@@ -154,7 +154,7 @@
             "message": self.message,
             "type": if self.code.is_callers_fault() { "invalid_request_error" } else { "server_error" },
             "param": null,
-            "code": self.code.word(),
+            "code": self.code.as_str(),
             "ran": self.ran.as_str(),
         }})
     }
@@ -162,15 +162,15 @@
     /// The whole response.
     #[must_use]
     pub fn response(&self) -> HttpResponse {
-        let passed_on = self.passed_on.as_ref();
-        let status = passed_on.and_then(|(status, _)| StatusCode::from_u16(*status).ok());
+        let upstream_answer = self.upstream_answer.as_ref();
+        let status = upstream_answer.and_then(|(status, _)| StatusCode::from_u16(*status).ok());
         let mut builder = HttpResponse::build(status.unwrap_or_else(|| self.code.status()));
         builder.insert_header((RAN_HEADER, self.ran.as_str()));
         if let Some(ms) = self.retry_ms {
             builder.insert_header(("retry-after", ms.div_ceil(1_000).to_string()));
             builder.insert_header(("retry-after-ms", ms.to_string()));
         }
-        match passed_on {
+        match upstream_answer {
             Some((_, body)) => builder.content_type("application/json").body(body.clone()),
             None => builder.json(self.body()),
         }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -11,7 +11,7 @@
 use catalog::ServerId;
 use policy::{Acquire, Cause, Ran, Sent, Time, Unsent};
 use std::time::Instant;
-use upstream::{Answer, Failure, Plea};
+use upstream::{Failure, PlainAnswer, PlainRequest};
 
 /// Tries of one request, the first included.
 const TRIES_MOST: u32 = 3;
@@ -32,13 +32,13 @@
     match ended {
         Ok(answer) => pass_on(&answer),
         Err(problem) => {
-            metrics::counter!("cleatshelf_problems_total", "code" => problem.code.word()).increment(1);
+            metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
             problem.response()
         }
     }
 }
 
-fn pass_on(answer: &Answer) -> HttpResponse {
+fn pass_on(answer: &PlainAnswer) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = HttpResponse::build(status);
     for (name, value) in &answer.headers {
@@ -48,12 +48,18 @@
     builder.body(answer.body.clone())
 }
 
-async fn run(app: &App, request: &HttpRequest, name: &str, rest: &str, payload: Payload) -> Result<Answer, Problem> {
-    let arrived = app.desk.now();
+async fn run(
+    app: &App,
+    request: &HttpRequest,
+    name: &str,
+    rest: &str,
+    payload: Payload,
+) -> Result<PlainAnswer, Problem> {
+    let arrived = app.control.now();
     let snapshot = app.ready_snapshot()?;
     let mut caller = Caller::identify(request.headers(), &snapshot, &app.limits)?;
     let Some(service) = snapshot.catalog.services.get(name) else {
-        return Err(Problem::before(Code::NotFound, format!("there is no service '{name}'")));
+        return Err(Problem::before_send(Code::NotFound, format!("there is no service '{name}'")));
     };
     let method = request.method().as_str().to_owned();
     caller.repeatable &= service.repeatable.contains(&method);
@@ -62,7 +68,7 @@
     let target = if query.is_empty() { format!("/{rest}") } else { format!("/{rest}?{query}") };
     let kept = request.headers().iter().filter(|(name, _)| !KEPT_BACK.contains(&name.as_str()));
     let headers = kept.filter_map(|(n, v)| Some((n.as_str().to_owned(), v.to_str().ok()?.to_owned())));
-    let plea = Plea { method, target, headers: headers.collect(), body, repeatable: caller.repeatable };
+    let plea = PlainRequest { method, target, headers: headers.collect(), body, repeatable: caller.repeatable };
     let journal = Journal::open(&caller.class.name, &caller.label);
     let ended = attempt(app, &caller, name, &plea, arrived).await;
     match &ended {
@@ -72,13 +78,19 @@
     ended
 }
 
-async fn attempt(app: &App, caller: &Caller, name: &str, plea: &Plea, arrived: Time) -> Result<Answer, Problem> {
+async fn attempt(
+    app: &App,
+    caller: &Caller,
+    name: &str,
+    plea: &PlainRequest,
+    arrived: Time,
+) -> Result<PlainAnswer, Problem> {
     let unsent = Unsent::new(caller.repeatable);
     let mut claim = match caller.key.filter(|_| !caller.repeatable) {
-        Some(key) => Some(Claim::make(&app.desk, key.hash, key.age_ms).await?),
+        Some(key) => Some(Claim::make(&app.control, key.hash, key.age_ms).await?),
         None => None,
     };
-    let mut visit = match Visit::enter(&app.desk, caller.customer).await {
+    let mut visit = match Visit::enter(&app.control, caller.customer).await {
         Ok(visit) => visit,
         Err(refusal) => return Err(Problem::refused(refusal, unsent.refuse())),
     };
@@ -95,11 +107,11 @@
         avoid: None,
     };
     for last in (0..TRIES_MOST).rev() {
-        let (mut lease, permit) = match Lease::acquire(&app.desk, acquire.clone()).await {
+        let (mut lease, permit) = match Lease::acquire(&app.control, acquire.clone()).await {
             Ok(granted) => granted,
             Err(refusal) => return Err(Problem::refused(refusal, stage.refuse())),
         };
-        let sent = match stage.send(permit, app.desk.now()) {
+        let sent = match stage.send(permit, app.control.now()) {
             Ok(sent) => sent,
             Err(same) => {
                 (stage, acquire.cause) = (same, Cause::Recall);
@@ -111,7 +123,7 @@
         }
         lease.mark_used();
         let began = Instant::now();
-        match app.plain.ask(lease.server.address, plea).await {
+        match app.plain.call(lease.server.address, plea).await {
             Ok(answer) => {
                 lease.report.first_ms = (began.elapsed().as_millis() as u32).max(1);
                 visit.tokens = 1;
@@ -128,12 +140,12 @@
             }
         }
     }
-    Err(Problem::after(Code::NoServer, "no server could be reached", stage.refuse()).retry(1_000))
+    Err(Problem::after_send(Code::NoServer, "no server could be reached", stage.refuse()).with_retry_ms(1_000))
 }
 
 /// What follows from a failure: another try, or the end with what is true of it.
 fn after(sent: Sent, failure: &Failure, last: bool) -> Result<Stage, Problem> {
-    let failed = |ran| Problem::after(Code::UpstreamFailed, format!("the service failed: {failure}"), ran);
+    let failed = |ran| Problem::after_send(Code::UpstreamFailed, format!("the service failed: {failure}"), ran);
     if matches!(failure, Failure::Unreached(_)) {
         return Ok(Stage::unreached(sent));
     }
--- a/crates/gateway/src/visit.rs
+++ b/crates/gateway/src/visit.rs
@@ -2,7 +2,7 @@
 //!
 //! Each tells the control thread when it is dropped, so a caller that goes away leaks nothing.
 
-use crate::{Code, Desk, Offer, Problem, Request};
+use crate::{Code, ControlHandle, ControlRequest, LeaseGrant, Problem};
 use catalog::{CustomerId, Upstream};
 use policy::{Acquire, Permit, Reason, Refusal, Report, Verdict};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,7 @@
 
 /// A request within its customer's limit.
 pub struct Visit {
-    desk: Arc<dyn Desk>,
+    control: Arc<dyn ControlHandle>,
     number: u64,
     /// Tokens passed on so far.
     pub tokens: u64,
@@ -28,10 +28,10 @@
     ///
     /// # Errors
     /// The refusal.
-    pub async fn enter(desk: &Arc<dyn Desk>, customer: CustomerId) -> Result<Self, Refusal> {
-        let visit = Self { desk: Arc::clone(desk), number: number(), tokens: 0 };
+    pub async fn enter(control: &Arc<dyn ControlHandle>, customer: CustomerId) -> Result<Self, Refusal> {
+        let visit = Self { control: Arc::clone(control), number: number(), tokens: 0 };
         let (reply, answer) = oneshot::channel();
-        desk.submit(Request::Enter { number: visit.number, customer, reply });
+        control.submit(ControlRequest::Admit { number: visit.number, customer, reply });
         match answer.await {
             Ok(true) => Ok(visit),
             Ok(false) => Err(Refusal { reason: Reason::Limit, retry_ms: 1_000 }),
@@ -42,13 +42,13 @@
 
 impl Drop for Visit {
     fn drop(&mut self) {
-        self.desk.submit(Request::Leave { number: self.number, tokens: self.tokens });
+        self.control.submit(ControlRequest::Finish { number: self.number, tokens: self.tokens });
     }
 }
 
 /// A wish for a slot; given up when dropped before [`Wish::keep`].
 struct Wish {
-    desk: Arc<dyn Desk>,
+    control: Arc<dyn ControlHandle>,
     number: u64,
     kept: bool,
 }
@@ -56,14 +56,14 @@
 impl Drop for Wish {
     fn drop(&mut self) {
         if !self.kept {
-            self.desk.submit(Request::Abandon(self.number));
+            self.control.submit(ControlRequest::Abandon(self.number));
         }
     }
 }
 
 /// A lease on a slot; given back when dropped.
 pub struct Lease {
-    desk: Arc<dyn Desk>,
+    control: Arc<dyn ControlHandle>,
     number: u64,
     /// The server that the lease is for.
     pub server: Upstream,
@@ -79,17 +79,17 @@
     ///
     /// # Errors
     /// The refusal.
-    pub async fn acquire(desk: &Arc<dyn Desk>, acquire: Acquire) -> Result<(Self, Permit), Refusal> {
-        let mut wish = Wish { desk: Arc::clone(desk), number: number(), kept: false };
+    pub async fn acquire(control: &Arc<dyn ControlHandle>, acquire: Acquire) -> Result<(Self, Permit), Refusal> {
+        let mut wish = Wish { control: Arc::clone(control), number: number(), kept: false };
         let (reply, answer) = oneshot::channel();
-        desk.submit(Request::Acquire { number: wish.number, acquire, reply });
+        control.submit(ControlRequest::Acquire { number: wish.number, acquire, reply });
         let gone = Refusal { reason: Reason::NotReady, retry_ms: 1_000 };
         let answer = answer.await.unwrap_or(Err(gone));
         // From here on either the lease gives itself back, or there is nothing to give up.
         wish.kept = true;
-        let Offer { server, permit, recalled } = answer?;
+        let LeaseGrant { server, permit, recalled } = answer?;
         let report = Report::default();
-        let lease = Self { desk: Arc::clone(desk), number: wish.number, server, recalled, report, used: false };
+        let lease = Self { control: Arc::clone(control), number: wish.number, server, recalled, report, used: false };
         Ok((lease, permit))
     }
 
@@ -101,15 +101,18 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        let request =
-            if self.used { Request::GiveBack(self.number, self.report) } else { Request::Abandon(self.number) };
-        self.desk.submit(request);
+        let request = if self.used {
+            ControlRequest::ReturnLease(self.number, self.report)
+        } else {
+            ControlRequest::Abandon(self.number)
+        };
+        self.control.submit(request);
     }
 }
 
 /// A claim on a request key; the key is free again if the request certainly did not run.
 pub struct Claim {
-    desk: Arc<dyn Desk>,
+    control: Arc<dyn ControlHandle>,
     number: u64,
     /// The request may have run, so the key stays used.
     pub ran: bool,
@@ -120,20 +123,20 @@
     ///
     /// # Errors
     /// A [`Problem`] when the key was used before, or nobody can say.
-    pub async fn make(desk: &Arc<dyn Desk>, key: u64, age_ms: Option<u64>) -> Result<Self, Problem> {
-        let claim = Self { desk: Arc::clone(desk), number: number(), ran: false };
+    pub async fn make(control: &Arc<dyn ControlHandle>, key: u64, age_ms: Option<u64>) -> Result<Self, Problem> {
+        let claim = Self { control: Arc::clone(control), number: number(), ran: false };
         let (reply, answer) = oneshot::channel();
-        desk.submit(Request::Claim { number: claim.number, key, age_ms, reply });
+        control.submit(ControlRequest::Claim { number: claim.number, key, age_ms, reply });
         match answer.await {
             Ok(Verdict::Fresh) => Ok(claim),
             Ok(Verdict::Repeat) => {
                 let message = "a request with this key was delivered before; it is running, has run or may have run";
-                Err(Problem::after(Code::KeyUsed, message, policy::Ran::Unknown))
+                Err(Problem::after_send(Code::KeyUsed, message, policy::Ran::Unknown))
             }
             Ok(Verdict::Unproved) | Err(_) => {
                 let message =
                     "nobody can say whether this key was used before; a UUID of version 7 made anew can be told";
-                Err(Problem::after(Code::KeyUnproved, message, policy::Ran::Unknown).retry(1_000))
+                Err(Problem::after_send(Code::KeyUnproved, message, policy::Ran::Unknown).with_retry_ms(1_000))
             }
         }
     }
@@ -141,6 +144,6 @@
 
 impl Drop for Claim {
     fn drop(&mut self) {
-        self.desk.submit(Request::EndClaim(self.number, self.ran));
+        self.control.submit(ControlRequest::EndClaim(self.number, self.ran));
     }
 }
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/whole.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use serde_json::{json, Map, Value};
-use upstream::Events;
+use upstream::EventSplitter;
 
 /// An answer that is being put together.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 impl Whole {
     /// Takes in one event; events that are no JSON object are left out.
     pub fn take(&mut self, event: &Bytes) {
-        let Ok(Value::Object(mut chunk)) = serde_json::from_slice(Events::data(event)) else { return };
+        let Ok(Value::Object(mut chunk)) = serde_json::from_slice(EventSplitter::data(event)) else { return };
         if let Some(Value::Array(choices)) = chunk.remove("choices") {
             self.tokens += 1;
             for choice in choices {
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use upstream::Events;
+use upstream::EventSplitter;
 
 /// How a request ended, as the caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -193,18 +193,18 @@
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
     let mut body = response.timeout(Duration::from_secs(600));
-    let mut events = Events::default();
+    let mut events = EventSplitter::default();
     let mut reply = Reply { stop: Stop::Broken, text: String::new(), times: Vec::new() };
     while let Some(Ok(bytes)) = body.next().await {
         if !events.feed(&bytes) {
             return reply;
         }
         while let Some(event) = events.next_event() {
-            if Events::is_done(&event) {
+            if EventSplitter::is_done(&event) {
                 reply.stop = Stop::Whole;
                 continue;
             }
-            let value: Value = serde_json::from_slice(Events::data(&event)).unwrap_or_default();
+            let value: Value = serde_json::from_slice(EventSplitter::data(&event)).unwrap_or_default();
             let text = text_of(&value);
             if !text.is_empty() {
                 reply.text.push_str(&text);
--- a/crates/lab/src/exchange.rs
+++ b/crates/lab/src/exchange.rs
@@ -142,7 +142,7 @@
             match action {
                 Action::Send(to, message) => {
                     let envelope = Envelope::Policy(message.clone());
-                    self.seen.bytes += wire::Frame::of(&envelope).map_or(0, |f| f.cost()) as u64;
+                    self.seen.bytes += wire::Frame::encode(&envelope).map_or(0, |f| f.wire_bytes()) as u64;
                     self.seen.messages += 1;
                     self.mail.push((from, to, message));
                 }
--- a/crates/lab/src/fleetlet.rs
+++ b/crates/lab/src/fleetlet.rs
@@ -140,7 +140,7 @@
 
     fn send(&mut self, from: usize, to: BoxId, message: Message) {
         let envelope = Envelope::Fleet(message);
-        self.bytes += wire::Frame::of(&envelope).map_or(0, |f| f.cost()) as u64;
+        self.bytes += wire::Frame::encode(&envelope).map_or(0, |f| f.wire_bytes()) as u64;
         let Envelope::Fleet(message) = envelope else { return };
         self.messages += 1;
         self.count += 1;
@@ -325,6 +325,6 @@
 #[must_use]
 pub fn change_bytes(customers: usize) -> usize {
     let (_, got) = hand_over(customers);
-    let frame = |m: &Message| wire::Frame::of(&Envelope::Fleet(m.clone())).map_or(0, |f| f.cost());
+    let frame = |m: &Message| wire::Frame::encode(&Envelope::Fleet(m.clone())).map_or(0, |f| f.wire_bytes());
     got.iter().map(frame).sum()
 }
--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -1,6 +1,6 @@
 //! Answers of this box's own.
 
-use crate::{Body, Broken};
+use crate::{Body, TruncatedAnswer};
 use bytes::Bytes;
 use http::{header, HeaderValue, Response, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -8,7 +8,7 @@
 
 /// A body of these bytes.
 pub(crate) fn body(bytes: Bytes) -> Body {
-    Full::new(bytes).map_err(|never| -> Broken { match never {} }).boxed_unsync()
+    Full::new(bytes).map_err(|never| -> TruncatedAnswer { match never {} }).boxed_unsync()
 }
 
 /// An answer that gives a status and a reason.
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One send of a request to one server.
 
 use crate::connections::{Connection, Connections};
-use crate::dialect::{Dispatch, Verdict};
+use crate::header_codec::{Dispatch, Verdict};
 use crate::shared::Shared;
 use bytes::Bytes;
 use http::{header, request, response, HeaderMap, HeaderValue, Request};
@@ -123,14 +123,14 @@
         for (register, part) in std::mem::take(&mut self.registers) {
             let news = News::Elsewhere { part, by: self.server.id.clone() };
             let report = Report { number: 0, server: register.id.clone(), news };
-            self.shared.advisor.report(&register, report);
+            self.shared.peer_client.report(&register, report);
         }
     }
 
     fn report(&self, news: News) {
         if let Some(number) = self.lease {
             let report = Report { number, server: self.server.id.clone(), news };
-            self.shared.advisor.report(&self.server, report);
+            self.shared.peer_client.report(&self.server, report);
         }
     }
 
@@ -231,7 +231,7 @@
     dispatch: &Dispatch<'_>,
 ) -> Request<Full<Bytes>> {
     let mut headers: HeaderMap = message.parts.headers.clone();
-    shared.dialect.dispatch(&mut headers, dispatch);
+    shared.header_codec.write_dispatch(&mut headers, dispatch);
     if !headers.contains_key(header::HOST) {
         if let Ok(host) = HeaderValue::from_str(&server.address.to_string()) {
             headers.insert(header::HOST, host);
@@ -263,9 +263,9 @@
 ) -> Sent {
     let (parts, body) = response.into_parts();
     let status = parts.status;
-    let verdict = shared.dialect.verdict(id, status, &parts.headers);
+    let verdict = shared.header_codec.verdict(id, status, &parts.headers);
     if verdict != Verdict::Foreign {
-        shared.noticed(id, server, sent, shared.dialect.notice(status, &parts.headers));
+        shared.noticed(id, server, sent, shared.header_codec.notice(status, &parts.headers));
         shared.note_unknown(server, &parts.headers);
     }
     match verdict {
--- a/crates/relay/src/handshake.rs
+++ b/crates/relay/src/connect_timeout.rs
@@ -20,17 +20,17 @@
 
 /// The time that connections took lately, of one traffic thread.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Handshake {
+pub struct ConnectTimeout {
     /// Mean and deviation in seconds; none before the first connection.
     times: Option<(f64, f64)>,
     /// Attempts in a row that took too long.
     row: u32,
 }
 
-impl Handshake {
+impl ConnectTimeout {
     /// How long to wait for the next one.
     #[must_use]
-    pub fn patience(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         match self.times {
             Some((mean, deviation)) if self.row < ROW_MOST => {
                 Duration::from_secs_f64(mean + DEVIATIONS * deviation).clamp(LEAST, MOST)
@@ -40,7 +40,7 @@
     }
 
     /// A connection took so long.
-    pub fn took(&mut self, time: Duration) {
+    pub fn record_connected(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         self.row = 0;
         self.times = Some(match self.times {
@@ -52,7 +52,7 @@
     }
 
     /// A connection was given up.
-    pub fn given_up(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.row = self.row.saturating_add(1);
     }
 }
--- a/crates/relay/src/connections.rs
+++ b/crates/relay/src/connections.rs
@@ -1,8 +1,8 @@
 //! Connections to servers, kept for reuse.
 
 use crate::channel::Channel;
-use crate::handshake::Handshake;
-use crate::liveness::notice_death;
+use crate::connect_timeout::ConnectTimeout;
+use crate::liveness::enable_dead_peer_detection;
 use bytes::Bytes;
 use clock::Clock;
 use http::{header, HeaderMap};
@@ -58,7 +58,7 @@
     clock: Arc<dyn Clock>,
     idle: Rc<RefCell<HashMap<String, Vec<Resting>>>>,
     /// How long new ones took lately.
-    handshake: Rc<Cell<Handshake>>,
+    handshake: Rc<Cell<ConnectTimeout>>,
 }
 
 impl Connections {
@@ -84,14 +84,14 @@
     async fn open_new(&self, address: SocketAddr) -> std::io::Result<Connection> {
         let mut handshake = self.handshake.get();
         let began = Instant::now();
-        let connected = tokio::time::timeout(handshake.patience(), connect(address)).await;
+        let connected = tokio::time::timeout(handshake.timeout(), connect(address)).await;
         // Others may have connected meanwhile.
         handshake = self.handshake.get();
         match &connected {
-            Ok(Ok(_)) => handshake.took(began.elapsed()),
+            Ok(Ok(_)) => handshake.record_connected(began.elapsed()),
             // Refused at once: says nothing of how long connections take.
             Ok(Err(_)) => {}
-            Err(_) => handshake.given_up(),
+            Err(_) => handshake.record_timeout(),
         }
         self.handshake.set(handshake);
         connected.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
@@ -150,7 +150,7 @@
 
 async fn connect(address: SocketAddr) -> std::io::Result<Connection> {
     let stream = TcpStream::connect(address).await?;
-    notice_death(&stream);
+    enable_dead_peer_detection(&stream);
     let busy = Rc::new(Cell::new(true));
     let shaken = hyper::client::conn::http1::Builder::new()
         .max_buf_size(BUFFER)
--- a/crates/relay/src/consult.rs
+++ b/crates/relay/src/consult.rs
@@ -19,14 +19,14 @@
     pub(crate) fn new(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
         let question = Question { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
-        let answer = shared.advisor.ask(server, question)?;
+        let answer = shared.peer_client.request_opinion(server, question)?;
         Some(Self { server: Arc::clone(server), answer })
     }
 
     /// Waits for the answer, and takes it in.
     pub(crate) async fn wait(self, shared: &Shared, service: &str, until: Instant) -> Option<(String, Opinion)> {
         let Ok(Ok(opinion)) = tokio::time::timeout_at(until, self.answer).await else {
-            shared.advisor.silent(&self.server);
+            shared.peer_client.on_missed_reply(&self.server);
             return None;
         };
         shared.placement().hear(service, &self.server.id, opinion.clone(), shared.now());
@@ -39,6 +39,6 @@
     let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
     let permit = Permit { number, server: server.id.clone(), quotas, urgency };
     let nobody = Leave::Denied { again: 0 };
-    let Some(answer) = shared.advisor.permit(server, permit) else { return nobody };
+    let Some(answer) = shared.peer_client.request_permit(server, permit) else { return nobody };
     tokio::time::timeout_at(until, answer).await.ok().and_then(Result::ok).unwrap_or(nobody)
 }
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -101,16 +101,19 @@
     /// Logs and counts the end of the request.
     pub(crate) fn conclude(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.concluded, true) {
-            telemetry::emit(Event::SecondOutcomeBroken, format_args!("id={} outcome={}", self.call.id, outcome.word()));
+            telemetry::emit(
+                Event::SecondOutcomeBroken,
+                format_args!("id={} outcome={}", self.call.id, outcome.as_str()),
+            );
             return;
         }
         let took = self.began.elapsed();
-        metrics::counter!("cleatshelf_requests_total", "outcome" => outcome.word(), "route" => self.route.name.clone())
+        metrics::counter!("cleatshelf_requests_total", "outcome" => outcome.as_str(), "route" => self.route.name.clone())
             .increment(1);
         metrics::histogram!("cleatshelf_request_seconds", "route" => self.route.name.clone())
             .record(took.as_secs_f64());
         if outcome == Outcome::Answered && !self.shared.quarantine().is_empty() {
-            self.shared.survived(self.fingerprint());
+            self.shared.record_survival(self.fingerprint());
         }
         let late = if outcome == Outcome::Answered { self.timing.late(&self.route) } else { None };
         if let Some(why) = late {
@@ -124,7 +127,7 @@
                 "id={} request={} outcome={} route={} ms={} first={} pause={} sends={} trail=\"{}\"",
                 self.call.id,
                 self.fingerprint(),
-                outcome.word(),
+                outcome.as_str(),
                 self.route.name,
                 took.as_millis(),
                 self.timing.first.map_or(0, |first| first.as_millis()),
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/event_splitter.rs
@@ -7,20 +7,20 @@
 
 /// Cuts a stream's bytes into whole events and knows the last one's number.
 #[derive(Clone, Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     /// Bytes after the last whole event.
     rest: BytesMut,
     /// Number of the last whole event.
     last: Option<u64>,
 }
 
-impl Events {
+impl EventSplitter {
     /// Takes in bytes and gives back those up to the end of the last whole event.
     pub fn feed(&mut self, bytes: &[u8]) -> Bytes {
         self.rest.extend_from_slice(bytes);
         let Some(end) = end_of_last(&self.rest) else { return Bytes::new() };
         let whole = self.rest.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        if let Some(id) = find_last_id(&whole) {
             self.last = Some(id);
         }
         whole
@@ -28,24 +28,24 @@
 
     /// Number of the last whole event.
     #[must_use]
-    pub fn last(&self) -> Option<u64> {
+    pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
     /// True when nothing of an unfinished event is held.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.rest.is_empty()
     }
 
     /// True when an unfinished event has grown beyond all bounds.
     #[must_use]
-    pub fn oversized(&self) -> bool {
+    pub fn is_oversized(&self) -> bool {
         self.rest.len() > EVENT_MOST
     }
 
     /// Drops an unfinished event, whose server will not finish it.
-    pub fn forget_rest(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.rest.clear();
     }
 }
@@ -57,7 +57,7 @@
     plain.max(returns)
 }
 
-fn last_id(bytes: &[u8]) -> Option<u64> {
+fn find_last_id(bytes: &[u8]) -> Option<u64> {
     let lines = bytes.split(|b| *b == b'\n').rev();
     let mut ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
     std::str::from_utf8(ids.next()?).ok()?.trim().parse().ok()
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -5,7 +5,7 @@
 use crate::choosing::Withheld;
 use crate::connections::Connections;
 use crate::crash::Crashes;
-use crate::dialect::{Call, Dispatch};
+use crate::header_codec::{Call, Dispatch};
 use crate::outcome::Outcome;
 use crate::shared::Shared;
 use crate::timing::Timing;
@@ -161,7 +161,7 @@
         let dispatch = Dispatch {
             name: &server.name,
             customer: self.customer.as_ref().map(|c| c.name.as_str()),
-            time: self.left(),
+            timeout: self.left(),
             urgency: self.call.prompt.as_ref().map(|_| self.urgency()),
             fetch: choice.fetch,
             last_event,
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -4,7 +4,7 @@
 use crate::connections::Connections;
 use crate::crash::Crashes;
 use crate::exchange::{Exchange, Reply};
-use crate::liveness::notice_death;
+use crate::liveness::enable_dead_peer_detection;
 use crate::pump::Pump;
 use crate::timing::Timing;
 use crate::{Body, Shared};
@@ -47,7 +47,7 @@
 const START_TIME: Duration = Duration::from_millis(500);
 
 /// Takes callers' connections, on one traffic thread.
-pub struct Front {
+pub struct Frontend {
     shared: Arc<Shared>,
     connections: Connections,
     crashes: Crashes,
@@ -69,7 +69,7 @@
     }
 }
 
-impl Front {
+impl Frontend {
     /// A front with these bounds.
     #[must_use]
     pub fn new(shared: Arc<Shared>, connections_most: usize) -> Self {
@@ -125,7 +125,7 @@
             metrics::counter!("cleatshelf_connections_refused_total").increment(1);
             return;
         }
-        notice_death(&stream);
+        enable_dead_peer_detection(&stream);
         self.open.set(self.open.get() + 1);
         let this = Rc::clone(self);
         let closing = closing.clone();
@@ -163,7 +163,7 @@
         let began = Instant::now();
         let mut response = self.exchange(request, began).await;
         drop(running);
-        if self.shared.stopping() {
+        if self.shared.is_stopping() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -201,7 +201,7 @@
         body: Bytes,
         began: Instant,
     ) -> Result<Exchange, Box<Response<Body>>> {
-        let call = self.shared.dialect.call(&parts.headers).map_err(|why| {
+        let call = self.shared.header_codec.read_call(&parts.headers).map_err(|why| {
             telemetry::emit(Event::RequestRejected, format_args!("why=\"{why}\""));
             Box::new(answer::plain(StatusCode::BAD_REQUEST, "bad head"))
         })?;
@@ -226,7 +226,7 @@
             );
             return Err(Box::new(answer::plain(StatusCode::UNAUTHORIZED, "no such key")));
         };
-        let time = call.time.map_or(route.timeout, |time| time.min(route.timeout));
+        let time = call.timeout.map_or(route.timeout, |time| time.min(route.timeout));
         let service = route.service(self.draws.borrow_mut().next()).to_owned();
         Ok(Exchange {
             shared: Arc::clone(&self.shared),
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/header_codec.rs
@@ -13,7 +13,7 @@
     /// The key that names the customer.
     pub key: Option<String>,
     /// How long the caller waits.
-    pub time: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
     /// The last event that the caller has, when it resumes a stream.
@@ -28,7 +28,7 @@
     /// Name of the customer.
     pub customer: Option<&'a str>,
     /// How long the server may take.
-    pub time: Duration,
+    pub timeout: Duration,
     /// How urgent it is, 0 first, 9 last. Only for model engines.
     pub urgency: Option<u8>,
     /// A server from which to fetch prompt parts.
@@ -54,7 +54,7 @@
     /// True where it leaves, and is to get no new work. It says so in all its answers until it ends.
     pub leaving: bool,
     /// For how long it wants nothing from this box, counted from its answer; none where it doesn't say.
-    pub rest: Option<Duration>,
+    pub back_off: Option<Duration>,
     /// How many requests it takes from all boxes together, for as long as it says so; none where it can't be read, or another
     /// server speaks.
     pub limit: Option<Limit>,
@@ -62,7 +62,7 @@
 
 /// A header of an answer that nobody here knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unknown<'a> {
+pub struct UnknownHeader<'a> {
     /// Its name, in lower case.
     pub name: &'a str,
     /// What may be shown of its value.
@@ -70,15 +70,15 @@
 }
 
 /// Reads and writes the headers by which callers, boxes and servers talk.
-pub trait Dialect: Send + Sync {
+pub trait HeaderCodec: Send + Sync {
     /// What a caller's head says.
     ///
     /// # Errors
     /// The header at fault and the reason.
-    fn call(&self, headers: &HeaderMap) -> Result<Call, String>;
+    fn read_call(&self, headers: &HeaderMap) -> Result<Call, String>;
 
     /// Turns a caller's headers into those for a server.
-    fn dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
+    fn write_dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
 
     /// What the head of an answer to the request `id` says.
     fn verdict(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
@@ -87,5 +87,5 @@
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
     /// Headers of an answer whose meaning is not known.
-    fn unknown<'a>(&self, headers: &'a HeaderMap) -> Vec<Unknown<'a>>;
+    fn unknown_headers<'a>(&self, headers: &'a HeaderMap) -> Vec<UnknownHeader<'a>>;
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -2,56 +2,56 @@
 //!
 //! A [`Front`] takes callers' connections. Each request becomes an exchange: it finds its route,
 //! is sent to one server after another within its bounds, and ends with one outcome. What headers
-//! are called is behind [`Dialect`]; which server is chosen is decided in `placement`.
+//! are called is behind [`HeaderCodec`]; which server is chosen is decided in `placement`.
 //!
 //! `hyper`'s low-level client and server are used in place of `awc` and `actix-web`: these hide
 //! whether a request's bytes left, reuse connections without saying so, and go on with a request
 //! whose caller has left.
 
-mod advisor;
 mod answer;
 mod attempt;
 mod channel;
 mod choosing;
+mod connect_timeout;
 mod connections;
 mod consult;
 mod crash;
-mod dialect;
 mod ending;
-mod events;
+mod event_splitter;
 mod exchange;
 mod front;
-mod handshake;
+mod header_codec;
 mod liveness;
 mod noticed;
 mod outcome;
+mod peer_client;
 mod pump;
 mod ready;
 mod shared;
 mod suspects;
 mod timing;
 
-pub use advisor::Advisor;
-pub use dialect::{Call, Dialect, Dispatch, Notice, Unknown, Verdict};
-pub use events::Events;
-pub use front::Front;
-pub use handshake::Handshake;
-pub use liveness::notice_death;
+pub use connect_timeout::ConnectTimeout;
+pub use event_splitter::EventSplitter;
+pub use front::Frontend;
+pub use header_codec::{Call, Dispatch, HeaderCodec, Notice, UnknownHeader, Verdict};
+pub use liveness::enable_dead_peer_detection;
 pub use outcome::Outcome;
-pub use ready::Ready;
-pub use shared::{Parts, Shared, View};
+pub use peer_client::PeerClient;
+pub use ready::ReadinessServer;
+pub use shared::{Dependencies, Shared, View};
 
 /// The body of an answer to a caller.
-pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, Broken>;
+pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, TruncatedAnswer>;
 
 /// The answer breaks off: the caller's connection is closed so that it can't look whole.
 #[derive(Clone, Copy, Debug)]
-pub struct Broken;
+pub struct TruncatedAnswer;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for TruncatedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer broke off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for TruncatedAnswer {}
--- a/crates/relay/src/liveness.rs
+++ b/crates/relay/src/liveness.rs
@@ -13,7 +13,7 @@
 const PROBE_EVERY: Duration = Duration::from_secs(1);
 
 /// Makes a connection end by itself soon after its peer has fallen silent, whether it rests or not.
-pub fn notice_death(stream: &TcpStream) {
+pub fn enable_dead_peer_detection(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(PROBE_EVERY).with_interval(PROBE_EVERY);
     let set = [
--- a/crates/relay/src/noticed.rs
+++ b/crates/relay/src/noticed.rs
@@ -1,6 +1,6 @@
 //! What this box makes of what servers say of themselves in their answers.
 
-use crate::{Notice, Shared, Unknown};
+use crate::{Notice, Shared, UnknownHeader};
 use http::HeaderMap;
 use placement::{Limit, Millis, Statement};
 use rand::Rng;
@@ -17,9 +17,9 @@
     /// there: a stream may last longer than a leaving server may still get requests.
     pub(crate) fn noticed(&self, id: &str, server: &Server, sent: Millis, notice: Notice) {
         if notice.leaving && self.leaves(&server.id, format_args!("id={id}")) {
-            self.advisor.leaves(&server.id);
+            self.peer_client.broadcast_leaving(&server.id);
         }
-        if let Some(rest) = notice.rest {
+        if let Some(rest) = notice.back_off {
             self.rests(id, server, rest);
         }
         if let Some(limit) = notice.limit {
@@ -29,7 +29,7 @@
 
     /// Tells operators of headers that nobody here knows: servers may say by them what boxes should heed.
     pub(crate) fn note_unknown(&self, server: &Server, headers: &HeaderMap) {
-        for Unknown { name, value } in self.dialect.unknown(headers) {
+        for UnknownHeader { name, value } in self.header_codec.unknown_headers(headers) {
             if self.told.insert(name) {
                 telemetry::emit(Event::WordUnknown, format_args!("from={} header={name} value={value}", server.id));
             }
@@ -38,13 +38,13 @@
 
     /// Takes what another box heard of lives that leave. Those that this one didn't know of.
     #[must_use]
-    pub fn hear_leaving(&self, lives: &[String]) -> Vec<String> {
+    pub fn on_peer_leaving(&self, lives: &[String]) -> Vec<String> {
         lives.iter().filter(|life| self.leaves(life, format_args!("from=Peer"))).cloned().collect()
     }
 
     /// Takes what another box knows of servers' limits. What this one didn't know.
     #[must_use]
-    pub fn hear_limits(&self, statements: Vec<Statement>) -> Vec<Statement> {
+    pub fn on_peer_limits(&self, statements: Vec<Statement>) -> Vec<Statement> {
         let news = |statement: &Statement| {
             let news = self.placement().hear_limit(statement, self.now());
             if news {
@@ -61,7 +61,7 @@
         let news = self.placement().limits(&server.id, limit, sent, self.now());
         if let Some(statement) = news {
             log_limit(format_args!("id={id}"), &server.id, limit);
-            self.advisor.limits(&statement);
+            self.peer_client.broadcast_limit(&statement);
         }
     }
 
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -22,7 +22,7 @@
 impl Outcome {
     /// The word for logs and metrics.
     #[must_use]
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
             Self::Cut => "cut",
--- a/crates/relay/src/advisor.rs
+++ b/crates/relay/src/peer_client.rs
@@ -5,29 +5,29 @@
 use tokio::sync::oneshot;
 
 /// Asks the owners of servers. Lives on traffic threads; must not block.
-pub trait Advisor: Send + Sync {
+pub trait PeerClient: Send + Sync {
     /// Asks the owner of `server`; none when nobody can be asked.
-    fn ask(&self, server: &Server, question: Question) -> Option<oneshot::Receiver<Opinion>>;
+    fn request_opinion(&self, server: &Server, question: Question) -> Option<oneshot::Receiver<Opinion>>;
 
     /// Asks the owner of `server`, which takes few requests, for leave to send one there; none when there is no box that may give
     /// it. No other box's word counts.
-    fn permit(&self, server: &Server, permit: Permit) -> Option<oneshot::Receiver<Leave>>;
+    fn request_permit(&self, server: &Server, permit: Permit) -> Option<oneshot::Receiver<Leave>>;
 
     /// Reports a request to the owner of `server`. All reports of one lease go to the same box.
     fn report(&self, server: &Server, report: Report);
 
     /// The owner of `server` gave no answer in time.
-    fn silent(&self, server: &Server);
+    fn on_missed_reply(&self, server: &Server);
 
     /// Tells all other boxes of requests under which servers ended, or that were found innocent, and of servers that answer though
     /// they were taken for ended.
-    fn suspect(&self, records: Vec<Record>, signs: Vec<Sign>);
+    fn broadcast_suspects(&self, records: Vec<Record>, signs: Vec<Sign>);
 
     /// Tells all other boxes of a server that said that it leaves, by the id of its life.
-    fn leaves(&self, life: &str);
+    fn broadcast_leaving(&self, life: &str);
 
     /// Tells all other boxes how many requests a server says that it takes.
-    fn limits(&self, statement: &Statement);
+    fn broadcast_limit(&self, statement: &Statement);
 
     /// True for the one box that may try a request that is held.
     fn ranks_first(&self, request: Fingerprint) -> bool;
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -2,10 +2,10 @@
 
 use crate::answer::strip_hop;
 use crate::attempt::{Answer, Claim};
-use crate::events::Events;
+use crate::event_splitter::EventSplitter;
 use crate::exchange::Exchange;
 use crate::outcome::Outcome;
-use crate::{Body, Broken};
+use crate::{Body, TruncatedAnswer};
 use bytes::Bytes;
 use futures_util::stream;
 use http::{header, Response};
@@ -20,12 +20,12 @@
 /// Most pieces of a stream that wait for the caller. Few, so that a slow caller slows its server.
 const AHEAD_MOST: usize = 4;
 
-type Piece = Result<Frame<Bytes>, Broken>;
+type Piece = Result<Frame<Bytes>, TruncatedAnswer>;
 
 /// A stream on its way to the caller.
 pub(crate) struct Pump {
     exchange: Exchange,
-    events: Events,
+    events: EventSplitter,
     caller: mpsc::Sender<Piece>,
     /// When the last event came; none before the first.
     last_event: Option<Instant>,
@@ -54,7 +54,7 @@
             Response::new(StreamBody::new(stream::poll_fn(move |context| pieces.poll_recv(context))).boxed_unsync());
         *response.status_mut() = answer.parts.status;
         *response.headers_mut() = headers;
-        let pump = Self { exchange, events: Events::default(), caller, last_event: None };
+        let pump = Self { exchange, events: EventSplitter::default(), caller, last_event: None };
         tokio::task::spawn_local(pump.run(answer, claim));
         response
     }
@@ -104,13 +104,13 @@
                 () = tokio::time::sleep_until(self.exchange.deadline) => return Pause::Late,
             };
             let bytes = match frame {
-                None if self.events.whole() => return Pause::Whole,
+                None if self.events.is_complete() => return Pause::Whole,
                 None => return Pause::Broke("ended within an event".to_owned()),
                 Some(Err(why)) => return Pause::Broke(why.to_string()),
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
             let whole = self.events.feed(&bytes);
-            if self.events.oversized() {
+            if self.events.is_oversized() {
                 return Pause::Broke("an event without end".to_owned());
             }
             if !whole.is_empty() {
@@ -155,8 +155,8 @@
     async fn go_on(&mut self, why: &str) -> Option<(Answer, Claim)> {
         let exchange = &mut self.exchange;
         exchange.may_have_run = true;
-        self.events.forget_rest();
-        let last = self.events.last().or(exchange.call.last_event);
+        self.events.discard_partial();
+        let last = self.events.last_id().or(exchange.call.last_event);
         let _ = write!(exchange.trail, "=broke after {last:?} ({why})");
         if exchange.route.kind.repeatable() && exchange.may_send_again() {
             let deadline = exchange.deadline;
@@ -177,6 +177,6 @@
     async fn break_off(&mut self, outcome: Outcome) {
         self.exchange.conclude(outcome);
         // An error means that the caller has left, which is as good.
-        let _ = self.caller.send(Err(Broken)).await;
+        let _ = self.caller.send(Err(TruncatedAnswer)).await;
     }
 }
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/ready.rs
@@ -14,14 +14,14 @@
 const IDLE_MOST: Duration = Duration::from_secs(30);
 
 /// Answers the balancer's question on its own address.
-pub struct Ready {
+pub struct ReadinessServer {
     /// What the answer depends on.
     pub shared: Arc<Shared>,
     /// Path of the question.
     pub path: String,
 }
 
-impl Ready {
+impl ReadinessServer {
     /// Answers for as long as the process runs; must run on a local set.
     pub async fn run(self, listener: TcpListener) {
         let this = Arc::new(self);
@@ -52,7 +52,7 @@
         if request.uri().path() != self.path {
             return answer::plain(StatusCode::NOT_FOUND, "not here");
         }
-        if self.shared.ready() {
+        if self.shared.is_ready() {
             answer::plain(StatusCode::OK, "ready")
         } else {
             answer::plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the traffic threads and the control thread share.
 
-use crate::{Advisor, Dialect};
+use crate::{HeaderCodec, PeerClient};
 use clock::Clock;
 use placement::{InForce, Millis, Placement, Quarantine};
 use routing::{Directory, Evacuations, Table};
@@ -20,11 +20,11 @@
 }
 
 /// What the state of a box is made of.
-pub struct Parts {
+pub struct Dependencies {
     /// Reads and writes headers.
-    pub dialect: Box<dyn Dialect>,
+    pub header_codec: Box<dyn HeaderCodec>,
     /// Asks the owners of servers.
-    pub advisor: Box<dyn Advisor>,
+    pub peer_client: Box<dyn PeerClient>,
     /// Chooses servers.
     pub placement: Placement,
     /// The same for all boxes, and known to nobody else: fingerprints of requests are made with it.
@@ -36,9 +36,9 @@
 /// State of one box that all its threads see.
 pub struct Shared {
     /// Reads and writes headers.
-    pub dialect: Box<dyn Dialect>,
+    pub header_codec: Box<dyn HeaderCodec>,
     /// Asks the owners of servers.
-    pub advisor: Box<dyn Advisor>,
+    pub peer_client: Box<dyn PeerClient>,
     view: RwLock<Arc<View>>,
     placement: Mutex<Placement>,
     pub(crate) quarantine: Mutex<Quarantine>,
@@ -59,11 +59,11 @@
 impl Shared {
     /// State with nothing known yet.
     #[must_use]
-    pub fn new(parts: Parts) -> Arc<Self> {
-        let Parts { dialect, advisor, placement, secret, clock } = parts;
+    pub fn new(parts: Dependencies) -> Arc<Self> {
+        let Dependencies { header_codec, peer_client, placement, secret, clock } = parts;
         Arc::new(Self {
-            dialect,
-            advisor,
+            header_codec,
+            peer_client,
             view: RwLock::default(),
             placement: Mutex::new(placement),
             quarantine: Mutex::default(),
@@ -109,21 +109,21 @@
     }
 
     /// A planned stop begins.
-    pub fn stop(&self) {
+    pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
     /// True once a planned stop has begun.
     #[must_use]
-    pub fn stopping(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
     /// True when callers may be sent here: before the first list of servers, also an empty one, or a sample of it, they would be refused
     /// though servers are there.
     #[must_use]
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let view = self.view();
-        !self.stopping() && view.table.is_some() && view.directory.is_usable()
+        !self.is_stopping() && view.table.is_some() && view.directory.is_usable()
     }
 }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -30,7 +30,7 @@
 
     /// A server ran this request and lives, or an operator lets it through: if it was suspected, all boxes hear that it is
     /// innocent. False where it wasn't.
-    pub fn survived(&self, request: Fingerprint) -> bool {
+    pub fn record_survival(&self, request: Fingerprint) -> bool {
         let now = self.now();
         let change = self.quarantine().survived(request, now);
         let suspected = change != Change::Known;
@@ -44,13 +44,13 @@
         let changes = self.quarantine().answered(server, now);
         if !changes.is_empty() {
             changes.iter().for_each(note);
-            self.advisor.suspect(Vec::new(), vec![Sign { server: server.to_owned(), ago: 0 }]);
+            self.peer_client.broadcast_suspects(Vec::new(), vec![Sign { server: server.to_owned(), ago: 0 }]);
         }
     }
 
     /// Takes what another box knows of requests and servers. What disproves it, for that box.
     #[must_use]
-    pub fn hear_suspects(&self, records: &[Record], signs: Vec<Sign>) -> Vec<Sign> {
+    pub fn on_peer_suspects(&self, records: &[Record], signs: Vec<Sign>) -> Vec<Sign> {
         let now = self.now();
         let mut quarantine = self.quarantine();
         let mut changes = Vec::new();
@@ -68,7 +68,7 @@
         changes.iter().for_each(note);
         if !told.is_empty() {
             // Those who believed this box's word must hear it too; those who know say nothing more.
-            self.advisor.suspect(Vec::new(), told);
+            self.peer_client.broadcast_suspects(Vec::new(), told);
         }
         disproved
     }
@@ -81,7 +81,7 @@
             // Which box may try a held request takes a look at all boxes: not for each request while any is suspected.
             return verdict;
         }
-        let first = self.advisor.ranks_first(request);
+        let first = self.peer_client.ranks_first(request);
         self.quarantine().verdict(request, first, now)
     }
 
@@ -97,7 +97,7 @@
         changes.iter().for_each(note);
         let records: Vec<Record> = changes.into_iter().filter_map(Change::into_record).collect();
         if !records.is_empty() {
-            self.advisor.suspect(records, Vec::new());
+            self.peer_client.broadcast_suspects(records, Vec::new());
         }
     }
 }
--- a/crates/relay/tests/liveness.rs
+++ b/crates/relay/tests/liveness.rs
@@ -8,7 +8,7 @@
 async fn a_connection_ends_within_three_seconds_of_silence() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
-    relay::notice_death(&stream);
+    relay::enable_dead_peer_detection(&stream);
     let socket = SockRef::from(&stream);
     let unanswered = socket.tcp_user_timeout().expect("an option").expect("a time");
     assert!(socket.keepalive().expect("an option"), "also while it rests");
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -25,7 +25,7 @@
 
 /// What the caller already has of an answer that is to be resumed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct Delivered {
     /// How many tokens, that is events.
     pub tokens: u32,
     /// Their text.
@@ -46,7 +46,7 @@
     /// The request may be sent again after a failure.
     pub repeatable: bool,
     /// What the caller already has, empty at first.
-    pub passed: Passed,
+    pub delivered: Delivered,
 }
 
 impl Call {
@@ -58,8 +58,8 @@
             fields.insert("stream".into(), Value::Bool(true));
             fields.insert("priority".into(), Value::from(self.priority));
             fields.insert("request_id".into(), Value::from(self.id.as_str()));
-            if self.passed.tokens > 0 {
-                let resume = serde_json::json!({"tokens": self.passed.tokens, "text": self.passed.text});
+            if self.delivered.tokens > 0 {
+                let resume = serde_json::json!({"tokens": self.delivered.tokens, "text": self.delivered.text});
                 fields.insert("resume".into(), resume);
             }
         }
@@ -69,7 +69,7 @@
 
 /// A request to a plain service.
 #[derive(Clone, Debug)]
-pub struct Plea {
+pub struct PlainRequest {
     /// The method.
     pub method: String,
     /// Path and query below the service's name, beginning with a slash.
@@ -84,7 +84,7 @@
 
 /// A plain service's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct PlainAnswer {
     /// The HTTP status.
     pub status: u16,
     /// Headers that are passed on.
--- a/crates/upstream/src/events.rs
+++ b/crates/upstream/src/event_splitter.rs
@@ -7,13 +7,13 @@
 
 /// Cuts a stream of bytes into whole events, so that a break never passes on half of one.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventSplitter {
     buffer: BytesMut,
     /// Bytes of `buffer` in which no end was found.
     searched: usize,
 }
 
-impl Events {
+impl EventSplitter {
     /// Takes in bytes. False when an event grows beyond all bounds.
     #[must_use]
     pub fn feed(&mut self, bytes: &[u8]) -> bool {
--- a/crates/upstream/src/http.rs
+++ b/crates/upstream/src/http.rs
@@ -1,6 +1,6 @@
 //! Upstreams over HTTP.
 
-use crate::{Answer, Call, Engine, Events, Failure, Gauge, Plain, Plea, Tokens};
+use crate::{Call, Engine, EventSplitter, Failure, LoadProbe, PlainAnswer, PlainRequest, PlainService, TokenStream};
 use async_trait::async_trait;
 use awc::error::{ConnectError, SendRequestError};
 use awc::http::{Method, StatusCode};
@@ -26,7 +26,7 @@
 
 /// How long things may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct Timeouts {
     /// Until a connection is made.
     pub connect: Duration,
     /// Until the head of an answer.
@@ -35,19 +35,19 @@
     pub idle: Duration,
 }
 
-impl Default for Patience {
+impl Default for Timeouts {
     fn default() -> Self {
         Self { connect: Duration::from_millis(500), head: Duration::from_secs(120), idle: Duration::from_secs(20) }
     }
 }
 
 /// Engines and plain services over HTTP.
-pub struct Http {
+pub struct HttpClient {
     /// Keeps connections for a short while.
     kept: Client,
     /// Makes a connection for each request.
     fresh: Client,
-    patience: Patience,
+    patience: Timeouts,
 }
 
 #[derive(Deserialize)]
@@ -58,16 +58,16 @@
     leaving: bool,
 }
 
-impl Default for Http {
+impl Default for HttpClient {
     fn default() -> Self {
-        Self::new(Patience::default())
+        Self::new(Timeouts::default())
     }
 }
 
-impl Http {
+impl HttpClient {
     /// A client with these waits. One for each traffic thread.
     #[must_use]
-    pub fn new(patience: Patience) -> Self {
+    pub fn new(patience: Timeouts) -> Self {
         let kept = client(patience, KEEP_MOST);
         let fresh = client(patience, Duration::ZERO);
         Self { kept, fresh, patience }
@@ -84,7 +84,7 @@
     }
 }
 
-fn client(patience: Patience, keep: Duration) -> Client {
+fn client(patience: Timeouts, keep: Duration) -> Client {
     let connector = Connector::new()
         .timeout(patience.connect)
         .limit(0)
@@ -109,13 +109,13 @@
 
 struct Stream<S> {
     body: S,
-    events: Events,
+    events: EventSplitter,
     idle: Duration,
     done: bool,
 }
 
 #[async_trait(?Send)]
-impl<S> Tokens for Stream<S>
+impl<S> TokenStream for Stream<S>
 where
     S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -125,7 +125,7 @@
                 return Ok(None);
             }
             if let Some(event) = self.events.next_event() {
-                self.done = Events::is_done(&event);
+                self.done = EventSplitter::is_done(&event);
                 return Ok(Some(event));
             }
             let more = tokio::time::timeout(self.idle, self.body.next()).await;
@@ -141,8 +141,8 @@
 }
 
 #[async_trait(?Send)]
-impl Engine for Http {
-    async fn start(&self, address: SocketAddr, call: &Call) -> Result<Box<dyn Tokens>, Failure> {
+impl Engine for HttpClient {
+    async fn start(&self, address: SocketAddr, call: &Call) -> Result<Box<dyn TokenStream>, Failure> {
         let request = self
             .client(call.repeatable)
             .post(format!("http://{address}{}", call.endpoint.path()))
@@ -154,13 +154,13 @@
             return Err(Failure::Refused { status, body });
         }
         let body = response.timeout(Duration::from_secs(86_400));
-        Ok(Box::new(Stream { body, events: Events::default(), idle: self.patience.idle, done: false }))
+        Ok(Box::new(Stream { body, events: EventSplitter::default(), idle: self.patience.idle, done: false }))
     }
 }
 
 #[async_trait(?Send)]
-impl Plain for Http {
-    async fn ask(&self, address: SocketAddr, plea: &Plea) -> Result<Answer, Failure> {
+impl PlainService for HttpClient {
+    async fn call(&self, address: SocketAddr, plea: &PlainRequest) -> Result<PlainAnswer, Failure> {
         let method = Method::from_bytes(plea.method.as_bytes()).map_err(|e| Failure::Unreached(e.to_string()))?;
         let mut request = self.client(plea.repeatable).request(method, format!("http://{address}{}", plea.target));
         for (name, value) in &plea.headers {
@@ -173,12 +173,12 @@
         let kept = |name: &str| !matches!(name, "connection" | "transfer-encoding" | "content-length" | "keep-alive");
         let headers = response.headers().iter().filter(|(name, _)| kept(name.as_str()));
         let headers = headers.filter_map(|(n, v)| Some((n.as_str().to_owned(), v.to_str().ok()?.to_owned())));
-        Ok(Answer { status: response.status().as_u16(), headers: headers.collect(), body })
+        Ok(PlainAnswer { status: response.status().as_u16(), headers: headers.collect(), body })
     }
 }
 
 #[async_trait(?Send)]
-impl Gauge for Http {
+impl LoadProbe for HttpClient {
     async fn load(&self, address: SocketAddr) -> Result<Load, Failure> {
         let request = self.kept.get(format!("http://{address}/load")).timeout(LOAD_MOST);
         let mut response = request.send().await.map_err(|e| failure(&e))?;
--- a/crates/upstream/src/server.rs
+++ b/crates/upstream/src/server.rs
@@ -1,6 +1,6 @@
 //! The borders at which kinds of upstream plug in.
 
-use crate::{Answer, Call, Failure, Plea};
+use crate::{Call, Failure, PlainAnswer, PlainRequest};
 use async_trait::async_trait;
 use bytes::Bytes;
 use policy::Load;
@@ -8,7 +8,7 @@
 
 /// The tokens of one answer as they come.
 #[async_trait(?Send)]
-pub trait Tokens {
+pub trait TokenStream {
     /// The next event as it is to be passed on, the closing `[DONE]` included; none after that.
     ///
     /// # Errors
@@ -23,22 +23,22 @@
     ///
     /// # Errors
     /// [`Failure`], which says whether the request can have reached the engine.
-    async fn start(&self, address: SocketAddr, call: &Call) -> Result<Box<dyn Tokens>, Failure>;
+    async fn start(&self, address: SocketAddr, call: &Call) -> Result<Box<dyn TokenStream>, Failure>;
 }
 
 /// A plain service.
 #[async_trait(?Send)]
-pub trait Plain {
+pub trait PlainService {
     /// Sends a request and waits for the whole answer.
     ///
     /// # Errors
     /// [`Failure`], which says whether the request can have reached the service.
-    async fn ask(&self, address: SocketAddr, plea: &Plea) -> Result<Answer, Failure>;
+    async fn call(&self, address: SocketAddr, plea: &PlainRequest) -> Result<PlainAnswer, Failure>;
 }
 
 /// An upstream's own report of its load.
 #[async_trait(?Send)]
-pub trait Gauge {
+pub trait LoadProbe {
     /// The report, which describes a moment already past.
     ///
     /// # Errors
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -7,7 +7,7 @@
 use std::marker::PhantomData;
 
 /// The largest frame's payload in bytes: a release part of a megabyte and a little more.
-pub const FRAME_MOST: usize = 1_100_000;
+pub const MAX_FRAME_BYTES: usize = 1_100_000;
 
 /// Most bytes of a frame's length, which is written as `bincode` writes a whole number.
 const LENGTH_MOST: usize = 5;
@@ -17,13 +17,13 @@
 
 /// Why a frame was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Malformed {
-    /// It is larger than [`FRAME_MOST`].
+pub enum FrameError {
+    /// It is larger than [`MAX_FRAME_BYTES`].
     TooLarge,
     /// Its proof is wrong.
-    Unproved,
+    Unauthenticated,
     /// Its bytes are no message of this version.
-    Unreadable,
+    Undecodable,
 }
 
 /// A message as bytes, not yet proved for a stream.
@@ -34,19 +34,19 @@
     /// The frame of a message.
     ///
     /// # Errors
-    /// When the message can't be encoded or is larger than [`FRAME_MOST`].
-    pub fn of<T: Serialize>(message: &T) -> Result<Self, Malformed> {
+    /// When the message can't be encoded or is larger than [`MAX_FRAME_BYTES`].
+    pub fn encode<T: Serialize>(message: &T) -> Result<Self, FrameError> {
         let bytes = bincode::serde::encode_to_vec(message, bincode::config::standard());
-        let bytes = bytes.map_err(|_| Malformed::Unreadable)?;
-        if bytes.len() > FRAME_MOST {
-            return Err(Malformed::TooLarge);
+        let bytes = bytes.map_err(|_| FrameError::Undecodable)?;
+        if bytes.len() > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLarge);
         }
         Ok(Self(bytes))
     }
 
     /// Bytes of a frame of its own on the connection: with its length, its proof and the head of HTTP/2.
     #[must_use]
-    pub fn cost(&self) -> usize {
+    pub fn wire_bytes(&self) -> usize {
         length_of(self.0.len()).len() + PROOF + self.0.len() + DATA_HEAD
     }
 }
@@ -68,7 +68,7 @@
     session: Session,
     buffer: BytesMut,
     /// True once a frame was proved.
-    pub proved: bool,
+    pub authenticated: bool,
     message: PhantomData<T>,
 }
 
@@ -76,7 +76,7 @@
     /// A codec for the stream with this session.
     #[must_use]
     pub fn new(session: Session) -> Self {
-        Self { session, buffer: BytesMut::new(), proved: false, message: PhantomData }
+        Self { session, buffer: BytesMut::new(), authenticated: false, message: PhantomData }
     }
 
     /// Appends a frame to `out`.
@@ -95,13 +95,13 @@
     ///
     /// # Errors
     /// When the frame is refused; the stream must then be closed.
-    pub fn read(&mut self) -> Result<Option<T>, Malformed> {
+    pub fn read(&mut self) -> Result<Option<T>, FrameError> {
         let Some((length, size)) = read_length(&self.buffer) else {
             // A length that is whole and still can't be read is no length.
-            return if self.buffer.len() < LENGTH_MOST { Ok(None) } else { Err(Malformed::Unreadable) };
+            return if self.buffer.len() < LENGTH_MOST { Ok(None) } else { Err(FrameError::Undecodable) };
         };
-        if length > FRAME_MOST {
-            return Err(Malformed::TooLarge);
+        if length > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLarge);
         }
         if self.buffer.len() < size + PROOF + length {
             return Ok(None);
@@ -110,13 +110,13 @@
         let proof = self.buffer.split_to(PROOF);
         let payload = self.buffer.split_to(length);
         if !self.session.check(&payload, &proof) {
-            return Err(Malformed::Unproved);
+            return Err(FrameError::Unauthenticated);
         }
-        self.proved = true;
-        let config = bincode::config::standard().with_limit::<{ 2 * FRAME_MOST }>();
+        self.authenticated = true;
+        let config = bincode::config::standard().with_limit::<{ 2 * MAX_FRAME_BYTES }>();
         match bincode::serde::decode_from_slice(&payload, config) {
             Ok((message, used)) if used == payload.len() => Ok(Some(message)),
-            _ => Err(Malformed::Unreadable),
+            _ => Err(FrameError::Undecodable),
         }
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -9,7 +9,7 @@
 mod link;
 mod listener;
 
-pub use frame::{Codec, Frame, Malformed, FRAME_MOST};
+pub use frame::{Codec, Frame, FrameError, MAX_FRAME_BYTES};
 pub use key::{Key, Session};
 pub use link::Link;
 pub use listener::Listener;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -61,7 +61,7 @@
 
     /// Sends a message, or drops it when too many wait. False says that it was dropped.
     pub fn send(&self, message: &T) -> bool {
-        let Ok(frame) = Frame::of(message) else {
+        let Ok(frame) = Frame::encode(message) else {
             metrics::counter!("cleatshelf_frames_dropped_total").increment(1);
             return false;
         };
@@ -74,7 +74,7 @@
 
     /// Bytes written to the peer so far, frames with their proofs.
     #[must_use]
-    pub fn bytes(&self) -> u64 {
+    pub fn bytes_sent(&self) -> u64 {
         self.sent.get()
     }
 }
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -1,6 +1,6 @@
 //! Messages from other boxes to this one.
 
-use crate::{Codec, Key, Malformed, VERSION};
+use crate::{Codec, FrameError, Key, VERSION};
 use bytes::Bytes;
 use h2::server::SendResponse;
 use h2::RecvStream;
@@ -65,7 +65,7 @@
 
     /// Bytes of frames taken in so far.
     #[must_use]
-    pub fn bytes(&self) -> u64 {
+    pub fn bytes_received(&self) -> u64 {
         self.received.get()
     }
 
@@ -130,13 +130,13 @@
         mut body: RecvStream,
         mut codec: Codec<T>,
         from: &str,
-    ) -> Result<(), (Malformed, bool)> {
+    ) -> Result<(), (FrameError, bool)> {
         loop {
             let Ok(Some(Ok(bytes))) = tokio::time::timeout(IDLE_MOST, body.data()).await else { return Ok(()) };
             let _ = body.flow_control().release_capacity(bytes.len());
             self.received.set(self.received.get() + bytes.len() as u64);
             codec.feed(&bytes);
-            while let Some(message) = codec.read().map_err(|m| (m, codec.proved))? {
+            while let Some(message) = codec.read().map_err(|m| (m, codec.authenticated))? {
                 (self.handler)(from, message);
             }
         }
@@ -150,14 +150,14 @@
     }
 }
 
-fn report(from: &str, malformed: Malformed, proved: bool) {
+fn report(from: &str, malformed: FrameError, proved: bool) {
     let why = match malformed {
-        Malformed::TooLarge => "large",
-        Malformed::Unproved => "unproved",
-        Malformed::Unreadable => "unreadable",
+        FrameError::TooLarge => "large",
+        FrameError::Unauthenticated => "unproved",
+        FrameError::Undecodable => "unreadable",
     };
     metrics::counter!("cleatshelf_frames_refused_total", "why" => why).increment(1);
-    if malformed == Malformed::Unproved && !proved {
+    if malformed == FrameError::Unauthenticated && !proved {
         telemetry::emit(Event::PeerUnproved, format_args!("from={from}"));
     } else {
         telemetry::emit(Event::FrameRefused, format_args!("from={from} why={why}"));
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
-use wire::{Codec, Frame, Key, Malformed, FRAME_MOST};
+use wire::{Codec, Frame, FrameError, Key, MAX_FRAME_BYTES};
 
 fn codec(secret: &str, from: &str) -> Codec<Vec<u32>> {
     Codec::new(Key::new(secret).session("challenge", from, "b"))
@@ -12,7 +12,7 @@
     let mut writer = codec("secret", "a");
     let mut out = BytesMut::new();
     for message in messages {
-        writer.write(&Frame::of(message).expect("a small message"), &mut out);
+        writer.write(&Frame::encode(message).expect("a small message"), &mut out);
     }
     out.freeze()
 }
@@ -37,24 +37,24 @@
     let bytes = written(&[vec![1]]);
     for mut reader in [codec("another", "a"), codec("secret", "c")] {
         reader.feed(&bytes);
-        assert_eq!(reader.read(), Err(Malformed::Unproved));
-        assert!(!reader.proved);
+        assert_eq!(reader.read(), Err(FrameError::Unauthenticated));
+        assert!(!reader.authenticated);
     }
     let mut reader = codec("secret", "a");
     reader.feed(&bytes);
     assert_eq!(reader.read(), Ok(Some(vec![1])));
     reader.feed(&bytes);
-    assert_eq!(reader.read(), Err(Malformed::Unproved), "the same frame a second time");
+    assert_eq!(reader.read(), Err(FrameError::Unauthenticated), "the same frame a second time");
 }
 
 #[test]
 fn too_large_a_frame_is_refused_before_it_is_taken_in() {
-    assert_eq!(Frame::of(&vec![u32::MAX; FRAME_MOST / 4]), Err(Malformed::TooLarge));
+    assert_eq!(Frame::encode(&vec![u32::MAX; MAX_FRAME_BYTES / 4]), Err(FrameError::TooLarge));
     let mut reader = codec("secret", "a");
     // 252 says that four bytes of the length follow.
-    let length = (FRAME_MOST as u32 + 1).to_le_bytes();
+    let length = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
     reader.feed(&Bytes::from([&[252], &length[..]].concat()));
-    assert_eq!(reader.read(), Err(Malformed::TooLarge));
+    assert_eq!(reader.read(), Err(FrameError::TooLarge));
 }
 
 #[test]
@@ -64,15 +64,15 @@
         reader.feed(&Bytes::from(vec![first; 4]));
         assert_eq!(reader.read(), Ok(None), "more might come");
         reader.feed(&Bytes::from(vec![first; 4]));
-        assert_eq!(reader.read(), Err(Malformed::Unreadable));
+        assert_eq!(reader.read(), Err(FrameError::Undecodable));
     }
 }
 
 #[test]
 fn a_small_frame_has_nine_bytes_around_it() {
-    let frame = Frame::of(&vec![1u32]).expect("a small message");
+    let frame = Frame::encode(&vec![1u32]).expect("a small message");
     assert_eq!(written(&[vec![1]]).len(), frame.0.len() + 9);
-    assert_eq!(frame.cost(), frame.0.len() + 9 + 9);
+    assert_eq!(frame.wire_bytes(), frame.0.len() + 9 + 9);
 }
 
 proptest! {
