--- a/crates/cleatshelf/src/router/advice.rs
+++ b/crates/cleatshelf/src/router/advice.rs
@@ -2,7 +2,10 @@
 
 use clock::Clock;
 use peers::{Millis, Profile, Silence};
-use placement::{Fingerprint, Leave, News, Opinion, Owner, Permit, Question, Record, Report, Sign, Statement};
+use placement::{
+    Fingerprint, LimitUpdate, LivenessEvidence, Owner, PermitReply, PermitRequest, SendReport, SendUpdate,
+    ServerStatus, StatusQuery, SuspectRecord,
+};
 use relay::PeerClient;
 use routing::{rank, rank_address, Server};
 use serde::{Deserialize, Serialize};
@@ -50,27 +53,27 @@
 /// Between boxes, about servers that one of them owns.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
-    Question(Question),
-    Opinion(Opinion),
-    Report(Report),
+    Question(StatusQuery),
+    Opinion(ServerStatus),
+    Report(SendReport),
     Permit {
-        permit: Permit,
+        permit: PermitRequest,
         hall: String,
     },
     Permitted {
         number: u64,
-        leave: Leave,
+        leave: PermitReply,
     },
     /// Requests under which servers ended, or that were found innocent, and servers that answer; `asks` for the same.
     Suspects {
-        records: Vec<Record>,
-        signs: Vec<Sign>,
+        records: Vec<SuspectRecord>,
+        signs: Vec<LivenessEvidence>,
         asks: bool,
     },
     /// What servers said of themselves to all boxes: lives that leave, and what lives take; `asks` for the same.
     Notices {
         leaving: Vec<String>,
-        limits: Vec<Statement>,
+        limits: Vec<LimitUpdate>,
         asks: bool,
     },
 }
@@ -121,9 +124,9 @@
     /// Which boxes aren't asked.
     silence: Silence,
     /// Who waits for opinions.
-    opinions: Waiting<Opinion>,
+    opinions: Waiting<ServerStatus>,
     /// Who waits for leaves.
-    leaves: Waiting<Leave>,
+    leaves: Waiting<PermitReply>,
     /// Who hears of a lease, until it has ended.
     leases: HashMap<u64, SocketAddr>,
 }
@@ -161,12 +164,12 @@
     }
 
     /// Gives or denies leave for a send to a server of `hall`.
-    fn grant(&self, state: &mut State, permit: &Permit, hall: &str, now: Millis) -> Leave {
+    fn grant(&self, state: &mut State, permit: &PermitRequest, hall: &str, now: Millis) -> PermitReply {
         let may = state.settled && now >= FIRST_LEAVE && state.granter_of(&permit.server, hall) == Some(self.me);
         if may {
-            state.owner.permit(permit, now)
+            state.owner.on_permit_request(permit, now)
         } else {
-            Leave::Denied { again: 0 }
+            PermitReply::Denied { retry_ms: 0 }
         }
     }
 
@@ -176,9 +179,9 @@
         let mut state = self.state();
         state.silence.heard(from);
         match message {
-            Message::Question(question) => Some(Message::Opinion(state.owner.ask(&question, now))),
+            Message::Question(question) => Some(Message::Opinion(state.owner.on_query(&question, now))),
             Message::Report(report) => {
-                state.owner.report(from, report, now);
+                state.owner.on_report(from, report, now);
                 None
             }
             Message::Permit { permit, hall } => {
@@ -241,14 +244,14 @@
 pub(super) struct Desk(pub(super) Arc<Advice>);
 
 impl PeerClient for Desk {
-    fn request_opinion(&self, server: &Server, question: Question) -> Option<oneshot::Receiver<Opinion>> {
+    fn request_opinion(&self, server: &Server, question: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>> {
         let advice = &self.0;
         let now = advice.now();
         let mut state = advice.state();
         let owner = state.owner_of(server, now)?;
         let (answer, waiting) = oneshot::channel();
         if owner == advice.me {
-            let opinion = state.owner.ask(&question, now);
+            let opinion = state.owner.on_query(&question, now);
             // The receiver is in this function.
             let _ = answer.send(opinion);
             return Some(waiting);
@@ -259,7 +262,7 @@
         Some(waiting)
     }
 
-    fn request_permit(&self, server: &Server, permit: Permit) -> Option<oneshot::Receiver<Leave>> {
+    fn request_permit(&self, server: &Server, permit: PermitRequest) -> Option<oneshot::Receiver<PermitReply>> {
         let advice = &self.0;
         let now = advice.now();
         let mut state = advice.state();
@@ -279,25 +282,25 @@
         Some(waiting)
     }
 
-    fn report(&self, server: &Server, report: Report) {
+    fn report(&self, server: &Server, report: SendReport) {
         let advice = &self.0;
         let now = advice.now();
         let mut state = advice.state();
-        let owner = match report.news {
-            News::Sent { .. } => {
+        let owner = match report.update {
+            SendUpdate::Sent { .. } => {
                 let owner = state.owner_of(server, now);
                 if let Some(owner) = owner {
                     state.leases.insert(report.number, owner);
                 }
                 owner
             }
-            News::Elsewhere { .. } => state.owner_of(server, now),
-            News::Read | News::Late => state.leases.get(&report.number).copied(),
-            News::Ended { .. } => state.leases.remove(&report.number),
+            SendUpdate::Elsewhere { .. } => state.owner_of(server, now),
+            SendUpdate::Read | SendUpdate::Late => state.leases.get(&report.number).copied(),
+            SendUpdate::Ended { .. } => state.leases.remove(&report.number),
         };
         let Some(owner) = owner else { return };
         if owner == advice.me {
-            state.owner.report(owner, report, now);
+            state.owner.on_report(owner, report, now);
             return;
         }
         drop(state);
@@ -311,7 +314,7 @@
         state.silence.missed(owner, now);
     }
 
-    fn broadcast_suspects(&self, records: Vec<Record>, signs: Vec<Sign>) {
+    fn broadcast_suspects(&self, records: Vec<SuspectRecord>, signs: Vec<LivenessEvidence>) {
         self.0.send(To::Each, Message::Suspects { records, signs, asks: false });
     }
 
@@ -319,7 +322,7 @@
         self.0.send(To::All, Message::Notices { leaving: vec![life.to_owned()], limits: Vec::new(), asks: false });
     }
 
-    fn broadcast_limit(&self, statement: &Statement) {
+    fn broadcast_limit(&self, statement: &LimitUpdate) {
         self.0.send(To::All, Message::Notices { leaving: Vec::new(), limits: vec![statement.clone()], asks: false });
     }
 
--- a/crates/cleatshelf/src/router/knowledge.rs
+++ b/crates/cleatshelf/src/router/knowledge.rs
@@ -268,7 +268,7 @@
         let doubted = copy.lives_beyond(former);
         let kept = format!("lapsed={} doubted={}", list(copy.lapsed.iter().cloned()), list(doubted.iter().cloned()));
         self.log_restored(Subject::Directory, (former.position, state.heard), copy.position, &kept);
-        self.shared.placement().doubt(&doubted, self.shared.now() + DOUBT);
+        self.shared.placement().mark_unconfirmed(&doubted, self.shared.now() + DOUBT);
     }
 
     /// What the list of servers with these digests lacks of this box's, packed; none where this box's isn't newer.
@@ -330,7 +330,7 @@
         let mut placement = self.shared.placement();
         for change in changes {
             if let Change::Present(server) = change {
-                placement.trust(&server.id);
+                placement.confirm_instance(&server.id);
             }
         }
     }
--- a/crates/cleatshelf/src/router/operators.rs
+++ b/crates/cleatshelf/src/router/operators.rs
@@ -88,9 +88,10 @@
         let directory = self.knowledge.directory();
         let servers: Vec<_> = directory.servers.values().collect();
         let held: Vec<String> = self.shared.quarantine().held().map(|request| request.to_string()).collect();
-        let resting = self.shared.placement().resting(self.shared.now());
-        let statements = self.shared.placement().statements();
-        let limited: BTreeMap<String, String> = statements.into_iter().map(|s| (s.life, s.limit.to_string())).collect();
+        let resting = self.shared.placement().backing_off(self.shared.now());
+        let statements = self.shared.placement().limit_updates();
+        let limited: BTreeMap<String, String> =
+            statements.into_iter().map(|s| (s.instance, s.limit.to_string())).collect();
         serde_json::json!({
             "ready": self.shared.is_ready(),
             "stopping": self.shared.is_stopping(),
--- a/crates/cleatshelf/src/router/peering.rs
+++ b/crates/cleatshelf/src/router/peering.rs
@@ -5,7 +5,7 @@
 use super::knowledge::{Knowledge, News, Origin};
 use super::packing::encode;
 use peers::{Action, Message, Millis, Peers, Watch};
-use placement::{Sign, Statement};
+use placement::{LimitUpdate, LivenessEvidence};
 use relay::Shared;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -157,7 +157,7 @@
     }
 
     /// Takes what another box heard of servers, and passes on what is new here.
-    fn hear_notices(&self, from: SocketAddr, leaving: &[String], limits: Vec<Statement>) {
+    fn hear_notices(&self, from: SocketAddr, leaving: &[String], limits: Vec<LimitUpdate>) {
         let leaving = self.shared.on_peer_leaving(leaving);
         let limits = self.shared.on_peer_limits(limits);
         if leaving.is_empty() && limits.is_empty() {
@@ -265,12 +265,12 @@
         if self.taken.replace(Some(now)) == Some(now) {
             return;
         }
-        self.shared.placement().set_boxes(peers.boxes());
+        self.shared.placement().set_box_count(peers.boxes());
         self.advice.set_boxes(peers.list(), peers.settled());
     }
 
     /// Tells a box which requests are held, or were found innocent, and which servers live; `asks` for what that one knows.
-    fn send_suspects(&self, to: SocketAddr, signs: Vec<Sign>, asks: bool) {
+    fn send_suspects(&self, to: SocketAddr, signs: Vec<LivenessEvidence>, asks: bool) {
         let records = self.shared.quarantine().records(self.shared.now());
         self.send(to, &Envelope::Advice(advice::Message::Suspects { records, signs, asks }));
     }
@@ -279,7 +279,7 @@
     fn send_notices(&self, to: SocketAddr, asks: bool) {
         let (leaving, limits) = {
             let placement = self.shared.placement();
-            (placement.leaving(), placement.statements())
+            (placement.leaving(), placement.limit_updates())
         };
         self.send(to, &Envelope::Advice(advice::Message::Notices { leaving, limits, asks }));
     }
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -10,7 +10,7 @@
 use clock::Clock;
 use eyre::WrapErr;
 use peers::{Peers, Profile, Watch};
-use placement::{Budget, Placement};
+use placement::{Placement, RetryBudget};
 use relay::{Frontend, ReadinessServer, Shared};
 use routing::{rank, Publisher, Subject};
 use std::net::{SocketAddr, TcpListener};
@@ -40,7 +40,7 @@
 async fn run(settings: Settings, path: PathBuf, lines: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
     let scrape = PrometheusRecorder::install()?;
     let window = settings.retry_window.as_millis() as u64;
-    let budget = Budget::new(settings.retry_ratio, settings.retry_slack, window);
+    let budget = RetryBudget::new(settings.retry_ratio, settings.retry_slack, window);
     let placement = Placement::new(&settings.hall, budget)
         .with_allowance(settings.cold)
         .with_regions(settings.regions.clone())
--- a/crates/cleatshelf/src/router/settings.rs
+++ b/crates/cleatshelf/src/router/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::{address, check_link_key};
 use catalog::{Fault, TableReader};
-use placement::Allowance;
+use placement::ColdAllowance;
 use routing::Regions;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     /// Window over which second sends are counted.
     pub retry_window: Duration,
     /// What all boxes may send to a server that has just started, or turned cold.
-    pub cold: Allowance,
+    pub cold: ColdAllowance,
     /// The region of each hall. A request that may run in some regions only is not sent to halls that aren't named.
     pub regions: Regions,
 }
@@ -53,9 +53,9 @@
     processor.min(link) as u32
 }
 
-fn cold(reader: &mut TableReader<'_>) -> Allowance {
-    let base = Allowance::default();
-    Allowance {
+fn cold(reader: &mut TableReader<'_>) -> ColdAllowance {
+    let base = ColdAllowance::default();
+    ColdAllowance {
         ratio: reader.number_opt("cold_ratio", &(0.0..=100.0)).unwrap_or(base.ratio),
         slack: reader.number_opt("cold_slack", &(0.0..=1_000_000.0)).unwrap_or(base.slack),
     }
--- a/crates/model/src/prompts.rs
+++ b/crates/model/src/prompts.rs
@@ -56,8 +56,8 @@
         let prompt = Prompt {
             model: "m".to_owned(),
             tokens: class.shared_tokens + tokens,
-            out_most: most as u32,
-            out_hint: Some((out * guess.sample(&mut rng)).clamp(1.0, most) as u32),
+            max_out_tokens: most as u32,
+            out_tokens_hint: Some((out * guess.sample(&mut rng)).clamp(1.0, most) as u32),
             parts,
         };
         let luck = rng.random();
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -2,7 +2,8 @@
 
 use crate::{Arm, Class, Deployment};
 use placement::{
-    Ask, Budget, Choice, InForce, Leave, Millis, Opinion, Owner, Permit, Placement, Prompt, Question, Refusal,
+    Choice, Millis, Owner, PermitReply, PermitRequest, Placement, PlacementRequest, Prompt, Refusal, RetryBudget,
+    ServerStatus, Snapshot, StatusQuery,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -55,14 +56,14 @@
 
 impl Router {
     pub(crate) fn new(hall: &str, seed: u64) -> Self {
-        let placement = Placement::new(hall, Budget::new(0.2, 50.0, 10_000)).with_seed(seed);
+        let placement = Placement::new(hall, RetryBudget::new(0.2, 50.0, 10_000)).with_seed(seed);
         Self { hall: hall.to_owned(), placement }
     }
 
     /// Takes what is in force.
     pub(crate) fn update(&mut self, table: &Table, directory: &Directory, now: Millis) {
         let evacuations = Evacuations::default();
-        self.placement.update(&InForce { table, directory, evacuations: &evacuations }, now);
+        self.placement.update(&Snapshot { table, directory, evacuations: &evacuations }, now);
     }
 
     /// Chooses an engine.
@@ -81,45 +82,52 @@
         }
         let ask = ask(request, &tried, &[]);
         let opinions = if around.arm == Arm::WithoutOwners { Vec::new() } else { self.consult(&ask, request, around) };
-        let mut choice = self.with_leave(&Ask { opinions: &opinions, ..ask }, around)?;
+        let mut choice = self.with_leave(&PlacementRequest { statuses: &opinions, ..ask }, around)?;
         match around.arm {
             Arm::WithoutFetching => choice.fetch = None,
-            Arm::WithoutRegisters => choice.registers.clear(),
+            Arm::WithoutRegisters => choice.cache_directories.clear(),
             _ => {}
         }
         Ok(choice)
     }
 
     /// Chooses until an engine is found that needs no leave, or for which leave is given.
-    fn with_leave(&mut self, ask: &Ask<'_>, around: &mut Around<'_>) -> Result<Choice, Refused> {
+    fn with_leave(&mut self, ask: &PlacementRequest<'_>, around: &mut Around<'_>) -> Result<Choice, Refused> {
         let mut denied = Vec::new();
         loop {
-            let choice = self.placement.choose(&Ask { denied: &denied, ..*ask });
+            let choice = self.placement.choose(&PlacementRequest { denied: &denied, ..*ask });
             let choice = choice.map_err(|refusal| Refused(back_ms(refusal, around.rng)))?;
-            let Some(quotas) = choice.leave else { return Ok(choice) };
+            let Some(quotas) = choice.permit_quotas else { return Ok(choice) };
             *around.questions += 1;
             let id = choice.server.id.clone();
-            let permit = Permit { number: *around.questions, server: id.clone(), quotas, urgency: ask.urgency };
-            match around.owner.permit(&permit, ask.now) {
-                Leave::Given => return Ok(choice),
-                Leave::Denied { again } => self.placement.spent(SERVICE, &id, ask.urgency, ask.now + again),
+            let permit = PermitRequest { number: *around.questions, server: id.clone(), quotas, urgency: ask.urgency };
+            match around.owner.on_permit_request(&permit, ask.now) {
+                PermitReply::Granted => return Ok(choice),
+                PermitReply::Denied { retry_ms: again } => {
+                    self.placement.record_denial(SERVICE, &id, ask.urgency, ask.now + again)
+                }
             }
             denied.push(id);
         }
     }
 
-    fn consult(&mut self, ask: &Ask<'_>, request: Request<'_>, around: &mut Around<'_>) -> Vec<(String, Opinion)> {
+    fn consult(
+        &mut self,
+        ask: &PlacementRequest<'_>,
+        request: Request<'_>,
+        around: &mut Around<'_>,
+    ) -> Vec<(String, ServerStatus)> {
         let mut opinions = Vec::new();
-        for server in self.placement.plan(ask, OWNERS_ASKED) {
+        for server in self.placement.servers_to_query(ask, OWNERS_ASKED) {
             *around.questions += 1;
-            let question = Question {
+            let question = StatusQuery {
                 number: *around.questions,
                 server: server.id.clone(),
                 parts: request.prompt.parts.clone(),
                 gap_ms: request.class.gap_ms as u32,
             };
-            let opinion = around.owner.ask(&question, request.now);
-            self.placement.hear(SERVICE, &server.id, opinion.clone(), request.now);
+            let opinion = around.owner.on_query(&question, request.now);
+            self.placement.on_status(SERVICE, &server.id, opinion.clone(), request.now);
             opinions.push((server.id.clone(), opinion));
         }
         opinions
@@ -143,25 +151,25 @@
     }
 }
 
-fn ask<'a>(request: Request<'a>, tried: &'a [String], opinions: &'a [(String, Opinion)]) -> Ask<'a> {
-    Ask {
+fn ask<'a>(request: Request<'a>, tried: &'a [String], opinions: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: SERVICE,
         prompt: Some(request.prompt),
-        aim: Duration::from_secs_f64(request.class.aim_ms / 1e3),
-        gap_aim: Some(Duration::from_secs_f64(request.class.gap_ms / 1e3)),
+        target: Duration::from_secs_f64(request.class.aim_ms / 1e3),
+        gap_limit: Some(Duration::from_secs_f64(request.class.gap_ms / 1e3)),
         urgency: request.class.urgency,
         bytes: request.prompt.tokens as usize * 4,
         tried,
         denied: &[],
-        homes: [None, None],
-        opinions,
+        allowed_regions: [None, None],
+        statuses: opinions,
         now: request.now,
     }
 }
 
 fn running(server: &Server, now: Millis, around: &mut Around<'_>) -> u32 {
-    let question = Question { number: 0, server: server.id.clone(), parts: Vec::new(), gap_ms: 0 };
-    around.owner.ask(&question, now).load.running
+    let question = StatusQuery { number: 0, server: server.id.clone(), parts: Vec::new(), gap_ms: 0 };
+    around.owner.on_query(&question, now).load.running
 }
 
 /// The engine with the fewest requests of all boxes.
@@ -198,11 +206,11 @@
         server,
         fetch: None,
         work,
-        expected: placement::Expectation::default(),
+        estimate: placement::CostEstimate::default(),
         load: placement::Load::default(),
         candidates: 0,
-        registers: Vec::new(),
-        leave: None,
+        cache_directories: Vec::new(),
+        permit_quotas: None,
     }
 }
 
@@ -210,8 +218,8 @@
 fn back_ms(refusal: Refusal, rng: &mut ChaCha8Rng) -> Millis {
     let spread = rng.random_range(1.0..2.0);
     match refusal {
-        Refusal::Crowded { wait_ms } => ((wait_ms + CROWD_MS as f64) * spread) as Millis,
-        Refusal::Resting { back_ms } | Refusal::Limited { back_ms } => back_ms.max(COME_BACK_MS),
+        Refusal::Overloaded { wait_ms } => ((wait_ms + CROWD_MS as f64) * spread) as Millis,
+        Refusal::BackingOff { retry_ms: back_ms } | Refusal::Limited { retry_ms: back_ms } => back_ms.max(COME_BACK_MS),
         Refusal::NoServer | Refusal::Cold => COME_BACK_MS,
     }
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -6,7 +6,7 @@
 use crate::prompts::wishes;
 use crate::router::{table, Around, Refused, Request, Router, SERVICE};
 use crate::{Arm, Deployment, FaultKind, Micros, Outcome};
-use placement::{Choice, Ending, Limit, Millis, News, Owner, Part, Report, Statement};
+use placement::{Choice, Ending, Limit, LimitUpdate, Millis, Owner, Part, SendReport, SendUpdate};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -60,7 +60,7 @@
     /// The list of engines changes.
     Listed(Change),
     /// What an engine said of its limit reaches all boxes but the one that it told.
-    Told(usize, Statement),
+    Told(usize, LimitUpdate),
 }
 
 /// One send of a request to an engine.
@@ -293,9 +293,9 @@
         call.send = Some(send);
         let (from, prompt, work) = (call.at_box, call.wish.prompt.clone(), choice.work);
         let placement = &mut self.boxes[from].placement;
-        placement.begin(SERVICE, &choice.server.id, work);
+        placement.record_sent(SERVICE, &choice.server.id, work);
         let memory = (self.deployment.make.memory_tokens as f64 * KEPT_SHARE) as u64;
-        let news = News::Sent { parts: prompt.parts, work, memory, permitted: choice.leave.is_some() };
+        let news = SendUpdate::Sent { parts: prompt.parts, work, memory, permitted: choice.permit_quotas.is_some() };
         self.tell(from, send, &choice.server.id, news);
         let life = life_of(&choice.server);
         let sent = Send { call: number, engine, life, choice, fetched: 0, began: self.now, read: false, late: false };
@@ -304,9 +304,9 @@
         self.after(way, Event::Arrive(send));
     }
 
-    fn tell(&mut self, from: usize, number: u64, server: &str, news: News) {
-        let report = Report { number, server: server.to_owned(), news };
-        self.owner.report(address(from), report, self.now / 1_000);
+    fn tell(&mut self, from: usize, number: u64, server: &str, news: SendUpdate) {
+        let report = SendReport { number, server: server.to_owned(), update: news };
+        self.owner.on_report(address(from), report, self.now / 1_000);
     }
 
     /// A send reaches its engine; what it fetches from another comes first.
@@ -396,21 +396,21 @@
         call.last = Some(self.now);
         call.pause = call.pause.max(pause);
         let late = pause > ms(class.gap_ms) && !std::mem::replace(&mut send.late, true);
-        let registers = if first { std::mem::take(&mut send.choice.registers) } else { Vec::new() };
+        let registers = if first { std::mem::take(&mut send.choice.cache_directories) } else { Vec::new() };
         let (from, prompt) = (call.at_box, call.wish.prompt.clone());
         if first {
             let placement = &mut self.boxes[from].placement;
-            placement.read(SERVICE, &id, work);
-            placement.confirm(SERVICE, &id, &prompt);
-            self.tell(from, number, &id, News::Read);
+            placement.record_prefilled(SERVICE, &id, work);
+            placement.record_cached(SERVICE, &id, &prompt);
+            self.tell(from, number, &id, SendUpdate::Read);
             self.hear(from, engine, &id, began);
         }
         for (register, part) in registers {
-            self.tell(from, 0, &register.id, News::Elsewhere { part, by: id.clone() });
+            self.tell(from, 0, &register.id, SendUpdate::Elsewhere { part, by: id.clone() });
         }
         if late {
-            self.boxes[from].placement.late(SERVICE, &id, work);
-            self.tell(from, number, &id, News::Late);
+            self.boxes[from].placement.record_late(SERVICE, &id, work);
+            self.tell(from, number, &id, SendUpdate::Late);
         }
         if made == Made::Last {
             self.over(number, Ending::Good);
@@ -423,16 +423,16 @@
         let heeds = self.arm.places() && self.arm != Arm::WithoutLimits;
         let limit = self.places[engine].limit;
         let now = self.millis();
-        let told = heeds.then(|| self.boxes[from].placement.limits(id, limit, sent / 1_000, now)).flatten();
+        let told = heeds.then(|| self.boxes[from].placement.record_limit(id, limit, sent / 1_000, now)).flatten();
         if let Some(statement) = told {
             self.after(ms(self.deployment.far_ms), Event::Told(from, statement));
         }
     }
 
-    fn told(&mut self, from: usize, statement: &Statement) {
+    fn told(&mut self, from: usize, statement: &LimitUpdate) {
         let now = self.millis();
         for (_, one) in self.boxes.iter_mut().enumerate().filter(|(index, _)| *index != from) {
-            one.placement.hear_limit(statement, now);
+            one.placement.on_limit_update(statement, now);
         }
     }
 
@@ -446,13 +446,13 @@
         let now = self.millis();
         let placement = &mut self.boxes[from].placement;
         if !send.read {
-            placement.read(SERVICE, &id, work);
+            placement.record_prefilled(SERVICE, &id, work);
         }
         if !send.late {
-            placement.late(SERVICE, &id, work);
+            placement.record_late(SERVICE, &id, work);
         }
-        placement.end(SERVICE, &id, work, ending, now);
-        self.tell(from, number, &id, News::Ended { ending, pause_ms });
+        placement.record_end(SERVICE, &id, work, ending, now);
+        self.tell(from, number, &id, SendUpdate::Ended { ending, pause_ms });
     }
 
     /// A send's engine has ended: the request goes to another, if it may.
--- a/crates/placement/examples/choose.rs
+++ b/crates/placement/examples/choose.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{route, server, service, MODEL};
-use placement::{Ask, Budget, Opinion, Part, Placement, Prompt};
+use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget, ServerStatus};
 use routing::{Server, Table};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
         let id = format!("i-{index:010x}");
         Server { name: id.clone(), id, slots: 32, ..server(index, &format!("hall-{}", index % 5)) }
     };
-    let mut placement = Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000));
     let table = Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(32, 8, None)]);
     common::update(&mut placement, &table, (0..ENGINES).map(engine).collect(), &[], 0);
     placement
@@ -35,26 +35,27 @@
     let mut took = Duration::ZERO;
     for index in 0..CHOICES {
         let parts = vec![Part { id: index % 60, tokens: shared }, Part { id: 10_000 + index, tokens: 3_000 }];
-        let prompt = Prompt { model: "m".to_owned(), tokens: shared + 3_000, out_most: 200, out_hint: None, parts };
-        let ask = Ask {
+        let prompt =
+            Prompt { model: "m".to_owned(), tokens: shared + 3_000, max_out_tokens: 200, out_tokens_hint: None, parts };
+        let ask = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
-            aim: Duration::from_millis(1_500),
-            gap_aim: Some(Duration::from_millis(500)),
+            target: Duration::from_millis(1_500),
+            gap_limit: Some(Duration::from_millis(500)),
             urgency: 0,
             bytes: 17_000,
             tried: &[],
             denied: &[],
-            homes: [None, None],
-            opinions: &[],
+            allowed_regions: [None, None],
+            statuses: &[],
             now: index * 300,
         };
         let began = Instant::now();
-        let planned = placement.plan(&ask, ASKED);
+        let planned = placement.servers_to_query(&ask, ASKED);
         took += began.elapsed();
-        let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), Opinion::default())).collect();
+        let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
         let began = Instant::now();
-        let choice = placement.choose(&Ask { opinions: &opinions, ..ask });
+        let choice = placement.choose(&PlacementRequest { statuses: &opinions, ..ask });
         took += began.elapsed();
         let _ = black_box(choice);
     }
--- a/crates/placement/examples/slopes.rs
+++ b/crates/placement/examples/slopes.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{route, server, service, MODEL};
-use placement::{Ask, Budget, InForce, Opinion, Part, Placement, Prompt};
+use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget, ServerStatus, Snapshot};
 use routing::{Change, Directory, Evacuations, Position, Server, Table};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -37,24 +37,24 @@
 
 fn choose(placement: &mut Placement, round: u64) -> Duration {
     let parts = vec![Part { id: round % 60, tokens: 13_000 }, Part { id: 10_000 + round, tokens: 3_000 }];
-    let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, out_most: 200, out_hint: None, parts };
-    let ask = Ask {
+    let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
+    let ask = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
-        aim: Duration::from_millis(1_500),
-        gap_aim: Some(Duration::from_millis(500)),
+        target: Duration::from_millis(1_500),
+        gap_limit: Some(Duration::from_millis(500)),
         urgency: 0,
         bytes: 17_000,
         tried: &[],
         denied: &[],
-        homes: [None, None],
-        opinions: &[],
+        allowed_regions: [None, None],
+        statuses: &[],
         now: round * 300,
     };
     let began = Instant::now();
-    let planned = placement.plan(&ask, ASKED);
-    let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), Opinion::default())).collect();
-    let _ = black_box(placement.choose(&Ask { opinions: &opinions, ..ask }));
+    let planned = placement.servers_to_query(&ask, ASKED);
+    let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
+    let _ = black_box(placement.choose(&PlacementRequest { statuses: &opinions, ..ask }));
     began.elapsed()
 }
 
@@ -64,11 +64,11 @@
         let table = table();
         let mut directory = Directory::default();
         directory.apply((0..size).map(|index| Change::Present(entry(index))).collect(), Position::new(0, 1));
-        let mut placement = Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000));
+        let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000));
         let evacuations = Evacuations::default();
         let put = |placement: &mut Placement, directory: &Directory, now: u64| {
             let began = Instant::now();
-            placement.update(&InForce { table: &table, directory, evacuations: &evacuations }, now);
+            placement.update(&Snapshot { table: &table, directory, evacuations: &evacuations }, now);
             began.elapsed()
         };
         put(&mut placement, &directory, 0);
--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -4,7 +4,7 @@
 //! It is refused at once instead, the less urgent ones before the more urgent.
 
 use crate::turns::{index, Each};
-use crate::{Ask, Millis};
+use crate::{Millis, PlacementRequest};
 
 /// How long a class counts as present after its last request.
 const PRESENT: Millis = 2_000;
@@ -26,9 +26,9 @@
     ///
     /// Each more urgent class that is present halves, thirds, … what a class may wait, so that it is refused before
     /// them.
-    pub(crate) fn admits(&self, ask: &Ask<'_>, wait_ms: f64) -> bool {
+    pub(crate) fn admits(&self, ask: &PlacementRequest<'_>, wait_ms: f64) -> bool {
         let present = |seen: &&Option<Millis>| seen.is_some_and(|at| ask.now < at + PRESENT);
         let more_urgent = self.seen[..index(ask.urgency)].iter().filter(present).count();
-        wait_ms <= ask.aim.as_secs_f64() * 1e3 / (1.0 + more_urgent as f64)
+        wait_ms <= ask.target.as_secs_f64() * 1e3 / (1.0 + more_urgent as f64)
     }
 }
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -12,7 +12,7 @@
 
 /// This box's part of the bound on second sends to one service, over a sliding window.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Second sends allowed for each first one.
     ratio: f64,
     /// Second sends allowed besides, by all boxes together.
@@ -24,7 +24,7 @@
     second: VecDeque<Millis>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of `ratio` second sends for each first and `slack` besides, over `window`.
     #[must_use]
     pub fn new(ratio: f64, slack: f64, window: Millis) -> Self {
@@ -32,13 +32,13 @@
     }
 
     /// Counts a first send.
-    pub fn first(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.first.push_back(now);
         self.forget(now);
     }
 
     /// Takes a second send if this box, one of `boxes`, may make one.
-    pub fn take(&mut self, boxes: usize, now: Millis) -> bool {
+    pub fn take_retry(&mut self, boxes: usize, now: Millis) -> bool {
         self.forget(now);
         let own_slack = self.slack * SLACK_USED / boxes.max(1) as f64;
         let allowed = own_slack + self.ratio * RATIO_USED * self.first.len() as f64;
--- a/crates/placement/src/harm.rs
+++ b/crates/placement/src/harm.rs
@@ -33,11 +33,14 @@
 
 /// How many answers running beside it become late when `work` is added to a load.
 pub(crate) fn to_others(load: &Load, work: &Work, speed: &Speed) -> f64 {
-    if work.reading.tokens == 0 {
+    if work.prefill.tokens == 0 {
         return 0.0;
     }
-    let before = speed.stall(load.reading);
-    let after = speed.stall(load.reading.and(work.reading));
+    let before = speed.expected_stall_ms(load.prefill);
+    let after = speed.expected_stall_ms(load.prefill.plus(work.prefill));
     let late = |gap_ms: u32, ms: f64| exceeds(ms, f64::from(gap_ms));
-    load.paces.iter().map(|(gap, count)| f64::from(*count) * (late(*gap, after) - late(*gap, before)).max(0.0)).sum()
+    load.gap_limits
+        .iter()
+        .map(|(gap, count)| f64::from(*count) * (late(*gap, after) - late(*gap, before)).max(0.0))
+        .sum()
 }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -45,7 +45,7 @@
 
 impl Health {
     /// Takes in how a send ended.
-    pub fn note(&mut self, ending: Ending, now: Millis) {
+    pub fn record(&mut self, ending: Ending, now: Millis) {
         match ending {
             Ending::Good => self.answered(0.0),
             Ending::Failed => self.answered(1.0),
@@ -72,7 +72,7 @@
 
     /// True while the server is left alone.
     #[must_use]
-    pub fn paused(&self, now: Millis) -> bool {
+    pub fn is_paused(&self, now: Millis) -> bool {
         now < self.pause_until
     }
 
@@ -84,18 +84,18 @@
 
     /// True when the next request is the first after a pause.
     #[must_use]
-    pub fn on_trial(&self, now: Millis) -> bool {
-        self.pause > 0 && !self.paused(now)
+    pub fn is_half_open(&self, now: Millis) -> bool {
+        self.pause > 0 && !self.is_paused(now)
     }
 
     /// A request tries the server after a pause: no other does until it has ended, or for a while.
-    pub fn try_now(&mut self, now: Millis) {
+    pub fn begin_probe(&mut self, now: Millis) {
         self.pause_until = now + self.pause;
     }
 
     /// The share of sends that failed lately.
     #[must_use]
-    pub fn failing(&self) -> f64 {
+    pub fn failure_ratio(&self) -> f64 {
         self.failing
     }
 }
--- a/crates/placement/src/kept.rs
+++ b/crates/placement/src/kept.rs
@@ -14,22 +14,22 @@
 
 /// Parts believed to be in one server's memory; the ones unused for longest are forgotten first.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct CachedParts {
     parts: HashMap<u64, Entry>,
     /// Sum of the parts' tokens.
     tokens: u64,
 }
 
-impl Kept {
+impl CachedParts {
     /// Tokens of `parts`, from the first on without a gap, that are kept or will be when they are needed.
     #[must_use]
-    pub fn prefix(&self, parts: &[Part]) -> u32 {
+    pub fn cached_prefix(&self, parts: &[Part]) -> u32 {
         self.count(parts, |_| true)
     }
 
     /// Tokens of `parts`, from the first on without a gap, that have surely been read.
     #[must_use]
-    pub fn read_prefix(&self, parts: &[Part]) -> u32 {
+    pub fn confirmed_prefix(&self, parts: &[Part]) -> u32 {
         self.count(parts, |entry| entry.read)
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Drops those of `parts` that nobody has read.
-    pub fn forget_unread(&mut self, parts: &[Part]) {
+    pub fn remove_unread(&mut self, parts: &[Part]) {
         for part in parts {
             if self.parts.get(&part.id).is_some_and(|entry| !entry.read) {
                 let entry = self.parts.remove(&part.id);
@@ -64,7 +64,7 @@
     }
 
     /// Notes that `parts` have been read.
-    pub fn confirm(&mut self, parts: &[Part]) {
+    pub fn mark_read(&mut self, parts: &[Part]) {
         for part in parts {
             if let Some(entry) = self.parts.get_mut(&part.id) {
                 entry.read = true;
--- a/crates/placement/src/learner.rs
+++ b/crates/placement/src/learner.rs
@@ -1,7 +1,7 @@
 //! Learns one engine's speed from what is seen of its answers.
 
 use crate::fit::Fit;
-use crate::{Reading, Speed};
+use crate::{Prefill, Speed};
 
 /// How much the newest observation of a mean counts: about the last ten do.
 const NEWEST: f32 = 0.1;
@@ -52,7 +52,7 @@
 
 /// Learns one engine's [`Speed`].
 #[derive(Clone, Debug)]
-pub struct Learner {
+pub struct SpeedEstimator {
     /// Over one, thousands of tokens and millions of pairs.
     reading: Fit<3>,
     /// Over one and thousands of tokens that stand before what is read.
@@ -61,7 +61,7 @@
     speed: Speed,
 }
 
-impl Default for Learner {
+impl Default for SpeedEstimator {
     fn default() -> Self {
         let speed = Speed::default();
         Self {
@@ -73,7 +73,7 @@
     }
 }
 
-impl Learner {
+impl SpeedEstimator {
     /// What was learned.
     #[must_use]
     pub fn speed(&self) -> Speed {
@@ -81,8 +81,8 @@
     }
 
     /// A first event came so long after the send, when all of `reading` had to be read before it.
-    pub fn first_event(&mut self, reading: Reading, took_ms: f64) {
-        self.reading.learn(&[1.0, reading.tokens as f64 / 1e3, reading.pairs_k as f64 / 1e3], took_ms, 1.0);
+    pub fn record_first_event(&mut self, reading: Prefill, took_ms: f64) {
+        self.reading.learn(&[1.0, reading.tokens as f64 / 1e3, reading.attention_pairs_k as f64 / 1e3], took_ms, 1.0);
         let [base, read, pair] = self.reading.weights().map(|weight| weight as f32);
         self.speed.base_ms = base;
         self.speed.read_ms = read;
@@ -91,14 +91,14 @@
     }
 
     /// An answer's longest pause was this long, and the most that was read beside it was `reading`.
-    pub fn pause(&mut self, reading: Reading, pause_ms: f64) {
+    pub fn record_pause(&mut self, reading: Prefill, pause_ms: f64) {
         if reading.tokens == 0 {
             self.speed.calm_ms += (pause_ms as f32 - self.speed.calm_ms) * NEWEST;
             return;
         }
-        let took = self.speed.read(reading);
+        let took = self.speed.prefill_ms(reading);
         self.peak.note(pause_ms);
-        if took < BOUND_BY_STEPS * self.speed.longest_stall(reading).min(self.peak.most()) {
+        if took < BOUND_BY_STEPS * self.speed.max_stall_ms(reading).min(self.peak.most()) {
             return;
         }
         // The first guess is no better than the first pauses, whichever way they differ from it.
@@ -111,7 +111,7 @@
     }
 
     /// An answer that was expected to have so many tokens took this long after its first event.
-    pub fn answer(&mut self, tokens: u32, took_ms: f64) {
+    pub fn record_answer(&mut self, tokens: u32, took_ms: f64) {
         if tokens > 0 {
             let per_token = (took_ms / f64::from(tokens)) as f32;
             self.speed.out_ms += (per_token - self.speed.out_ms) * NEWEST;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Placement`] knows the servers of every service, what this box has running there, what other
 //! boxes said of theirs, and how servers behaved lately. It weighs the expected wait, the prompt
-//! parts that a server would have to read, memory and distance. A [`Budget`] bounds second sends.
+//! parts that a server would have to read, memory and distance. A [`RetryBudget`] bounds second sends.
 //! No I/O and no clock: the time is an argument.
 
 mod admission;
@@ -40,22 +40,22 @@
 mod warmth;
 mod weigh;
 
-pub use ask::{Ask, Choice, Expectation, Refusal};
-pub use budget::Budget;
+pub use ask::{Choice, CostEstimate, PlacementRequest, Refusal};
+pub use budget::RetryBudget;
 pub use fingerprint::Fingerprint;
 pub use health::{Ending, Health};
-pub use kept::Kept;
-pub use learner::Learner;
-pub use limit::{Limit, Statement};
-pub use load::{Load, Reading, Work};
-pub use owner::{News, Opinion, Owner, Question, Report};
-pub use permit::{Leave, Permit, Quota, Quotas};
-pub use placement::{InForce, Placement};
+pub use kept::CachedParts;
+pub use learner::SpeedEstimator;
+pub use limit::{Limit, LimitUpdate};
+pub use load::{Load, Prefill, Work};
+pub use owner::{Owner, SendReport, SendUpdate, ServerStatus, StatusQuery};
+pub use permit::{PermitReply, PermitRequest, Quota, Quotas};
+pub use placement::{Placement, Snapshot};
 pub use prompt::{Part, Prompt};
-pub use quarantine::{Change, End, Quarantine, Record, Sign, Verdict};
+pub use quarantine::{Change, LivenessEvidence, Quarantine, SuspectRecord, Termination, Verdict};
 pub use speed::Speed;
-pub use standing::Standing;
-pub use warmth::{Allowance, Break};
+pub use standing::AdmissionState;
+pub use warmth::{ColdAllowance, Disconnect};
 
 /// Milliseconds of a clock that never goes back.
 pub type Millis = u64;
--- a/crates/placement/src/limit.rs
+++ b/crates/placement/src/limit.rs
@@ -51,15 +51,16 @@
         let most = per_s.floor().max(1.0);
         // A conversion that saturates.
         let within = if per_s > 0.0 { (most / per_s * 1e3).ceil() as Millis } else { LONGEST };
-        Some(Quota { most: most as u32, within: within.min(LONGEST) })
+        Some(Quota { max_requests: most as u32, window: within.min(LONGEST) })
     }
 }
 
 /// What a life said of its limit, as boxes tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Statement {
+pub struct LimitUpdate {
     /// Id of the life.
-    pub life: String,
+    #[serde(rename = "life")]
+    pub instance: String,
     /// What it says.
     pub limit: Limit,
     /// Rises with each change; of two statements the one with the higher number holds, else the stricter.
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -7,7 +7,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
     /// What the server must read before the first answer.
-    pub reading: Reading,
+    #[serde(rename = "reading")]
+    pub prefill: Prefill,
     /// Tokens of memory that it holds while it runs.
     pub held: u32,
     /// Tokens that it is expected to generate.
@@ -22,26 +23,27 @@
 
 /// Prompt tokens that are still to be read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reading {
+pub struct Prefill {
     /// How many.
     pub tokens: u64,
     /// Thousands of pairs of one of them and a token before it: an engine looks back at all that stands before.
-    pub pairs_k: u64,
+    #[serde(rename = "pairs_k")]
+    pub attention_pairs_k: u64,
     /// Tokens that stand before those that are read between two events, where that is the most.
     pub depth: u32,
 }
 
-impl Reading {
+impl Prefill {
     /// Reading the last `unread` tokens of a prompt, of which `stretch` are read between two events.
     #[must_use]
-    pub fn last(unread: u32, prompt: u32, stretch: u32) -> Self {
+    pub fn tail(unread: u32, prompt: u32, stretch: u32) -> Self {
         let tokens = u64::from(unread);
         let before = u64::from(prompt) - u64::from(unread.min(prompt) / 2);
         let last = unread.min(stretch);
         let deep = u64::from(prompt.saturating_sub(last / 2));
         // A short rest of a deep prompt is read with others between the same events.
         let depth = deep * u64::from(last) / u64::from(stretch.max(1));
-        Self { tokens, pairs_k: tokens * before / 1_000, depth: u32::try_from(depth).unwrap_or(u32::MAX) }
+        Self { tokens, attention_pairs_k: tokens * before / 1_000, depth: u32::try_from(depth).unwrap_or(u32::MAX) }
     }
 
     /// Thousands of tokens that stand before those read between two events, where that is the most.
@@ -52,27 +54,31 @@
 
     /// A part of it.
     #[must_use]
-    pub fn part(self, part: f64) -> Self {
-        Self { tokens: (self.tokens as f64 * part) as u64, pairs_k: (self.pairs_k as f64 * part) as u64, ..self }
+    pub fn scaled(self, part: f64) -> Self {
+        Self {
+            tokens: (self.tokens as f64 * part) as u64,
+            attention_pairs_k: (self.attention_pairs_k as f64 * part) as u64,
+            ..self
+        }
     }
 
     /// Both.
     #[must_use]
-    pub fn and(self, other: Self) -> Self {
+    pub fn plus(self, other: Self) -> Self {
         Self {
             tokens: self.tokens + other.tokens,
-            pairs_k: self.pairs_k + other.pairs_k,
+            attention_pairs_k: self.attention_pairs_k + other.attention_pairs_k,
             depth: self.depth.max(other.depth),
         }
     }
 
     /// This without `other`. The depth stays until nothing is left.
     #[must_use]
-    pub fn without(self, other: Self) -> Self {
+    pub fn minus(self, other: Self) -> Self {
         let tokens = self.tokens.saturating_sub(other.tokens);
         Self {
             tokens,
-            pairs_k: self.pairs_k.saturating_sub(other.pairs_k),
+            attention_pairs_k: self.attention_pairs_k.saturating_sub(other.attention_pairs_k),
             depth: if tokens == 0 { 0 } else { self.depth },
         }
     }
@@ -86,36 +92,38 @@
     /// How many of them have long prompts; never above `running`.
     pub long: u32,
     /// What of their prompts is still to be read.
-    pub reading: Reading,
+    #[serde(rename = "reading")]
+    pub prefill: Prefill,
     /// Tokens of memory that they hold.
     pub held: u64,
     /// How many of them there are of each urgency. No entry is 0.
     pub urgencies: BTreeMap<u8, u32>,
     /// How many of them are still in time and will be late after a pause of so many milliseconds. No entry is 0.
-    pub paces: BTreeMap<u32, u32>,
+    #[serde(rename = "paces")]
+    pub gap_limits: BTreeMap<u32, u32>,
 }
 
 impl Load {
     /// A request was sent.
-    pub fn begin(&mut self, work: Work) {
+    pub fn record_sent(&mut self, work: Work) {
         self.running += 1;
         self.long += u32::from(work.long);
-        self.reading = self.reading.and(work.reading);
+        self.prefill = self.prefill.plus(work.prefill);
         self.held += u64::from(work.held);
         *self.urgencies.entry(work.urgency).or_default() += 1;
         if work.gap_ms > 0 {
-            *self.paces.entry(work.gap_ms).or_default() += 1;
+            *self.gap_limits.entry(work.gap_ms).or_default() += 1;
         }
     }
 
     /// A request's prompt has been read.
-    pub fn read(&mut self, work: Work) {
-        self.reading = self.reading.without(work.reading);
+    pub fn record_prefilled(&mut self, work: Work) {
+        self.prefill = self.prefill.minus(work.prefill);
     }
 
     /// A request is late already: no further pause harms it.
-    pub fn late(&mut self, work: Work) {
-        take_one(&mut self.paces, &work.gap_ms);
+    pub fn record_late(&mut self, work: Work) {
+        take_one(&mut self.gap_limits, &work.gap_ms);
     }
 
     /// How many run that a request of this urgency doesn't displace.
@@ -124,8 +132,8 @@
         self.urgencies.range(..=urgency).fold(0, |sum, (_, count)| sum.saturating_add(*count))
     }
 
-    /// A request ended; [`Load::read`] was called before, and [`Load::late`] unless it was `late` already.
-    pub fn end(&mut self, work: Work) {
+    /// A request ended; [`Load::record_prefilled`] was called before, and [`Load::record_late`] unless it was `late` already.
+    pub fn record_end(&mut self, work: Work) {
         self.running = self.running.saturating_sub(1);
         self.long = self.long.saturating_sub(u32::from(work.long));
         self.held = self.held.saturating_sub(u64::from(work.held));
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -3,7 +3,7 @@
 use crate::notices::Notices;
 use crate::turns::{index, Each};
 use crate::warmth::Breaks;
-use crate::{Ending, Health, Kept, Limit, Load, Millis, Opinion, Quota, Quotas, Speed};
+use crate::{CachedParts, Ending, Health, Limit, Load, Millis, Quota, Quotas, ServerStatus, Speed};
 use routing::{Cold, Evacuations, Regions, Server};
 use std::sync::Arc;
 
@@ -21,10 +21,10 @@
     pub(crate) position: f64,
     /// What this box has running there.
     pub(crate) own: Load,
-    pub(crate) kept: Kept,
+    pub(crate) kept: CachedParts,
     pub(crate) health: Health,
     /// What its owner said last, and when.
-    pub(crate) heard: Option<(Opinion, Millis)>,
+    pub(crate) heard: Option<(ServerStatus, Millis)>,
     /// True while its hall is evacuated.
     pub(crate) evacuated: bool,
     /// True once it said that it leaves, by whatever way.
@@ -55,7 +55,7 @@
             server: Arc::clone(server),
             position: 0.0,
             own: Load::default(),
-            kept: Kept::default(),
+            kept: CachedParts::default(),
             health: Health::default(),
             heard: None,
             evacuated: false,
@@ -73,7 +73,7 @@
 
     /// Takes how a send there ended.
     pub(crate) fn ended(&mut self, ending: Ending, now: Millis) {
-        self.health.note(ending, now);
+        self.health.record(ending, now);
         self.breaks.note(ending, now);
     }
 
@@ -116,7 +116,7 @@
     pub(crate) fn cold(&self, now: Millis) -> bool {
         let Some(cold) = &self.cold else { return false };
         let own = self.breaks.told(now).cold_until(cold, now);
-        let heard = self.heard.as_ref().map_or(0, |(opinion, at)| opinion.broke.cold_until(cold, *at));
+        let heard = self.heard.as_ref().map_or(0, |(opinion, at)| opinion.disconnect.cold_until(cold, *at));
         now < self.cold_until.max(own).max(heard)
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// What its owner said within the last so many milliseconds.
-    pub(crate) fn heard_within(&self, most: Millis, now: Millis) -> Option<&Opinion> {
+    pub(crate) fn heard_within(&self, most: Millis, now: Millis) -> Option<&ServerStatus> {
         self.heard.as_ref().filter(|(_, at)| now < at + most).map(|(opinion, _)| opinion)
     }
 
@@ -167,6 +167,6 @@
 
     /// True while the server is to be left alone, by what this box or its owner saw.
     pub(crate) fn paused(&self, now: Millis) -> bool {
-        self.health.paused(now) || self.heard_within(HEARD_MOST, now).is_some_and(|opinion| opinion.paused)
+        self.health.is_paused(now) || self.heard_within(HEARD_MOST, now).is_some_and(|opinion| opinion.paused)
     }
 }
--- a/crates/placement/src/need.rs
+++ b/crates/placement/src/need.rs
@@ -1,6 +1,6 @@
 //! What the work of a pool takes of its engines, as far as their owners told.
 
-use crate::Opinion;
+use crate::ServerStatus;
 
 /// The part of an engine's places that are to be taken on either side: beyond, some engines are full while others are not.
 const PLACES_MOST: f64 = 0.7;
@@ -65,13 +65,13 @@
 
 impl Side {
     /// Takes what the owner of one of them said.
-    pub(crate) fn hear(&mut self, opinion: &Opinion, slots: u32) {
+    pub(crate) fn hear(&mut self, opinion: &ServerStatus, slots: u32) {
         let places = f64::from(slots.max(1));
         let short = opinion.load.running.saturating_sub(opinion.load.long);
         self.heard += 1.0;
         self.need = self.need.and(Need {
-            long: Use { reading: opinion.long_reading.into(), places: f64::from(opinion.load.long) / places },
-            short: Use { reading: opinion.short_reading.into(), places: f64::from(short) / places },
+            long: Use { reading: opinion.long_prefill_ratio.into(), places: f64::from(opinion.load.long) / places },
+            short: Use { reading: opinion.short_prefill_ratio.into(), places: f64::from(short) / places },
         });
     }
 
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -2,9 +2,9 @@
 //!
 //! A server may say that it leaves, that it wants nothing from this box for a while, or how many requests it takes from all boxes
 //! together. Each is said of one life, and by the server itself: neither an older entry nor one that comes back takes it away. What
-//! follows is decided in [`crate::Standing`].
+//! follows is decided in [`crate::AdmissionState`].
 
-use crate::{Limit, Millis, Statement};
+use crate::{Limit, LimitUpdate, Millis};
 use routing::{rank, Server};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -49,7 +49,7 @@
         (self.version ^ bits.rotate_left(17)) | 1
     }
 
-    fn is_older_than(&self, told: &Statement) -> bool {
+    fn is_older_than(&self, told: &LimitUpdate) -> bool {
         self.version < told.version || (self.version == told.version && told.limit < self.limit)
     }
 }
@@ -76,7 +76,7 @@
     ///
     /// A stricter one always counts. One that is less strict, or none, counts where the request was sent after what is known was:
     /// only then is it surely the later word. An answer can be late, and servers name limits in the heads of long streams.
-    pub(crate) fn limits(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<Statement> {
+    pub(crate) fn limits(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
         let known = self.limits.get(life).copied();
         let before = known.map_or(Limit::None, |known| known.limit);
         let later = known.is_none_or(|known| known.since < sent);
@@ -85,15 +85,15 @@
         }
         let version = known.map_or(0, |known| known.version) + 1;
         self.limits.insert(life.to_owned(), Known { limit, version, since: now, gone: Some(now) });
-        Some(Statement { life: life.to_owned(), limit, version })
+        Some(LimitUpdate { instance: life.to_owned(), limit, version })
     }
 
     /// Takes what another box knows of a life's limit. True when this wasn't known.
-    pub(crate) fn hear_limit(&mut self, told: &Statement, now: Millis) -> bool {
-        let news = self.limits.get(&told.life).is_none_or(|known| known.is_older_than(told));
+    pub(crate) fn hear_limit(&mut self, told: &LimitUpdate, now: Millis) -> bool {
+        let news = self.limits.get(&told.instance).is_none_or(|known| known.is_older_than(told));
         if news {
             let known = Known { limit: told.limit, version: told.version, since: now, gone: Some(now) };
-            self.limits.insert(told.life.clone(), known);
+            self.limits.insert(told.instance.clone(), known);
         }
         news
     }
@@ -104,9 +104,9 @@
     }
 
     /// What listed lives say of their limits, those included that no longer name one: a box that was away may not know.
-    pub(crate) fn statements(&self) -> Vec<Statement> {
-        let told = |(life, known): (&String, &Known)| Statement {
-            life: life.clone(),
+    pub(crate) fn statements(&self) -> Vec<LimitUpdate> {
+        let told = |(life, known): (&String, &Known)| LimitUpdate {
+            instance: life.clone(),
             limit: known.limit,
             version: known.version,
         };
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -11,7 +11,10 @@
 use crate::stalls::Stalls;
 use crate::turns::Turns;
 use crate::warmth::{Breaks, WINDOW};
-use crate::{Break, Ending, Health, Kept, Learner, Leave, Load, Millis, Part, Permit, Quotas, Reading, Speed, Work};
+use crate::{
+    CachedParts, Disconnect, Ending, Health, Load, Millis, Part, PermitReply, PermitRequest, Prefill, Quotas, Speed,
+    SpeedEstimator, Work,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -24,7 +27,7 @@
 
 /// Asks the owner of a server what it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Question {
+pub struct StatusQuery {
     /// Names the question, unique for the asking box.
     pub number: u64,
     /// Id of the server.
@@ -37,15 +40,17 @@
 
 /// What an owner knows of its server.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Opinion {
+pub struct ServerStatus {
     /// Number of the question.
     pub number: u64,
     /// What runs there.
     pub load: Load,
     /// Tokens of the prompt's parts, from the first on, that the server keeps or is about to read.
-    pub kept: u32,
+    #[serde(rename = "kept")]
+    pub cached_tokens: u32,
     /// The same, but surely read.
-    pub read: u32,
+    #[serde(rename = "read")]
+    pub confirmed_tokens: u32,
     /// True while the server is left alone after failures.
     pub paused: bool,
     /// How fast the server was seen to be.
@@ -53,35 +58,41 @@
     /// How often a second reading there lately made pauses too long for such an answer.
     pub stalls_per_s: f32,
     /// Milliseconds until one of the requests that run there ends, on average; 0 where none ended lately.
-    pub end_ms: f32,
+    #[serde(rename = "end_ms")]
+    pub completion_interval_ms: f32,
     /// The part of its time that it takes to read the long prompts that were lately sent there; above 1 where more came
     /// than it can read.
-    pub long_reading: f32,
+    #[serde(rename = "long_reading")]
+    pub long_prefill_ratio: f32,
     /// The same of the other prompts.
-    pub short_reading: f32,
+    #[serde(rename = "short_reading")]
+    pub short_prefill_ratio: f32,
     /// Requests that were sent there within about the last second, by all boxes together.
     pub arrivals: u32,
     /// Whether it may have started again.
-    pub broke: Break,
+    #[serde(rename = "broke")]
+    pub disconnect: Disconnect,
     /// Other servers that read the prompt's last shared part, the last one first; for parts whose register is kept with
     /// this server.
-    pub elsewhere: Vec<String>,
+    #[serde(rename = "elsewhere")]
+    pub cached_by: Vec<String>,
 }
 
 /// Tells an owner of a request that is sent to its server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct SendReport {
     /// Names the request's lease, unique for the reporting box.
     pub number: u64,
     /// Id of the server.
     pub server: String,
     /// What is reported.
-    pub news: News,
+    #[serde(rename = "news")]
+    pub update: SendUpdate,
 }
 
 /// What became of a request at a server, in this order; the end is always reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum SendUpdate {
     /// It is being sent.
     Sent {
         /// Parts of the prompt in order.
@@ -120,11 +131,11 @@
     parts: Vec<Part>,
     sent: Millis,
     /// What had to be read before its first event.
-    ahead: Reading,
+    ahead: Prefill,
     /// When the prompt was read; none before.
     read: Option<Millis>,
     /// The most that was read beside its answer, and since when.
-    beside: (Reading, Millis),
+    beside: (Prefill, Millis),
     /// True once a pause has made it late.
     late: bool,
     until: Millis,
@@ -133,9 +144,9 @@
 #[derive(Clone, Debug, Default)]
 struct Owned {
     load: Load,
-    kept: Kept,
+    kept: CachedParts,
     health: Health,
-    learner: Learner,
+    learner: SpeedEstimator,
     stalls: Stalls,
     ends: Ends,
     /// Milliseconds of reading that were sent there with long prompts.
@@ -163,42 +174,42 @@
 
 impl Owner {
     /// Answers a question.
-    pub fn ask(&mut self, question: &Question, now: Millis) -> Opinion {
+    pub fn on_query(&mut self, question: &StatusQuery, now: Millis) -> ServerStatus {
         let owned = self.owned(&question.server, now);
         owned.expire(now);
-        Opinion {
+        ServerStatus {
             number: question.number,
-            load: Load { reading: owned.left(now), ..owned.load.clone() },
-            kept: owned.kept.prefix(&question.parts),
-            read: owned.kept.read_prefix(&question.parts),
-            paused: owned.health.paused(now),
+            load: Load { prefill: owned.left(now), ..owned.load.clone() },
+            cached_tokens: owned.kept.cached_prefix(&question.parts),
+            confirmed_tokens: owned.kept.confirmed_prefix(&question.parts),
+            paused: owned.health.is_paused(now),
             speed: owned.learner.speed(),
             stalls_per_s: owned.stalls.per_second(question.gap_ms, now),
-            end_ms: owned.ends.interval_ms(now),
-            long_reading: owned.long_reading.share(now),
-            short_reading: owned.short_reading.share(now),
+            completion_interval_ms: owned.ends.interval_ms(now),
+            long_prefill_ratio: owned.long_reading.share(now),
+            short_prefill_ratio: owned.short_reading.share(now),
             arrivals: owned.arrivals.within(WINDOW, now),
-            broke: owned.breaks.told(now),
-            elsewhere: shared_last(&question.parts).map_or_else(Vec::new, |part| owned.elsewhere.servers(part)),
+            disconnect: owned.breaks.told(now),
+            cached_by: shared_last(&question.parts).map_or_else(Vec::new, |part| owned.elsewhere.servers(part)),
         }
     }
 
     /// Gives leave for a request, which then counts as sent, or denies it. Bounds are over all boxes, and so is this count.
-    pub fn permit(&mut self, permit: &Permit, now: Millis) -> Leave {
+    pub fn on_permit_request(&mut self, permit: &PermitRequest, now: Millis) -> PermitReply {
         let owned = self.owned(&permit.server, now);
         let Quotas { cold, limit } = &permit.quotas;
         let again = limit.as_ref().map_or(now, |quota| {
             let stretched = owned.turns.ask(permit.urgency, quota, now);
             // What a box gave leave for that did so before this one fills the quota in the beginning.
-            owned.arrivals.free_at(&stretched, now).max(owned.since + quota.within)
+            owned.arrivals.free_at(&stretched, now).max(owned.since + quota.window)
         });
         let bears = cold.as_ref().is_none_or(|quota| owned.arrivals.free_at(quota, now) <= now);
         if again > now || !bears {
-            return Leave::Denied { again: again - now };
+            return PermitReply::Denied { retry_ms: again - now };
         }
         owned.arrivals.note(now);
         owned.turns.given(permit.urgency);
-        Leave::Given
+        PermitReply::Granted
     }
 
     fn owned(&mut self, server: &str, now: Millis) -> &mut Owned {
@@ -209,20 +220,20 @@
     }
 
     /// Takes what the box `from` reports.
-    pub fn report(&mut self, from: SocketAddr, report: Report, now: Millis) {
+    pub fn on_report(&mut self, from: SocketAddr, report: SendReport, now: Millis) {
         let owned = self.owned(&report.server, now);
         let key = (from, report.number);
-        match report.news {
-            News::Sent { parts, work, memory, permitted } => {
+        match report.update {
+            SendUpdate::Sent { parts, work, memory, permitted } => {
                 if !permitted {
                     owned.arrivals.note(now);
                 }
                 owned.begin(key, parts, work, memory, now);
             }
-            News::Read => owned.read(&key, now),
-            News::Elsewhere { part, by } => owned.elsewhere.note(part, by),
-            News::Late => owned.late(&key),
-            News::Ended { ending, pause_ms } => owned.end(&key, ending, pause_ms, now),
+            SendUpdate::Read => owned.read(&key, now),
+            SendUpdate::Elsewhere { part, by } => owned.elsewhere.note(part, by),
+            SendUpdate::Late => owned.late(&key),
+            SendUpdate::Ended { ending, pause_ms } => owned.end(&key, ending, pause_ms, now),
         }
     }
 
@@ -239,57 +250,57 @@
 
 impl Owned {
     fn begin(&mut self, key: (SocketAddr, u64), parts: Vec<Part>, work: Work, memory: u64, now: Millis) {
-        let ahead = self.left(now).and(work.reading);
+        let ahead = self.left(now).plus(work.prefill);
         let reading = if work.long { &mut self.long_reading } else { &mut self.short_reading };
-        reading.note(self.learner.speed().read(work.reading), now);
-        self.load.begin(work);
+        reading.note(self.learner.speed().prefill_ms(work.prefill), now);
+        self.load.record_sent(work);
         self.kept.touch(&parts, memory, now);
-        self.stalls.note(self.learner.speed().stall(ahead), now);
+        self.stalls.note(self.learner.speed().expected_stall_ms(ahead), now);
         for beside in self.leases.values_mut().filter(|lease| lease.read.is_some()) {
             if ahead.tokens > beside.beside.0.tokens {
                 beside.beside = (ahead, now);
             }
         }
-        let beside = (Reading::default(), now);
+        let beside = (Prefill::default(), now);
         let until = now + LEASE_MOST;
         self.leases.insert(key, Lease { work, parts, sent: now, ahead, read: None, beside, late: false, until });
     }
 
     /// What is still to be read: prompts are read in the order in which they came, so the first may be half done.
-    fn left(&self, now: Millis) -> Reading {
+    fn left(&self, now: Millis) -> Prefill {
         let unread = || self.leases.values().filter(|lease| lease.read.is_none());
-        let Some(first) = unread().min_by_key(|lease| lease.sent) else { return self.load.reading };
+        let Some(first) = unread().min_by_key(|lease| lease.sent) else { return self.load.prefill };
         let since = now.saturating_sub(first.sent.max(self.last_read)) as f64;
-        let takes = self.learner.speed().read(first.work.reading).max(1.0);
-        let left = self.load.reading.without(first.work.reading.part((since / takes).min(MOSTLY_READ)));
-        Reading { depth: unread().map(|lease| lease.work.reading.depth).max().unwrap_or_default(), ..left }
+        let takes = self.learner.speed().prefill_ms(first.work.prefill).max(1.0);
+        let left = self.load.prefill.minus(first.work.prefill.scaled((since / takes).min(MOSTLY_READ)));
+        Prefill { depth: unread().map(|lease| lease.work.prefill.depth).max().unwrap_or_default(), ..left }
     }
 
     fn read(&mut self, key: &(SocketAddr, u64), now: Millis) {
         let Some(lease) = self.leases.get_mut(key).filter(|lease| lease.read.is_none()) else { return };
         lease.read = Some(now);
         self.last_read = now;
-        self.load.read(lease.work);
-        self.kept.confirm(&lease.parts);
-        self.learner.first_event(lease.ahead, now.saturating_sub(lease.sent) as f64);
+        self.load.record_prefilled(lease.work);
+        self.kept.mark_read(&lease.parts);
+        self.learner.record_first_event(lease.ahead, now.saturating_sub(lease.sent) as f64);
     }
 
     fn late(&mut self, key: &(SocketAddr, u64)) {
         let Some(lease) = self.leases.get_mut(key).filter(|lease| !lease.late) else { return };
         lease.late = true;
-        self.load.late(lease.work);
+        self.load.record_late(lease.work);
     }
 
     fn end(&mut self, key: &(SocketAddr, u64), ending: Ending, pause_ms: u32, now: Millis) {
-        self.health.note(ending, now);
+        self.health.record(ending, now);
         self.breaks.note(ending, now);
         let Some(lease) = self.leases.remove(key) else { return };
         if lease.read.is_none() {
-            self.load.read(lease.work);
+            self.load.record_prefilled(lease.work);
             // Parts that no other request waits for either are not there.
             let others = |part: &Part| self.leases.values().any(|other| other.parts.contains(part));
             let gone: Vec<Part> = lease.parts.iter().filter(|part| !others(part)).copied().collect();
-            self.kept.forget_unread(&gone);
+            self.kept.remove_unread(&gone);
         }
         if ending == Ending::Good {
             self.learn(&lease, pause_ms, now);
@@ -298,19 +309,19 @@
             self.ends.note(now);
         }
         if !lease.late {
-            self.load.late(lease.work);
+            self.load.record_late(lease.work);
         }
-        self.load.end(lease.work);
+        self.load.record_end(lease.work);
     }
 
     /// What a whole answer shows of the server's speed.
     fn learn(&mut self, lease: &Lease, pause_ms: u32, now: Millis) {
         let Some(read) = lease.read else { return };
-        self.learner.answer(lease.work.out, now.saturating_sub(read) as f64);
+        self.learner.record_answer(lease.work.out, now.saturating_sub(read) as f64);
         let (beside, since) = lease.beside;
         // An answer that ended before all was read says nothing of it.
-        if now.saturating_sub(since) as f64 > self.learner.speed().read(beside) {
-            self.learner.pause(beside, f64::from(pause_ms));
+        if now.saturating_sub(since) as f64 > self.learner.speed().prefill_ms(beside) {
+            self.learner.record_pause(beside, f64::from(pause_ms));
         }
     }
 
--- a/crates/placement/src/permit.rs
+++ b/crates/placement/src/permit.rs
@@ -10,9 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
     /// So many requests.
-    pub most: u32,
+    #[serde(rename = "most")]
+    pub max_requests: u32,
     /// The length of the span, in milliseconds.
-    pub within: Millis,
+    #[serde(rename = "within")]
+    pub window: Millis,
 }
 
 /// All that holds for a server at a time. Each binds by itself.
@@ -33,7 +35,7 @@
 
 /// Asks for leave to send one request to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Permit {
+pub struct PermitRequest {
     /// Names the question, unique for the asking box.
     pub number: u64,
     /// Id of the server.
@@ -46,12 +48,14 @@
 
 /// What comes of a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Leave {
+pub enum PermitReply {
     /// The request may be sent, and has been counted. Leave that isn't used is lost: a server gets a request less.
-    Given,
+    #[serde(rename = "Given")]
+    Granted,
     /// It may not.
     Denied {
         /// In how many milliseconds there may be leave again for a server that names a limit; 0 where that isn't known.
-        again: Millis,
+        #[serde(rename = "again")]
+        retry_ms: Millis,
     },
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -2,7 +2,10 @@
 
 use crate::notices::Notices;
 use crate::pool::Pool;
-use crate::{Allowance, Ask, Budget, Choice, Ending, Limit, Millis, Opinion, Prompt, Refusal, Statement, Work};
+use crate::{
+    Choice, ColdAllowance, Ending, Limit, LimitUpdate, Millis, PlacementRequest, Prompt, Refusal, RetryBudget,
+    ServerStatus, Work,
+};
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
 use routing::{Directory, Evacuations, Regions, Server, Table};
@@ -16,7 +19,7 @@
 
 /// What is published and in force on this box.
 #[derive(Clone, Copy, Debug)]
-pub struct InForce<'a> {
+pub struct Snapshot<'a> {
     /// The configuration.
     pub table: &'a Table,
     /// The servers.
@@ -31,8 +34,8 @@
     /// This box's hall.
     hall: String,
     /// What second sends a service may get; each service has one of its own.
-    budget: Budget,
-    budgets: HashMap<String, Budget>,
+    budget: RetryBudget,
+    budgets: HashMap<String, RetryBudget>,
     /// By service.
     pools: HashMap<String, Pool>,
     /// The servers that pools and notices were told of, by name.
@@ -44,7 +47,7 @@
     /// Boxes that share the budget, this one included.
     boxes: usize,
     /// What all boxes may send to a cold server.
-    allowance: Allowance,
+    allowance: ColdAllowance,
     /// Regions of halls.
     regions: Regions,
     /// Differs from box to box.
@@ -54,7 +57,7 @@
 impl Placement {
     /// A placement for a box of `hall`, whose services may get second sends by `budget`.
     #[must_use]
-    pub fn new(hall: &str, budget: Budget) -> Self {
+    pub fn new(hall: &str, budget: RetryBudget) -> Self {
         Self {
             hall: hall.to_owned(),
             budget,
@@ -64,7 +67,7 @@
             evacuated: BTreeSet::new(),
             notices: Notices::default(),
             boxes: BOXES_AT_START,
-            allowance: Allowance::default(),
+            allowance: ColdAllowance::default(),
             regions: Regions::new(),
             seed: 0,
         }
@@ -72,7 +75,7 @@
 
     /// The same with this allowance for cold servers.
     #[must_use]
-    pub fn with_allowance(self, allowance: Allowance) -> Self {
+    pub fn with_allowance(self, allowance: ColdAllowance) -> Self {
         Self { allowance, ..self }
     }
 
@@ -89,8 +92,8 @@
     }
 
     /// Takes what is in force from now on. What it costs goes by what differs from before.
-    pub fn update(&mut self, in_force: &InForce<'_>, now: Millis) {
-        let InForce { table, directory, evacuations } = in_force;
+    pub fn update(&mut self, in_force: &Snapshot<'_>, now: Millis) {
+        let Snapshot { table, directory, evacuations } = in_force;
         for name in table.services.keys() {
             self.pools.entry(name.clone()).or_insert_with(|| Pool::new(self.seed));
         }
@@ -107,7 +110,7 @@
     }
 
     /// Takes what the configuration says of a pool.
-    fn configure(pool: &mut Pool, name: &str, table: &Table, allowance: &Allowance) {
+    fn configure(pool: &mut Pool, name: &str, table: &Table, allowance: &ColdAllowance) {
         let service = table.services.get(name);
         pool.set_gap(table.shortest_gap(name).map_or(0.0, |gap| gap.as_secs_f64() * 1e3));
         pool.set_engine(service.and_then(|service| service.engine.clone()));
@@ -169,7 +172,7 @@
 
     /// This life said that it leaves: it gets nothing any more. `listed` is what its entry says of that, if there is one. True
     /// when it wasn't known.
-    pub fn leaves(&mut self, life: &str, listed: Option<bool>, now: Millis) -> bool {
+    pub fn record_leaving(&mut self, life: &str, listed: Option<bool>, now: Millis) -> bool {
         let news = self.notices.leaves(life, listed, now);
         if news {
             self.tell_pools(life);
@@ -178,7 +181,7 @@
     }
 
     /// This life wants nothing from this box until then.
-    pub fn rests(&mut self, life: &str, until: Millis) {
+    pub fn record_back_off(&mut self, life: &str, until: Millis) {
         self.notices.rests(life, until);
         self.tell_pools(life);
     }
@@ -186,7 +189,7 @@
     /// This life names a limit in the answer to a request that was sent to it at `sent`. What all other boxes are to be told, where
     /// this wasn't known.
     #[must_use]
-    pub fn limits(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<Statement> {
+    pub fn record_limit(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
         let news = self.notices.limits(life, limit, sent, now);
         if news.is_some() {
             self.limit_changed(life);
@@ -203,22 +206,22 @@
     }
 
     /// Takes what another box knows of a life's limit. True when this wasn't known.
-    pub fn hear_limit(&mut self, told: &Statement, now: Millis) -> bool {
+    pub fn on_limit_update(&mut self, told: &LimitUpdate, now: Millis) -> bool {
         let news = self.notices.hear_limit(told, now);
         if news {
-            self.limit_changed(&told.life);
+            self.limit_changed(&told.instance);
         }
         news
     }
 
     /// What listed lives that ever named a limit say of it.
     #[must_use]
-    pub fn statements(&self) -> Vec<Statement> {
+    pub fn limit_updates(&self) -> Vec<LimitUpdate> {
         self.notices.statements()
     }
 
     /// Leave for a server that names a limit was denied for a request of this urgency, and is until then.
-    pub fn spent(&mut self, service: &str, id: &str, urgency: u8, until: Millis) {
+    pub fn record_denial(&mut self, service: &str, id: &str, urgency: u8, until: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.spent(id, urgency, until);
         }
@@ -226,13 +229,13 @@
 
     /// Only an older copy of the list has these lives, so that they may have ended: until then they get something only where
     /// no other server takes requests.
-    pub fn doubt(&mut self, lives: &[String], until: Millis) {
+    pub fn mark_unconfirmed(&mut self, lives: &[String], until: Millis) {
         self.notices.doubt(lives, until);
         lives.iter().for_each(|life| self.tell_pools(life));
     }
 
     /// This life has not ended: it has written its entry.
-    pub fn trust(&mut self, life: &str) {
+    pub fn confirm_instance(&mut self, life: &str) {
         if self.notices.trust(life) {
             self.tell_pools(life);
         }
@@ -246,7 +249,7 @@
 
     /// Lives that want nothing from this box, each with the milliseconds left.
     #[must_use]
-    pub fn resting(&self, now: Millis) -> BTreeMap<String, Millis> {
+    pub fn backing_off(&self, now: Millis) -> BTreeMap<String, Millis> {
         self.notices.resting(now)
     }
 
@@ -261,29 +264,29 @@
     #[must_use]
     pub fn may_send(&self, service: &str, id: &str, leave: bool, now: Millis) -> bool {
         let Some(pool) = self.pools.get(service) else { return true };
-        let open = pool.standing(id, now).is_some_and(|standing| !standing.shut());
+        let open = pool.standing(id, now).is_some_and(|standing| !standing.is_blocked());
         open && (leave || !pool.is_limited(id))
     }
 
     /// Takes how many boxes share the budget, this one included.
-    pub fn set_boxes(&mut self, boxes: usize) {
+    pub fn set_box_count(&mut self, boxes: usize) {
         self.boxes = boxes.max(1);
     }
 
     /// Servers whose owners are worth asking before a choice, the most likely one first.
     #[must_use]
-    pub fn plan(&mut self, ask: &Ask<'_>, most: usize) -> Vec<Arc<Server>> {
+    pub fn servers_to_query(&mut self, ask: &PlacementRequest<'_>, most: usize) -> Vec<Arc<Server>> {
         self.pools.get_mut(ask.service).map_or_else(Vec::new, |pool| pool.plan(ask, &self.hall, most))
     }
 
     /// Tokens of parts that a server of this service can keep.
     #[must_use]
-    pub fn memory(&self, service: &str) -> u64 {
+    pub fn cache_capacity(&self, service: &str) -> u64 {
         self.pools.get(service).map_or(0, Pool::memory)
     }
 
     /// Takes what the owner of a server said.
-    pub fn hear(&mut self, service: &str, id: &str, opinion: Opinion, now: Millis) {
+    pub fn on_status(&mut self, service: &str, id: &str, opinion: ServerStatus, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.hear(id, opinion, now);
         }
@@ -293,22 +296,22 @@
     ///
     /// # Errors
     /// [`Refusal`] when none may be tried.
-    pub fn choose(&mut self, ask: &Ask<'_>) -> Result<Choice, Refusal> {
+    pub fn choose(&mut self, ask: &PlacementRequest<'_>) -> Result<Choice, Refusal> {
         self.pools.get_mut(ask.service).ok_or(Refusal::NoServer)?.choose(ask, &self.hall)
     }
 
     /// Counts a request for a service; to be called once for each.
-    pub fn first_send(&mut self, service: &str, now: Millis) {
-        self.budget_of(service).first(now);
+    pub fn record_request(&mut self, service: &str, now: Millis) {
+        self.budget_of(service).record_request(now);
     }
 
     /// Takes a second send from the service's budget; false when it is used up.
-    pub fn second_send(&mut self, service: &str, now: Millis) -> bool {
+    pub fn take_retry(&mut self, service: &str, now: Millis) -> bool {
         let boxes = self.boxes;
-        self.budget_of(service).take(boxes, now)
+        self.budget_of(service).take_retry(boxes, now)
     }
 
-    fn budget_of(&mut self, service: &str) -> &mut Budget {
+    fn budget_of(&mut self, service: &str) -> &mut RetryBudget {
         if !self.budgets.contains_key(service) {
             self.budgets.insert(service.to_owned(), self.budget.clone());
         }
@@ -316,42 +319,42 @@
     }
 
     /// A request is being sent.
-    pub fn begin(&mut self, service: &str, id: &str, work: Work) {
+    pub fn record_sent(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.begin(id, work);
         }
     }
 
     /// A request's prompt has been read: its first event came, or it ended.
-    pub fn read(&mut self, service: &str, id: &str, work: Work) {
+    pub fn record_prefilled(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.read(id, work);
         }
     }
 
     /// A pause has made a request's answer late.
-    pub fn late(&mut self, service: &str, id: &str, work: Work) {
+    pub fn record_late(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.late(id, work);
         }
     }
 
     /// A server has answered a prompt, so that its parts are in the server's memory.
-    pub fn confirm(&mut self, service: &str, id: &str, prompt: &Prompt) {
+    pub fn record_cached(&mut self, service: &str, id: &str, prompt: &Prompt) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.confirm(id, prompt);
         }
     }
 
     /// A send ended badly, and its end was not told yet as that.
-    pub fn note(&mut self, service: &str, id: &str, ending: Ending, now: Millis) {
+    pub fn record_ending(&mut self, service: &str, id: &str, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.note(id, ending, now);
         }
     }
 
-    /// A request's send has ended; [`Placement::read`] was called before, and [`Placement::late`].
-    pub fn end(&mut self, service: &str, id: &str, work: Work, ending: Ending, now: Millis) {
+    /// A request's send has ended; [`Placement::record_prefilled`] was called before, and [`Placement::record_late`].
+    pub fn record_end(&mut self, service: &str, id: &str, work: Work, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.end(id, work, ending, now);
         }
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -10,7 +10,8 @@
 use crate::split::{self, Split};
 use crate::weigh::{Candidate, Scale, Source, FETCH_LEAST};
 use crate::{
-    Allowance, Ask, Choice, Ending, Millis, Opinion, Prompt, Quota, Quotas, Reading, Refusal, Speed, Standing, Work,
+    AdmissionState, Choice, ColdAllowance, Ending, Millis, PlacementRequest, Prefill, Prompt, Quota, Quotas, Refusal,
+    ServerStatus, Speed, Work,
 };
 use routing::{Cold, Engine, Server};
 use std::cmp::Reverse;
@@ -105,7 +106,7 @@
     }
 
     /// Takes what its servers bear while they are cold.
-    pub(crate) fn set_cold(&mut self, cold: Option<Cold>, allowance: &Allowance) {
+    pub(crate) fn set_cold(&mut self, cold: Option<Cold>, allowance: &ColdAllowance) {
         if self.cold != cold {
             self.members.values_mut().for_each(|member| member.cold = cold);
         }
@@ -165,7 +166,7 @@
     }
 
     /// What is in force for a server; none where it isn't listed.
-    pub(crate) fn standing(&self, id: &str, now: Millis) -> Option<Standing> {
+    pub(crate) fn standing(&self, id: &str, now: Millis) -> Option<AdmissionState> {
         self.members.get(id).map(|member| member.standing(now))
     }
 
@@ -180,7 +181,7 @@
             return;
         }
         let mut sides = [Side::default(), Side::default()];
-        for member in self.members.values().filter(|member| !member.standing(now).closed()) {
+        for member in self.members.values().filter(|member| !member.standing(now).is_closed()) {
             let side = &mut sides[usize::from(self.split.reads(member.position))];
             side.engines += 1.0;
             if let Some(opinion) = member.heard_within(NEED_MOST, now) {
@@ -193,7 +194,7 @@
     }
 
     /// Servers whose owners are worth asking: those that are to keep the prompt's shared parts, then the cheapest.
-    pub(crate) fn plan(&mut self, ask: &Ask<'_>, hall: &str, most: usize) -> Vec<Arc<Server>> {
+    pub(crate) fn plan(&mut self, ask: &PlacementRequest<'_>, hall: &str, most: usize) -> Vec<Arc<Server>> {
         self.place();
         let (around, among) = self.among(ask);
         let scale = self.scale(ask, hall, &around, &among);
@@ -225,7 +226,7 @@
     }
 
     /// The servers that are looked at for a request, where all have few.
-    fn around(&self, ask: &Ask<'_>) -> Around<'_> {
+    fn around(&self, ask: &PlacementRequest<'_>) -> Around<'_> {
         let own = ask.prompt.and_then(|prompt| prompt.parts.last()).map_or(self.seed, |part| part.id);
         let shared = ask.prompt.and_then(Prompt::last_shared).unwrap_or(own);
         let mut around = self.around_part(shared);
@@ -238,11 +239,20 @@
         around
     }
 
-    fn scale<'a>(&'a self, ask: &'a Ask<'_>, hall: &'a str, around: &Around<'a>, among: &[&'a Member]) -> Scale<'a> {
+    fn scale<'a>(
+        &'a self,
+        ask: &'a PlacementRequest<'_>,
+        hall: &'a str,
+        around: &Around<'a>,
+        among: &[&'a Member],
+    ) -> Scale<'a> {
         let heard = self.heard.iter().filter_map(|id| self.members.get(id));
         let speed = Speed::mean(heard.filter_map(Member::speed), SPEED_SEEN_MOST);
         let longness = ask.prompt.map_or(0.0, |prompt| {
-            split::longness(speed.read(Reading::last(prompt.tokens, prompt.tokens, speed.stretch())), self.gap_ms)
+            split::longness(
+                speed.prefill_ms(Prefill::tail(prompt.tokens, prompt.tokens, speed.chunk_tokens())),
+                self.gap_ms,
+            )
         });
         let long = split::is_long(longness);
         let keepers = || among.iter().copied().filter(|member| around.keeps(member));
@@ -255,7 +265,7 @@
             split: self.split,
             longness,
             hall,
-            failing_least: among.iter().map(|member| member.health.failing()).fold(1.0, f64::min),
+            failing_least: among.iter().map(|member| member.health.failure_ratio()).fold(1.0, f64::min),
             homes: if side.is_empty() { ranked.clone() } else { side },
             ranked,
             source: self.source(ask, around),
@@ -263,9 +273,11 @@
     }
 
     /// The server that surely has read the most of the prompt's shared parts, as far as this box has heard.
-    fn source<'a>(&'a self, ask: &Ask<'_>, around: &Around<'a>) -> Option<Source<'a>> {
+    fn source<'a>(&'a self, ask: &PlacementRequest<'_>, around: &Around<'a>) -> Option<Source<'a>> {
         let shared = ask.prompt?.shared();
-        let read = |m: &Member| m.kept.read_prefix(shared).max(ask.opinion(&m.server.id).map_or(0, |o| o.read));
+        let read = |m: &Member| {
+            m.kept.confirmed_prefix(shared).max(ask.status(&m.server.id).map_or(0, |o| o.confirmed_tokens))
+        };
         let give = around.servers.iter().copied().filter(|member| may_give(member, ask));
         let best = give.max_by_key(|m| (read(m), self.rank(m)))?;
         let all = ask.prompt?.shared_tokens();
@@ -279,8 +291,8 @@
     }
 
     /// A server that read the prompt's last shared part, by the part's register.
-    fn registered(&self, ask: &Ask<'_>) -> Option<&Member> {
-        let ids = ask.opinions.iter().flat_map(|(_, opinion)| &opinion.elsewhere);
+    fn registered(&self, ask: &PlacementRequest<'_>) -> Option<&Member> {
+        let ids = ask.statuses.iter().flat_map(|(_, opinion)| &opinion.cached_by);
         ids.filter_map(|id| self.members.get(id)).find(|member| may_give(member, ask))
     }
 
@@ -288,7 +300,7 @@
     /// so that it is there when one of them has gone or a new server ranks first.
     fn registers(&self, part: u64, now: Millis) -> Vec<&Member> {
         let mut open = self.around_part(part).servers;
-        open.retain(|member| !member.standing(now).closed());
+        open.retain(|member| !member.standing(now).is_closed());
         let rank = |member: &&Member| Reverse(routing::rank(part, &member.server.id));
         if open.len() > REGISTERS {
             open.select_nth_unstable_by_key(REGISTERS - 1, rank);
@@ -298,10 +310,10 @@
     }
 
     /// The registers to be told of a choice: of one that reads or fetches shared parts away from there.
-    fn told(&self, best: &Candidate<'_>, ask: &Ask<'_>) -> Vec<(Arc<Server>, u64)> {
+    fn told(&self, best: &Candidate<'_>, ask: &PlacementRequest<'_>) -> Vec<(Arc<Server>, u64)> {
         let Some(prompt) = ask.prompt.filter(|prompt| prompt.shared_tokens() >= FETCH_LEAST) else { return Vec::new() };
         let own = u64::from(prompt.tokens.saturating_sub(prompt.shared_tokens()));
-        let Some(part) = prompt.shared().last().filter(|_| best.fetch || best.work.reading.tokens > own) else {
+        let Some(part) = prompt.shared().last().filter(|_| best.fetch || best.work.prefill.tokens > own) else {
             return Vec::new();
         };
         let registers = self.registers(part.id, ask.now).into_iter();
@@ -310,7 +322,7 @@
     }
 
     /// Takes what the owner of a server said.
-    pub(crate) fn hear(&mut self, id: &str, opinion: Opinion, now: Millis) {
+    pub(crate) fn hear(&mut self, id: &str, opinion: ServerStatus, now: Millis) {
         if let Some(member) = self.members.get_mut(id) {
             member.heard = Some((opinion, now));
             self.heard.insert(id.to_owned());
@@ -318,7 +330,7 @@
     }
 
     /// The servers that are looked at for a request, and those of them that may have it: of all servers, where none of few may.
-    fn among(&self, ask: &Ask<'_>) -> (Around<'_>, Vec<&Member>) {
+    fn among(&self, ask: &PlacementRequest<'_>) -> (Around<'_>, Vec<&Member>) {
         let around = self.around(ask);
         let open = self.open(&around.servers, ask);
         if !open.is_empty() || around.servers.len() == self.members.len() {
@@ -330,17 +342,17 @@
     }
 
     /// Those of these servers that may have a request.
-    fn open<'a>(&self, around: &[&'a Member], ask: &Ask<'_>) -> Vec<&'a Member> {
+    fn open<'a>(&self, around: &[&'a Member], ask: &PlacementRequest<'_>) -> Vec<&'a Member> {
         let mut sound = Vec::with_capacity(around.len());
         let (mut doubted, mut paused) = (Vec::new(), Vec::new());
         for member in around.iter().copied().filter(|member| self.may_have(member, ask)) {
             match member.standing(ask.now) {
-                Standing::Open => sound.push(member),
+                AdmissionState::Open => sound.push(member),
                 _ if self.full(member, ask) => {}
-                Standing::Cold | Standing::Limited => sound.push(member),
-                Standing::Doubted => doubted.push(member),
-                Standing::Paused => paused.push(member),
-                Standing::Resting | Standing::Evacuated | Standing::Leaving => {}
+                AdmissionState::Cold | AdmissionState::Limited => sound.push(member),
+                AdmissionState::Unconfirmed => doubted.push(member),
+                AdmissionState::Paused => paused.push(member),
+                AdmissionState::BackingOff | AdmissionState::Evacuated | AdmissionState::Leaving => {}
             }
         }
         match (sound.is_empty(), doubted.is_empty()) {
@@ -351,26 +363,27 @@
     }
 
     /// True when a request may go to this server, whatever is in force for it.
-    fn may_have(&self, member: &Member, ask: &Ask<'_>) -> bool {
+    fn may_have(&self, member: &Member, ask: &PlacementRequest<'_>) -> bool {
         let id = &member.server.id;
-        ask.at_home(member.region.as_deref()) && !ask.tried.contains(id) && !ask.denied.contains(id)
+        ask.allows_region(member.region.as_deref()) && !ask.tried.contains(id) && !ask.denied.contains(id)
     }
 
     /// True when a server that gets requests with leave only gets no more, as far as is known without asking for it.
-    fn full(&self, member: &Member, ask: &Ask<'_>) -> bool {
+    fn full(&self, member: &Member, ask: &PlacementRequest<'_>) -> bool {
         let Quotas { cold, limit } = member.quotas(self.bears, ask.now);
         let spent = limit.is_some() && (ask.now < member.spent_until(ask.urgency) || ask.denied.len() >= DENIALS_MOST);
         spent || (cold.is_some() && (ask.denied.len() >= DENIALS_MOST || self.crowded(member, ask)))
     }
 
     /// True when so many were sent to the server within a second that it would fall over if it had just turned cold.
-    fn crowded(&self, member: &Member, ask: &Ask<'_>) -> bool {
-        let full = |bears: Quota| ask.opinion(&member.server.id).is_some_and(|opinion| opinion.arrivals >= bears.most);
+    fn crowded(&self, member: &Member, ask: &PlacementRequest<'_>) -> bool {
+        let full =
+            |bears: Quota| ask.status(&member.server.id).is_some_and(|opinion| opinion.arrivals >= bears.max_requests);
         self.bears.is_some_and(full)
     }
 
     /// The server with the least cost. `hall` is this box's.
-    pub(crate) fn choose(&mut self, ask: &Ask<'_>, hall: &str) -> Result<Choice, Refusal> {
+    pub(crate) fn choose(&mut self, ask: &PlacementRequest<'_>, hall: &str) -> Result<Choice, Refusal> {
         self.admission.note(ask.urgency, ask.now);
         self.place();
         self.divide(ask.now);
@@ -381,7 +394,8 @@
         let scale = self.scale(ask, hall, &around, &among);
         let candidates = self.candidates(ask, &among, &scale);
         // What was sent before is not refused: it may have run.
-        let admitted = |c: &&Candidate<'_>| !ask.tried.is_empty() || self.admission.admits(ask, c.expected.place_ms);
+        let admitted =
+            |c: &&Candidate<'_>| !ask.tried.is_empty() || self.admission.admits(ask, c.expected.slot_wait_ms);
         let crowded = |c: &Candidate<'_>| self.crowded(c.member, ask);
         let cheaper = |a: &&Candidate<'_>, b: &&Candidate<'_>| {
             let cheaper = crowded(a).cmp(&crowded(b)).then_with(|| a.cost().total_cmp(&b.cost()));
@@ -394,11 +408,11 @@
             server: Arc::clone(&best.member.server),
             fetch: if best.fetch { scale.source.map(|s| s.member.server.address) } else { None },
             work: best.work,
-            expected: best.expected,
+            estimate: best.expected,
             load: best.member.load(ask.now).clone(),
             candidates: among.len(),
-            registers: self.told(best, ask),
-            leave: Some(best.member.quotas(self.bears, ask.now)).filter(|quotas| !quotas.is_empty()),
+            cache_directories: self.told(best, ask),
+            permit_quotas: Some(best.member.quotas(self.bears, ask.now)).filter(|quotas| !quotas.is_empty()),
         };
         self.chosen(&choice, ask);
         Ok(choice)
@@ -409,19 +423,19 @@
     }
 
     /// Why there is no server to choose from.
-    fn nobody(&self, ask: &Ask<'_>) -> Refusal {
-        let home = self.members.values().filter(|member| ask.at_home(member.region.as_deref()));
-        let open = || home.clone().filter(|member| !member.standing(ask.now).shut());
+    fn nobody(&self, ask: &PlacementRequest<'_>) -> Refusal {
+        let home = self.members.values().filter(|member| ask.allows_region(member.region.as_deref()));
+        let open = || home.clone().filter(|member| !member.standing(ask.now).is_blocked());
         if open().any(|member| member.cold(ask.now)) {
             return Refusal::Cold;
         }
         let limited = open().filter(|member| member.limit.quota().is_some());
         if let Some(back_ms) = limited.map(|member| member.spent_until(ask.urgency).saturating_sub(ask.now)).min() {
-            return Refusal::Limited { back_ms };
+            return Refusal::Limited { retry_ms: back_ms };
         }
-        let resting = home.filter(|member| member.standing(ask.now) == Standing::Resting);
+        let resting = home.filter(|member| member.standing(ask.now) == AdmissionState::BackingOff);
         let soonest = resting.map(|member| member.rest_until - ask.now).min();
-        soonest.map_or(Refusal::NoServer, |back_ms| Refusal::Resting { back_ms })
+        soonest.map_or(Refusal::NoServer, |back_ms| Refusal::BackingOff { retry_ms: back_ms })
     }
 
     /// The servers to compare, with their costs.
@@ -429,13 +443,18 @@
     /// A server whose owner wasn't heard looks idle: where some were heard that can have the request, only those are
     /// compared, and the first home. That is where the shared parts are: owners that were late for it had a fifth of what
     /// is read again read elsewhere.
-    fn candidates<'a>(&self, ask: &Ask<'_>, among: &[&'a Member], scale: &Scale<'a>) -> Vec<Candidate<'a>> {
-        let heard = |m: &&&'a Member| ask.opinion(&m.server.id).is_some() && !self.crowded(m, ask);
+    fn candidates<'a>(
+        &self,
+        ask: &PlacementRequest<'_>,
+        among: &[&'a Member],
+        scale: &Scale<'a>,
+    ) -> Vec<Candidate<'a>> {
+        let heard = |m: &&&'a Member| ask.status(&m.server.id).is_some() && !self.crowded(m, ask);
         let mut candidates: Vec<Candidate<'a>> = among.iter().filter(heard).map(|member| scale.weigh(member)).collect();
         if candidates.is_empty() {
             return among.iter().map(|member| scale.weigh(member)).collect();
         }
-        let unheard = |home: &&&'a Member| ask.opinion(&home.server.id).is_none();
+        let unheard = |home: &&&'a Member| ask.status(&home.server.id).is_none();
         if let Some(home) = scale.homes.first().filter(unheard) {
             let mut candidate = scale.weigh(home);
             candidate.expected.cost += UNHEARD;
@@ -445,11 +464,11 @@
     }
 
     /// Notes what a choice changes: a try after a pause, and the parts that will be kept.
-    fn chosen(&mut self, choice: &Choice, ask: &Ask<'_>) {
+    fn chosen(&mut self, choice: &Choice, ask: &PlacementRequest<'_>) {
         let most = self.memory();
         let Some(member) = self.members.get_mut(&choice.server.id) else { return };
-        if member.health.on_trial(ask.now) {
-            member.health.try_now(ask.now);
+        if member.health.is_half_open(ask.now) {
+            member.health.begin_probe(ask.now);
         }
         if let Some(prompt) = ask.prompt {
             member.kept.touch(&prompt.parts, most, ask.now);
@@ -458,25 +477,25 @@
 
     pub(crate) fn begin(&mut self, id: &str, work: Work) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.begin(work);
+            member.own.record_sent(work);
         }
     }
 
     pub(crate) fn read(&mut self, id: &str, work: Work) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.read(work);
+            member.own.record_prefilled(work);
         }
     }
 
     pub(crate) fn late(&mut self, id: &str, work: Work) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.late(work);
+            member.own.record_late(work);
         }
     }
 
     pub(crate) fn confirm(&mut self, id: &str, prompt: &Prompt) {
         if let Some(member) = self.members.get_mut(id) {
-            member.kept.confirm(&prompt.parts);
+            member.kept.mark_read(&prompt.parts);
         }
     }
 
@@ -488,7 +507,7 @@
 
     pub(crate) fn end(&mut self, id: &str, work: Work, ending: Ending, now: Millis) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.end(work);
+            member.own.record_end(work);
             member.ended(ending, now);
         }
     }
@@ -503,19 +522,19 @@
 }
 
 /// True when parts of the prompt may be fetched from a server.
-fn may_give(member: &Member, ask: &Ask<'_>) -> bool {
-    !member.paused(ask.now) && member.rest_until <= ask.now && ask.at_home(member.region.as_deref())
+fn may_give(member: &Member, ask: &PlacementRequest<'_>) -> bool {
+    !member.paused(ask.now) && member.rest_until <= ask.now && ask.allows_region(member.region.as_deref())
 }
 
 /// Why none of the candidates is chosen.
 fn refusal(candidates: &[Candidate<'_>]) -> Refusal {
-    let waits = candidates.iter().map(|candidate| candidate.expected.place_ms);
-    waits.min_by(f64::total_cmp).map_or(Refusal::NoServer, |wait_ms| Refusal::Crowded { wait_ms })
+    let waits = candidates.iter().map(|candidate| candidate.expected.slot_wait_ms);
+    waits.min_by(f64::total_cmp).map_or(Refusal::NoServer, |wait_ms| Refusal::Overloaded { wait_ms })
 }
 
 /// Sorts by cost, those that cost about the least in an order that differs from request to request: what this box knows of
 /// most servers is old, and those that it asks first would get all it sends.
-fn by_cost(candidates: &mut [Candidate<'_>], ask: &Ask<'_>) {
+fn by_cost(candidates: &mut [Candidate<'_>], ask: &PlacementRequest<'_>) {
     let least = candidates.iter().map(Candidate::cost).fold(f64::INFINITY, f64::min);
     let draw = ask.prompt.and_then(|prompt| prompt.parts.last()).map_or(0, |part| part.id);
     let beyond = |candidate: &Candidate<'_>| (candidate.cost() - least - ALIKE).max(0.0);
--- a/crates/placement/src/prompt.rs
+++ b/crates/placement/src/prompt.rs
@@ -19,9 +19,9 @@
     /// Tokens of the whole prompt.
     pub tokens: u32,
     /// Most tokens that may be generated.
-    pub out_most: u32,
+    pub max_out_tokens: u32,
     /// Expected number of generated tokens, a guess.
-    pub out_hint: Option<u32>,
+    pub out_tokens_hint: Option<u32>,
     /// Parts in order; the last is this request's or its session's own.
     pub parts: Vec<Part>,
 }
@@ -47,7 +47,7 @@
 
     /// Expected number of generated tokens.
     #[must_use]
-    pub fn out(&self) -> u32 {
-        self.out_hint.unwrap_or(self.out_most).min(self.out_most)
+    pub fn expected_out_tokens(&self) -> u32 {
+        self.out_tokens_hint.unwrap_or(self.max_out_tokens).min(self.max_out_tokens)
     }
 }
--- a/crates/placement/src/quarantine.rs
+++ b/crates/placement/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! Which requests end the servers that run them.
 //!
 //! When a server ends, each request that was there is a suspect. One under which three servers ended is held: no box sends it
-//! on. A server that survives it proves it innocent. Boxes tell each other [`Record`]s; whatever the order in which these come,
+//! on. A server that survives it proves it innocent. Boxes tell each other [`SuspectRecord`]s; whatever the order in which these come,
 //! all that heard the same hold the same.
 //!
 //! That a server has ended is what one box saw: its address refused connections, as it also does to a box that is cut off. Whatever
@@ -58,7 +58,7 @@
 
 /// A server's end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct End {
+pub struct Termination {
     /// Id of the server's life.
     pub server: String,
     /// How long ago the request was sent there, in milliseconds.
@@ -69,13 +69,13 @@
 
 /// What boxes tell each other of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct SuspectRecord {
     /// The request.
     pub request: Fingerprint,
     /// How often it was found innocent. Ends from before the last time don't count.
     pub survivals: u32,
     /// Servers that ended under it since.
-    pub ends: Vec<End>,
+    pub ends: Vec<Termination>,
     /// How often it was let through although it was held.
     pub trials: u8,
     /// How long ago the last of this happened, in milliseconds.
@@ -84,7 +84,7 @@
 
 /// A server answers: what was seen of its end before wasn't one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sign {
+pub struct LivenessEvidence {
     /// Id of the server's life.
     pub server: String,
     /// How long ago it answered, in milliseconds.
@@ -101,7 +101,7 @@
     /// No: it would end its server.
     Held {
         /// When its caller is asked back, in milliseconds.
-        back_ms: Millis,
+        retry_ms: Millis,
     },
 }
 
@@ -109,30 +109,30 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// It is held from now on.
-    Held(Record),
+    Held(SuspectRecord),
     /// It was held, and no longer is.
-    Lifted(Record),
+    Lifted(SuspectRecord),
     /// Something less; others may not know it.
-    Noted(Record),
+    Updated(SuspectRecord),
     /// Nothing.
-    Known,
+    Unchanged,
 }
 
 impl Change {
-    fn of(held: bool, holds: bool, record: Record) -> Self {
+    fn of(held: bool, holds: bool, record: SuspectRecord) -> Self {
         match (held, holds) {
             (false, true) => Self::Held(record),
             (true, false) => Self::Lifted(record),
-            _ => Self::Noted(record),
+            _ => Self::Updated(record),
         }
     }
 
     /// What others may not know.
     #[must_use]
-    pub fn into_record(self) -> Option<Record> {
+    pub fn into_record(self) -> Option<SuspectRecord> {
         match self {
-            Self::Held(record) | Self::Lifted(record) | Self::Noted(record) => Some(record),
-            Self::Known => None,
+            Self::Held(record) | Self::Lifted(record) | Self::Updated(record) => Some(record),
+            Self::Unchanged => None,
         }
     }
 }
@@ -182,22 +182,22 @@
     }
 
     /// A server ended while this request was there.
-    pub fn ended(&mut self, request: Fingerprint, end: End, now: Millis) -> Change {
+    pub fn record_termination(&mut self, request: Fingerprint, end: Termination, now: Millis) -> Change {
         let survivals = self.suspects.get(&request).map_or(0, |suspect| suspect.survivals);
-        self.take(&Record { request, survivals, ends: vec![end], trials: 0, ago: 0 }, now)
+        self.on_record(&SuspectRecord { request, survivals, ends: vec![end], trials: 0, ago: 0 }, now)
     }
 
     /// A server ran this request and lives, or an operator says that it is innocent.
-    pub fn survived(&mut self, request: Fingerprint, now: Millis) -> Change {
+    pub fn record_survival(&mut self, request: Fingerprint, now: Millis) -> Change {
         let Some(suspect) = self.suspects.get(&request).filter(|suspect| !suspect.ends.is_empty()) else {
-            return Change::Known;
+            return Change::Unchanged;
         };
         let survivals = suspect.survivals + 1;
-        self.take(&Record { request, survivals, ends: Vec::new(), trials: 0, ago: 0 }, now)
+        self.on_record(&SuspectRecord { request, survivals, ends: Vec::new(), trials: 0, ago: 0 }, now)
     }
 
     /// Takes what another box told.
-    pub fn take(&mut self, record: &Record, now: Millis) -> Change {
+    pub fn on_record(&mut self, record: &SuspectRecord, now: Millis) -> Change {
         let now = now as i64;
         self.make_room(record.request);
         let answered = &self.answered;
@@ -208,7 +208,7 @@
             if suspect.is_nothing() {
                 self.suspects.remove(&record.request);
             }
-            return Change::Known;
+            return Change::Unchanged;
         }
         suspect.changed = suspect.changed.max(now - record.ago as i64);
         self.named.extend(record.ends.iter().map(|end| end.server.clone()));
@@ -219,7 +219,7 @@
 
     /// A server answers this box. What is disproved by that, and what others must know of it; nothing where no end of it was
     /// seen.
-    pub fn answered(&mut self, server: &str, now: Millis) -> Vec<Change> {
+    pub fn record_answer(&mut self, server: &str, now: Millis) -> Vec<Change> {
         match self.answered.get_mut(server) {
             Some(at) => *at = now as i64,
             None => drop(self.answered.insert(server.to_owned(), now as i64)),
@@ -228,7 +228,7 @@
     }
 
     /// Another box says that a server answers it.
-    pub fn take_sign(&mut self, sign: &Sign, now: Millis) -> Vec<Change> {
+    pub fn on_liveness_evidence(&mut self, sign: &LivenessEvidence, now: Millis) -> Vec<Change> {
         let at = now as i64 - sign.ago as i64;
         let answered = self.answered.entry(sign.server.clone()).or_insert(at);
         *answered = at.max(*answered);
@@ -237,12 +237,12 @@
 
     /// The signs that disprove what a record says, for who told it.
     #[must_use]
-    pub fn signs(&self, record: &Record, now: Millis) -> Vec<Sign> {
+    pub fn evidence_against(&self, record: &SuspectRecord, now: Millis) -> Vec<LivenessEvidence> {
         let now = now as i64;
-        let sign = |end: &End| {
+        let sign = |end: &Termination| {
             let at = self.answered.get(&end.server)?;
             let disproves = *at >= now - end.ago as i64 + DISPROVED_AFTER;
-            disproves.then(|| Sign { server: end.server.clone(), ago: (now - at).max(0) as Millis })
+            disproves.then(|| LivenessEvidence { server: end.server.clone(), ago: (now - at).max(0) as Millis })
         };
         record.ends.iter().filter_map(sign).collect()
     }
@@ -286,27 +286,27 @@
             return Verdict::Trial;
         }
         // As long again as it has been held.
-        let back_ms = (now - since).clamp(BACK_LEAST, BACK_MOST) as Millis;
-        Verdict::Held { back_ms }
+        let retry_ms = (now - since).clamp(BACK_LEAST, BACK_MOST) as Millis;
+        Verdict::Held { retry_ms }
     }
 
     /// A held request is being sent after all. What others must know.
     pub fn begin_trial(&mut self, request: Fingerprint, now: Millis) -> Change {
-        let Some(suspect) = self.suspects.get(&request) else { return Change::Known };
+        let Some(suspect) = self.suspects.get(&request) else { return Change::Unchanged };
         let trials = suspect.trials + 1;
         let record = suspect.record(request, now as i64);
-        self.take(&Record { trials, ago: 0, ..record }, now)
+        self.on_record(&SuspectRecord { trials, ago: 0, ..record }, now)
     }
 
     /// What this box knows of a request, if it is suspected.
     #[must_use]
-    pub fn record(&self, request: Fingerprint, now: Millis) -> Option<Record> {
+    pub fn record(&self, request: Fingerprint, now: Millis) -> Option<SuspectRecord> {
         self.suspects.get(&request).map(|suspect| suspect.record(request, now as i64))
     }
 
     /// What a box that has just come must know: what is held, and what was found innocent.
     #[must_use]
-    pub fn records(&self, now: Millis) -> Vec<Record> {
+    pub fn records(&self, now: Millis) -> Vec<SuspectRecord> {
         let told = self.suspects.iter().filter(|(_, suspect)| suspect.held() || suspect.survivals > 0);
         told.map(|(request, suspect)| suspect.record(*request, now as i64)).collect()
     }
@@ -348,7 +348,7 @@
 
 impl Suspect {
     /// Takes what was told. False when all of it was known, or is disproved.
-    fn take(&mut self, record: &Record, now: i64, disproved: impl Fn(&Ended) -> bool) -> bool {
+    fn take(&mut self, record: &SuspectRecord, now: i64, disproved: impl Fn(&Ended) -> bool) -> bool {
         if record.survivals < self.survivals {
             return false;
         }
@@ -416,10 +416,10 @@
         }
     }
 
-    fn record(&self, request: Fingerprint, now: i64) -> Record {
+    fn record(&self, request: Fingerprint, now: i64) -> SuspectRecord {
         let ago = |at: i64| (now - at).max(0) as Millis;
-        let end = |end: &Ended| End { server: end.server.clone(), sent: ago(end.sent), ago: ago(end.at) };
-        Record {
+        let end = |end: &Ended| Termination { server: end.server.clone(), sent: ago(end.sent), ago: ago(end.at) };
+        SuspectRecord {
             request,
             survivals: self.survivals,
             ends: self.ends.iter().map(end).collect(),
--- a/crates/placement/src/speed.rs
+++ b/crates/placement/src/speed.rs
@@ -1,6 +1,6 @@
 //! What an engine was observed to take.
 
-use crate::Reading;
+use crate::Prefill;
 use serde::{Deserialize, Serialize};
 
 /// Observations of its own that count as much as what is known of other engines of the same pool.
@@ -51,29 +51,29 @@
 impl Speed {
     /// Milliseconds for reading.
     #[must_use]
-    pub fn read(&self, reading: Reading) -> f64 {
+    pub fn prefill_ms(&self, reading: Prefill) -> f64 {
         let tokens = reading.tokens as f64 / 1e3 * f64::from(self.read_ms);
-        tokens + reading.pairs_k as f64 / 1e3 * f64::from(self.pair_ms)
+        tokens + reading.attention_pairs_k as f64 / 1e3 * f64::from(self.pair_ms)
     }
 
     /// Tokens that are read between two events at most.
     #[must_use]
-    pub fn stretch(&self) -> u32 {
+    pub fn chunk_tokens(&self) -> u32 {
         (self.stall_ms / self.read_ms.max(f32::MIN_POSITIVE) * 1e3) as u32
     }
 
     /// The longest pause between two events of answers beside it, in milliseconds, that reading all this makes.
     #[must_use]
-    pub fn stall(&self, reading: Reading) -> f64 {
+    pub fn expected_stall_ms(&self, reading: Prefill) -> f64 {
         if reading.tokens == 0 {
             return 0.0;
         }
-        (self.read(reading) + f64::from(self.calm_ms)).min(self.longest_stall(reading))
+        (self.prefill_ms(reading) + f64::from(self.calm_ms)).min(self.max_stall_ms(reading))
     }
 
     /// The longest such pause at the depth of `reading`, however much is read.
     #[must_use]
-    pub fn longest_stall(&self, reading: Reading) -> f64 {
+    pub fn max_stall_ms(&self, reading: Prefill) -> f64 {
         f64::from(self.stall_ms) + reading.depth_k() * f64::from(self.stall_depth_ms)
     }
 
@@ -94,7 +94,7 @@
 
     /// This, as far as it rests on observations, and `other` for the rest.
     #[must_use]
-    pub fn or(&self, other: &Self) -> Self {
+    pub fn or_fallback(&self, other: &Self) -> Self {
         let mut blend = *self;
         blend.blend_reading(other, share(ENOUGH, self.seen));
         blend.blend_stalls(other, share(ENOUGH, self.stalls_seen));
--- a/crates/placement/src/standing.rs
+++ b/crates/placement/src/standing.rs
@@ -5,7 +5,7 @@
 
 /// What may be sent to a server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum AdmissionState {
     /// Whatever suits it.
     Open,
     /// A few requests a second of all boxes together, each with its owner's leave: it has just started, or turned cold
@@ -14,48 +14,48 @@
     /// As many requests a second of all boxes together as it said that it takes, each with leave.
     Limited,
     /// Nothing while others are sound: the publisher is back from an older copy, which alone has it, and it may have ended.
-    Doubted,
+    Unconfirmed,
     /// Nothing while others are sound: it failed lately.
     Paused,
     /// Nothing of this box: the server asked for rest.
-    Resting,
+    BackingOff,
     /// Nothing: its hall is evacuated.
     Evacuated,
     /// Nothing: it is about to end.
     Leaving,
 }
 
-impl Standing {
+impl AdmissionState {
     /// True where nothing may be sent by any box, whatever else there is.
-    pub(crate) fn closed(self) -> bool {
+    pub(crate) fn is_closed(self) -> bool {
         matches!(self, Self::Evacuated | Self::Leaving)
     }
 
     /// True where this box may send nothing, whatever else there is.
-    pub(crate) fn shut(self) -> bool {
-        self.closed() || self == Self::Resting
+    pub(crate) fn is_blocked(self) -> bool {
+        self.is_closed() || self == Self::BackingOff
     }
 }
 
 impl Member {
     /// What is in force for it.
-    pub(crate) fn standing(&self, now: Millis) -> Standing {
+    pub(crate) fn standing(&self, now: Millis) -> AdmissionState {
         if self.leaving {
-            Standing::Leaving
+            AdmissionState::Leaving
         } else if self.evacuated {
-            Standing::Evacuated
+            AdmissionState::Evacuated
         } else if now < self.rest_until {
-            Standing::Resting
+            AdmissionState::BackingOff
         } else if now < self.doubted_until {
-            Standing::Doubted
+            AdmissionState::Unconfirmed
         } else if self.paused(now) {
-            Standing::Paused
+            AdmissionState::Paused
         } else if self.cold(now) {
-            Standing::Cold
+            AdmissionState::Cold
         } else if self.limit.quota().is_some() {
-            Standing::Limited
+            AdmissionState::Limited
         } else {
-            Standing::Open
+            AdmissionState::Open
         }
     }
 }
--- a/crates/placement/src/turns.rs
+++ b/crates/placement/src/turns.rs
@@ -44,7 +44,7 @@
         }
         let present = |asked: &&Option<Millis>| asked.is_some_and(|at| now < at + PRESENT);
         let before = self.asked[..class].iter().filter(present).count() as Millis;
-        Quota { within: quota.within * (1 + before), ..*quota }
+        Quota { window: quota.window * (1 + before), ..*quota }
     }
 
     /// It got leave.
--- a/crates/placement/src/warmth.rs
+++ b/crates/placement/src/warmth.rs
@@ -17,33 +17,33 @@
 
 /// What all boxes together may send to a cold server, by the platform's bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Allowance {
+pub struct ColdAllowance {
     /// Times what its service says that it bears in a second.
     pub ratio: f64,
     /// Requests in a second besides.
     pub slack: f64,
 }
 
-impl Default for Allowance {
+impl Default for ColdAllowance {
     /// Where no bound is set, just what it bears.
     fn default() -> Self {
         Self { ratio: 1.0, slack: 0.0 }
     }
 }
 
-impl Allowance {
+impl ColdAllowance {
     /// Most requests that a cold server is to get: below the bound for bursts, and no more than the bound without its slack where
     /// they go on.
     pub(crate) fn quota(&self, cold: &Cold) -> Quota {
         let lasting = cold.per_s * self.ratio;
         let burst = lasting + self.slack - UNCOUNTED;
-        Quota { most: burst.min(lasting * WINDOW as f64 / 1e3).max(0.0) as u32, within: WINDOW }
+        Quota { max_requests: burst.min(lasting * WINDOW as f64 / 1e3).max(0.0) as u32, window: WINDOW }
     }
 }
 
 /// How long ago a server broke off, and has answered since.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Break {
+pub enum Disconnect {
     /// It has not broken off.
     #[default]
     None,
@@ -73,16 +73,16 @@
     }
 
     /// The same for those who don't share this clock.
-    pub(crate) fn told(&self, now: Millis) -> Break {
+    pub(crate) fn told(&self, now: Millis) -> Disconnect {
         match self {
-            Self::None => Break::None,
-            Self::Open => Break::Open,
-            Self::Over(at) => Break::Over(u32::try_from(now.saturating_sub(*at)).unwrap_or(u32::MAX)),
+            Self::None => Disconnect::None,
+            Self::Open => Disconnect::Open,
+            Self::Over(at) => Disconnect::Over(u32::try_from(now.saturating_sub(*at)).unwrap_or(u32::MAX)),
         }
     }
 }
 
-impl Break {
+impl Disconnect {
     /// Until when a server is cold that breaks off as told at `at`, by this; 0 when it says nothing.
     pub(crate) fn cold_until(self, cold: &Cold, at: Millis) -> Millis {
         let time = cold.time.as_millis() as Millis;
--- a/crates/placement/src/weigh.rs
+++ b/crates/placement/src/weigh.rs
@@ -3,7 +3,7 @@
 use crate::harm;
 use crate::member::Member;
 use crate::split::{self, Split};
-use crate::{Ask, Expectation, Load, Prompt, Reading, Speed, Work};
+use crate::{CostEstimate, Load, PlacementRequest, Prefill, Prompt, Speed, Work};
 use routing::Engine;
 
 /// What a first event at its aim costs while it is in time: sooner is better, all else being equal.
@@ -39,7 +39,7 @@
 /// A member that could be chosen, with its cost.
 pub(crate) struct Candidate<'a> {
     pub(crate) member: &'a Member,
-    pub(crate) expected: Expectation,
+    pub(crate) expected: CostEstimate,
     /// What the request adds there, after a fetch if one is worth it.
     pub(crate) work: Work,
     pub(crate) fetch: bool,
@@ -70,7 +70,7 @@
 
 /// What the servers of a pool are weighed by, for one request.
 pub(crate) struct Scale<'a> {
-    pub(crate) ask: &'a Ask<'a>,
+    pub(crate) ask: &'a PlacementRequest<'a>,
     pub(crate) engine: Option<&'a Engine>,
     /// What engines of this pool take, on average.
     pub(crate) speed: Speed,
@@ -93,13 +93,13 @@
 impl Scale<'_> {
     /// A server with its cost.
     pub(crate) fn weigh<'m>(&self, member: &'m Member) -> Candidate<'m> {
-        let base = (member.health.failing() - self.failing_least) * FAILING + self.way(member);
-        let said = self.ask.opinion(&member.server.id);
+        let base = (member.health.failure_ratio() - self.failing_least) * FAILING + self.way(member);
+        let said = self.ask.status(&member.server.id);
         let load = said.map_or_else(|| member.load(self.ask.now), |opinion| &opinion.load);
         match self.ask.prompt {
             Some(prompt) => self.weigh_prompt(member, load, prompt, base),
             None => {
-                let expected = Expectation { cost: base + plain_wait(member, load), ..Expectation::default() };
+                let expected = CostEstimate { cost: base + plain_wait(member, load), ..CostEstimate::default() };
                 Candidate { member, expected, work: Work::default(), fetch: false }
             }
         }
@@ -114,20 +114,28 @@
     }
 
     fn weigh_prompt<'m>(&self, member: &'m Member, load: &Load, prompt: &Prompt, base: f64) -> Candidate<'m> {
-        let speed = member.speed().map_or(self.speed, |own| own.or(&self.speed));
+        let speed = member.speed().map_or(self.speed, |own| own.or_fallback(&self.speed));
         let plan = self.reading(member, prompt);
         let work = self.work(prompt, plan.unread, &speed);
         let place_ms = self.place_ms(member, load);
-        let reading_ms = speed.read(load.reading.and(work.reading));
+        let reading_ms = speed.prefill_ms(load.prefill.plus(work.prefill));
         let wait_ms = f64::from(speed.base_ms) + reading_ms.max(place_ms);
-        let aim_ms = self.ask.aim.as_secs_f64() * 1e3;
+        let aim_ms = self.ask.target.as_secs_f64() * 1e3;
         let wait = WAIT * wait_ms / aim_ms.max(1.0) + harm::first_late(wait_ms, aim_ms);
         let took_ms = f64::from(work.out) * f64::from(speed.out_ms);
         let stalled = harm::stalled(f64::from(member.stalls_per_s(self.ask.now)), took_ms);
         let memory = self.engine.map_or(u64::MAX, |engine| engine.memory_tokens);
         let others = harm::to_others(load, &work, &speed) + harm::put_back(load, &work, memory, member.server.slots);
         let cost = base + wait + stalled + others + plan.cost + self.other_side(member);
-        let expected = Expectation { cost, wait_ms, place_ms, stalled, others, split: self.split.share(), speed };
+        let expected = CostEstimate {
+            cost,
+            wait_ms,
+            slot_wait_ms: place_ms,
+            stall_probability: stalled,
+            others_late: others,
+            long_share: self.split.share(),
+            speed,
+        };
         Candidate { member, expected, work, fetch: plan.fetch }
     }
 
@@ -141,28 +149,28 @@
     fn place_ms(&self, member: &Member, load: &Load) -> f64 {
         let before = load.not_displaced_by(self.ask.urgency);
         let ends = f64::from(before.saturating_add(1).saturating_sub(member.server.slots));
-        let end_ms = self.ask.opinion(&member.server.id).map_or(0.0, |opinion| opinion.end_ms);
+        let end_ms = self.ask.status(&member.server.id).map_or(0.0, |opinion| opinion.completion_interval_ms);
         // Where none ended lately, none is expected to.
-        let end_ms = if end_ms > 0.0 { f64::from(end_ms) } else { self.ask.aim.as_secs_f64() * 1e3 };
+        let end_ms = if end_ms > 0.0 { f64::from(end_ms) } else { self.ask.target.as_secs_f64() * 1e3 };
         ends * end_ms
     }
 
     /// What a request adds to the load of a server that has `unread` of its tokens to read.
     fn work(&self, prompt: &Prompt, unread: u32, speed: &Speed) -> Work {
         Work {
-            reading: Reading::last(unread, prompt.tokens, speed.stretch()),
-            held: prompt.tokens.saturating_add(prompt.out()),
-            out: prompt.out(),
+            prefill: Prefill::tail(unread, prompt.tokens, speed.chunk_tokens()),
+            held: prompt.tokens.saturating_add(prompt.expected_out_tokens()),
+            out: prompt.expected_out_tokens(),
             urgency: self.ask.urgency,
-            gap_ms: self.ask.gap_aim.map_or(0, |gap| gap.as_millis() as u32),
+            gap_ms: self.ask.gap_limit.map_or(0, |gap| gap.as_millis() as u32),
             long: split::is_long(self.longness),
         }
     }
 
     fn reading(&self, member: &Member, prompt: &Prompt) -> Plan {
         let shared = prompt.shared_tokens();
-        let said = self.ask.opinion(&member.server.id);
-        let kept = member.kept.prefix(&prompt.parts).max(said.map_or(0, |opinion| opinion.kept));
+        let said = self.ask.status(&member.server.id);
+        let kept = member.kept.cached_prefix(&prompt.parts).max(said.map_or(0, |opinion| opinion.cached_tokens));
         let unread = prompt.tokens.saturating_sub(kept);
         let at_home = self.homes.first().is_some_and(|home| home.server.id == member.server.id);
         if at_home && said.is_none() {
--- a/crates/placement/tests/budget.rs
+++ b/crates/placement/tests/budget.rs
@@ -1,6 +1,6 @@
 //! Second sends of all boxes together stay within the bound.
 
-use placement::Budget;
+use placement::RetryBudget;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -13,13 +13,13 @@
 fn no_window_has_more_second_sends_than_the_bound_however_uneven_the_boxes() {
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut budgets = vec![Budget::new(RATIO, SLACK, WINDOW); BOXES];
+        let mut budgets = vec![RetryBudget::new(RATIO, SLACK, WINDOW); BOXES];
         let (mut first, mut second) = (Vec::new(), Vec::new());
         for now in (0..40_000_u64).step_by(20) {
             let at = if rng.random_bool(0.7) { 0 } else { rng.random_range(0..BOXES) };
-            budgets[at].first(now);
+            budgets[at].record_request(now);
             first.push(now);
-            while budgets[at].take(BOXES, now) {
+            while budgets[at].take_retry(BOXES, now) {
                 second.push(now);
             }
             let within = |times: &[u64]| times.iter().filter(|t| **t + WINDOW >= now).count() as f64;
@@ -31,9 +31,9 @@
 
 #[test]
 fn a_box_gets_its_part_of_the_slack_back_after_the_window() {
-    let mut budget = Budget::new(0.0, 20.0, WINDOW);
-    let taken = (0..50).filter(|_| budget.take(BOXES, 0)).count();
+    let mut budget = RetryBudget::new(0.0, 20.0, WINDOW);
+    let taken = (0..50).filter(|_| budget.take_retry(BOXES, 0)).count();
     assert_eq!(taken, 2);
-    assert!(!budget.take(BOXES, WINDOW));
-    assert!(budget.take(BOXES, WINDOW + 1));
+    assert!(!budget.take_retry(BOXES, WINDOW));
+    assert!(budget.take_retry(BOXES, WINDOW + 1));
 }
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -3,7 +3,10 @@
 mod common;
 
 use common::{route, service, MODEL};
-use placement::{Ask, Budget, Choice, Ending, Load, Opinion, Part, Placement, Prompt, Reading, Refusal, Speed, Work};
+use placement::{
+    Choice, Ending, Load, Part, Placement, PlacementRequest, Prefill, Prompt, Refusal, RetryBudget, ServerStatus,
+    Speed, Work,
+};
 use routing::{Server, Table};
 use std::time::Duration;
 
@@ -23,7 +26,7 @@
 
 /// With one route to engines whose events hold four tokens.
 fn placement(servers: Vec<Server>) -> Placement {
-    let mut placement = Placement::new("here", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("here", RetryBudget::new(0.2, 50.0, 10_000));
     let table = Table::new(1, vec![route(Some(QUICK_GAP))], vec![service(64, 4, None)]);
     common::update(&mut placement, &table, servers, &[], 0);
     placement
@@ -31,7 +34,7 @@
 
 fn prompt(shared: u64, own: u64) -> Prompt {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
-    Prompt { model: "m".to_owned(), tokens: 16_000, out_most: 100, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
 fn choose_at(
@@ -39,31 +42,36 @@
     now: u64,
     prompt: &Prompt,
     tried: &[String],
-    opinions: &[(String, Opinion)],
+    opinions: &[(String, ServerStatus)],
 ) -> Choice {
-    let ask = Ask {
+    let ask = PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
-        aim: AIM,
-        gap_aim: None,
+        target: AIM,
+        gap_limit: None,
         urgency: 0,
         bytes: 17_000,
         tried,
         denied: &[],
-        homes: [None, None],
-        opinions,
+        allowed_regions: [None, None],
+        statuses: opinions,
         now,
     };
     placement.choose(&ask).expect("a server")
 }
 
-fn choose(placement: &mut Placement, prompt: &Prompt, opinions: &[(String, Opinion)]) -> Choice {
+fn choose(placement: &mut Placement, prompt: &Prompt, opinions: &[(String, ServerStatus)]) -> Choice {
     choose_at(placement, 1_000, prompt, &[], opinions)
 }
 
-fn opinion(running: u32, unread: u64, kept: u32, read: u32) -> Opinion {
-    let reading = Reading { tokens: unread, ..Reading::default() };
-    Opinion { load: Load { running, reading, ..Load::default() }, kept, read, ..Opinion::default() }
+fn opinion(running: u32, unread: u64, kept: u32, read: u32) -> ServerStatus {
+    let reading = Prefill { tokens: unread, ..Prefill::default() };
+    ServerStatus {
+        load: Load { running, prefill: reading, ..Load::default() },
+        cached_tokens: kept,
+        confirmed_tokens: read,
+        ..ServerStatus::default()
+    }
 }
 
 #[test]
@@ -107,7 +115,7 @@
         let chosen = choose(&mut placement, &prompt(7, 101), &heard);
         assert_eq!(chosen.server.id, other);
         assert_eq!(chosen.fetch, fetches.then_some(home.address));
-        assert_eq!(chosen.work.reading.tokens, unread);
+        assert_eq!(chosen.work.prefill.tokens, unread);
     }
 }
 
@@ -121,7 +129,7 @@
     let chosen = choose(&mut placement, &prompt(7, 101), &heard);
     assert_eq!(chosen.server.id, home.id);
     assert_eq!(chosen.fetch, Some(holder.address));
-    assert_eq!(chosen.work.reading.tokens, 3_000);
+    assert_eq!(chosen.work.prefill.tokens, 3_000);
 }
 
 #[test]
@@ -131,27 +139,27 @@
     let without = std::slice::from_ref(&home);
     let next = choose_at(&mut placement.clone(), 0, &prompt(7, 101), without, &[]).server.id.clone();
     for _ in 0..30 {
-        placement.begin(
+        placement.record_sent(
             MODEL,
             &next,
-            Work { reading: Reading::last(10_000, 10_000, 6_000), held: 10_000, ..Work::default() },
+            Work { prefill: Prefill::tail(10_000, 10_000, 6_000), held: 10_000, ..Work::default() },
         );
     }
     let prompt = prompt(7, 102);
-    let ask = Ask {
+    let ask = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
-        aim: AIM,
-        gap_aim: None,
+        target: AIM,
+        gap_limit: None,
         urgency: 0,
         bytes: 0,
         tried: &[],
         denied: &[],
-        homes: [None, None],
-        opinions: &[],
+        allowed_regions: [None, None],
+        statuses: &[],
         now: 0,
     };
-    let asked: Vec<String> = placement.plan(&ask, 4).iter().map(|server| server.id.clone()).collect();
+    let asked: Vec<String> = placement.servers_to_query(&ask, 4).iter().map(|server| server.id.clone()).collect();
     assert_eq!(asked[..2], [home, next]);
     assert_eq!(asked.len(), 4);
 }
@@ -162,34 +170,34 @@
     let mut asked = std::collections::HashSet::new();
     for own in 0..100 {
         let prompt = quick_prompt(1_000 + own);
-        asked.extend(placement.plan(&quick_ask(&prompt, &[]), 9).iter().map(|server| server.id.clone()));
+        asked.extend(placement.servers_to_query(&quick_ask(&prompt, &[]), 9).iter().map(|server| server.id.clone()));
     }
     assert!(asked.len() >= 36, "{} of 40 are asked by 100 requests", asked.len());
 }
 
 fn quick_prompt(own: u64) -> Prompt {
     let parts = vec![Part { id: 1, tokens: 200 }, Part { id: own, tokens: 800 }];
-    Prompt { model: "m".to_owned(), tokens: 1_000, out_most: 200, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 1_000, max_out_tokens: 200, out_tokens_hint: None, parts }
 }
 
 fn deep_prompt(shared: u64) -> Prompt {
     let parts = vec![Part { id: shared, tokens: 28_000 }, Part { id: 5_000 + shared, tokens: 4_000 }];
-    Prompt { model: "m".to_owned(), tokens: 32_000, out_most: 100, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 32_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
 /// An ask whose answer may pause only for [`QUICK_GAP`].
-fn quick_ask<'a>(prompt: &'a Prompt, opinions: &'a [(String, Opinion)]) -> Ask<'a> {
-    Ask {
+fn quick_ask<'a>(prompt: &'a Prompt, opinions: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
-        aim: AIM,
-        gap_aim: Some(QUICK_GAP),
+        target: AIM,
+        gap_limit: Some(QUICK_GAP),
         urgency: 0,
         bytes: 1_500,
         tried: &[],
         denied: &[],
-        homes: [None, None],
-        opinions,
+        allowed_regions: [None, None],
+        statuses: opinions,
         now: 1_000,
     }
 }
@@ -200,22 +208,22 @@
 }
 
 /// What is said of a server where so many answers bear pauses of [`QUICK_GAP`], and of its speed.
-fn paced(answers: u32, stall_ms: f32) -> Opinion {
+fn paced(answers: u32, stall_ms: f32) -> ServerStatus {
     let paces = [(QUICK_GAP.as_millis() as u32, answers)].into_iter().filter(|(_, count)| *count > 0).collect();
-    Opinion {
-        load: Load { running: answers, paces, ..Load::default() },
-        kept: 28_000,
-        read: 28_000,
+    ServerStatus {
+        load: Load { running: answers, gap_limits: paces, ..Load::default() },
+        cached_tokens: 28_000,
+        confirmed_tokens: 28_000,
         speed: speed(stall_ms),
-        ..Opinion::default()
+        ..ServerStatus::default()
     }
 }
 
-fn chosen(prompt: &Prompt, s0: Opinion, s1: Opinion) -> String {
+fn chosen(prompt: &Prompt, s0: ServerStatus, s1: ServerStatus) -> String {
     let heard = [("s0".to_owned(), s0), ("s1".to_owned(), s1)];
     let mut placement = placement(servers(2));
     for (id, opinion) in &heard {
-        placement.hear(MODEL, id, opinion.clone(), 1_000);
+        placement.on_status(MODEL, id, opinion.clone(), 1_000);
     }
     choose(&mut placement, prompt, &heard).server.id.clone()
 }
@@ -239,7 +247,7 @@
 #[test]
 fn a_short_rest_is_read_beside_any_answers() {
     let short = Prompt { tokens: 30_000, ..deep_prompt(7) };
-    let elsewhere = Opinion { kept: 0, read: 0, ..paced(0, 400.0) };
+    let elsewhere = ServerStatus { cached_tokens: 0, confirmed_tokens: 0, ..paced(0, 400.0) };
     assert_eq!(chosen(&short, paced(30, 400.0), elsewhere.clone()), "s0", "30 answers there bear its 50 ms");
     assert_eq!(chosen(&short, elsewhere, paced(30, 400.0)), "s1");
 }
@@ -248,10 +256,11 @@
 fn an_answer_runs_where_reading_stalls_it_less() {
     for stalled in ["s0", "s1"] {
         let mut placement = placement(servers(2));
-        let opinion_of = |id: &str| Opinion { stalls_per_s: if id == stalled { 1.0 } else { 0.0 }, ..paced(9, 400.0) };
+        let opinion_of =
+            |id: &str| ServerStatus { stalls_per_s: if id == stalled { 1.0 } else { 0.0 }, ..paced(9, 400.0) };
         let heard = ["s0", "s1"].map(|id| (id.to_owned(), opinion_of(id)));
         for (id, opinion) in &heard {
-            placement.hear(MODEL, id, opinion.clone(), 1_000);
+            placement.on_status(MODEL, id, opinion.clone(), 1_000);
         }
         let prompt = quick_prompt(100);
         let chosen = placement.choose(&quick_ask(&prompt, &heard)).expect("a server");
@@ -263,15 +272,15 @@
 #[test]
 fn an_unwatched_server_is_taken_to_be_as_fast_as_the_others() {
     let mut placement = placement(servers(3));
-    let slow = Opinion { speed: Speed { read_ms: 80.0, ..speed(400.0) }, ..Opinion::default() };
+    let slow = ServerStatus { speed: Speed { read_ms: 80.0, ..speed(400.0) }, ..ServerStatus::default() };
     for id in ["s0", "s1"] {
-        placement.hear(MODEL, id, slow.clone(), 1_000);
+        placement.on_status(MODEL, id, slow.clone(), 1_000);
     }
     let home_of = |shared: u64| choose(&mut placement.clone(), &prompt(shared, 100), &[]).server.id.clone();
     let shared = (0..100).find(|shared| home_of(*shared) == "s2").expect("a part whose home it is");
-    let choice = choose(&mut placement, &prompt(shared, 100), &[("s2".to_owned(), Opinion::default())]);
+    let choice = choose(&mut placement, &prompt(shared, 100), &[("s2".to_owned(), ServerStatus::default())]);
     assert_eq!(choice.server.id, "s2");
-    assert!((choice.expected.speed.read_ms - 80.0).abs() < 1.0, "{:?}", choice.expected.speed);
+    assert!((choice.estimate.speed.read_ms - 80.0).abs() < 1.0, "{:?}", choice.estimate.speed);
 }
 
 #[test]
@@ -279,7 +288,7 @@
     for shared in 0..30 {
         let mut placement = placement(servers(9));
         let home = choose(&mut placement.clone(), &prompt(shared, 100), &[]).server.id.clone();
-        let others = placement.plan(&quick_ask(&prompt(shared, 100), &[]), 9);
+        let others = placement.servers_to_query(&quick_ask(&prompt(shared, 100), &[]), 9);
         let heard: Vec<_> =
             others.iter().filter(|s| s.id != home).map(|s| (s.id.clone(), opinion(3, 2_000, 0, 0))).collect();
         assert_eq!(choose(&mut placement, &prompt(shared, 100), &heard).server.id, home);
@@ -304,25 +313,25 @@
 fn for_a_prompt_with_few_shared_tokens_four_owners_are_asked() {
     let mut placement = placement(servers(9));
     let prompt = quick_prompt(100);
-    assert_eq!(placement.plan(&quick_ask(&prompt, &[]), 9).len(), 4);
+    assert_eq!(placement.servers_to_query(&quick_ask(&prompt, &[]), 9).len(), 4);
     let long = deep_prompt(7);
-    assert_eq!(placement.plan(&quick_ask(&long, &[]), 9).len(), 9);
+    assert_eq!(placement.servers_to_query(&quick_ask(&long, &[]), 9).len(), 9);
 }
 
 /// What is said of two servers of 64 places that so many requests have or wait for, of which one ends every 100 ms.
-fn places(running: u32) -> Vec<(String, Opinion)> {
+fn places(running: u32) -> Vec<(String, ServerStatus)> {
     let load = Load { running, urgencies: [(0, running)].into(), ..Load::default() };
-    let said = Opinion { load, end_ms: 100.0, ..Opinion::default() };
+    let said = ServerStatus { load, completion_interval_ms: 100.0, ..ServerStatus::default() };
     ["s0", "s1"].map(|id| (id.to_owned(), said.clone())).into()
 }
 
 /// How long a quick request would have to wait for a place; none if it is sent.
 fn refused(placement: &mut Placement, running: u32, urgency: u8, now: u64) -> Option<f64> {
     let (prompt, opinions) = (quick_prompt(100), places(running));
-    let ask = Ask { urgency, now, ..quick_ask(&prompt, &opinions) };
+    let ask = PlacementRequest { urgency, now, ..quick_ask(&prompt, &opinions) };
     match placement.choose(&ask) {
         Ok(_) => None,
-        Err(Refusal::Crowded { wait_ms }) => Some(wait_ms),
+        Err(Refusal::Overloaded { wait_ms }) => Some(wait_ms),
         Err(other) => panic!("there are servers: {other:?}"),
     }
 }
@@ -338,11 +347,17 @@
 fn nothing_is_refused_while_a_dearer_server_has_a_place() {
     let full = Load { running: 80, urgencies: [(0, 80)].into(), ..Load::default() };
     // It keeps the prompt, so that sending it here would cost less than reading it again.
-    let full = Opinion { load: full, kept: 13_000, read: 0, end_ms: 100.0, ..Opinion::default() };
+    let full = ServerStatus {
+        load: full,
+        cached_tokens: 13_000,
+        confirmed_tokens: 0,
+        completion_interval_ms: 100.0,
+        ..ServerStatus::default()
+    };
     for urgency in [0, 3] {
         let (mut placement, prompt) = (placement(servers(2)), prompt(7, 100));
         let opinions = [("s0".to_owned(), full.clone()), ("s1".to_owned(), opinion(0, 0, 0, 0))];
-        let choice = placement.choose(&Ask { urgency, ..quick_ask(&prompt, &opinions) });
+        let choice = placement.choose(&PlacementRequest { urgency, ..quick_ask(&prompt, &opinions) });
         assert_eq!(choice.expect("a place").server.id, "s1");
     }
 }
@@ -370,13 +385,16 @@
     let prompt = quick_prompt(100);
     let said = |lesser: u32, urgent: u32| {
         let urgencies = [(1, lesser), (0, urgent)].into_iter().filter(|(_, count)| *count > 0).collect();
-        Opinion { load: Load { running: lesser + urgent, urgencies, ..Load::default() }, ..Opinion::default() }
+        ServerStatus {
+            load: Load { running: lesser + urgent, urgencies, ..Load::default() },
+            ..ServerStatus::default()
+        }
     };
     let opinions = [("s0".to_owned(), said(200, 60)), ("s1".to_owned(), said(0, 90))];
     let urgent = placement.choose(&quick_ask(&prompt, &opinions)).expect("a place of the less urgent");
     assert_eq!(urgent.server.id, "s0");
-    let lesser = placement.choose(&Ask { urgency: 1, ..quick_ask(&prompt, &opinions) });
-    assert!(matches!(lesser, Err(Refusal::Crowded { .. })), "{lesser:?}");
+    let lesser = placement.choose(&PlacementRequest { urgency: 1, ..quick_ask(&prompt, &opinions) });
+    assert!(matches!(lesser, Err(Refusal::Overloaded { .. })), "{lesser:?}");
     let free = [("s0".to_owned(), said(10, 54)), ("s1".to_owned(), said(0, 63))];
     assert_eq!(placement.choose(&quick_ask(&prompt, &free)).expect("a place").server.id, "s1", "nobody is displaced");
 }
@@ -385,7 +403,7 @@
 fn a_request_that_was_sent_already_is_not_refused_for_want_of_a_place() {
     let mut placement = placement(servers(2));
     let (prompt, opinions, tried) = (quick_prompt(100), places(100), ["s0".to_owned()]);
-    let ask = Ask { tried: &tried, ..quick_ask(&prompt, &opinions) };
+    let ask = PlacementRequest { tried: &tried, ..quick_ask(&prompt, &opinions) };
     assert_eq!(placement.choose(&ask).expect("a server").server.id, "s1");
 }
 
@@ -393,8 +411,8 @@
 fn a_server_that_breaks_twice_is_left_alone_and_then_tried_by_one_request() {
     let mut placement = placement(servers(2));
     for _ in 0..2 {
-        placement.begin(MODEL, "s0", Work::default());
-        placement.end(MODEL, "s0", Work::default(), Ending::Broken, 1_000);
+        placement.record_sent(MODEL, "s0", Work::default());
+        placement.record_end(MODEL, "s0", Work::default(), Ending::Broken, 1_000);
     }
     for shared in 0..40 {
         assert_eq!(choose(&mut placement, &prompt(shared, 100 + shared), &[]).server.id, "s1");
@@ -406,29 +424,29 @@
 #[test]
 fn without_a_sound_server_the_one_whose_pause_ends_first_is_tried() {
     let mut placement = placement(servers(1));
-    placement.end(MODEL, "s0", Work::default(), Ending::Unreached, 1_000);
+    placement.record_end(MODEL, "s0", Work::default(), Ending::Unreached, 1_000);
     assert_eq!(choose(&mut placement, &prompt(1, 2), &[]).server.id, "s0");
 }
 
 #[test]
 fn plain_requests_stay_in_the_hall_unless_it_is_busy() {
     let mut placement = placement(vec![server(0, "here", false), server(1, "there", false)]);
-    let ask = Ask {
+    let ask = PlacementRequest {
         service: MODEL,
         prompt: None,
-        aim: AIM,
-        gap_aim: None,
+        target: AIM,
+        gap_limit: None,
         urgency: 0,
         bytes: 600,
         tried: &[],
         denied: &[],
-        homes: [None, None],
-        opinions: &[],
+        allowed_regions: [None, None],
+        statuses: &[],
         now: 0,
     };
     assert_eq!(placement.choose(&ask).expect("a server").server.id, "s0");
     for _ in 0..70 {
-        placement.begin(MODEL, "s0", Work::default());
+        placement.record_sent(MODEL, "s0", Work::default());
     }
     assert_eq!(placement.choose(&ask).expect("a server").server.id, "s1");
 }
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -5,8 +5,8 @@
 
 use common::{server, service, MODEL};
 use placement::{
-    Allowance, Ask, Budget, Ending, Leave, News, Opinion, Owner, Part, Permit, Placement, Prompt, Question, Refusal,
-    Report, Work,
+    ColdAllowance, Ending, Owner, Part, PermitReply, PermitRequest, Placement, PlacementRequest, Prompt, Refusal,
+    RetryBudget, SendReport, SendUpdate, ServerStatus, StatusQuery, Work,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -35,26 +35,32 @@
 }
 
 fn placement() -> Placement {
-    Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000)).with_allowance(Allowance { ratio: 1.5, slack: 5.0 })
+    Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000))
+        .with_allowance(ColdAllowance { ratio: 1.5, slack: 5.0 })
 }
 
 fn prompt(shared: u64, own: u64) -> Prompt {
     let parts = vec![Part { id: shared, tokens: 6_000 }, Part { id: own, tokens: 1_000 }];
-    Prompt { model: "m".to_owned(), tokens: 7_000, out_most: 60, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 7_000, max_out_tokens: 60, out_tokens_hint: None, parts }
 }
 
-fn ask<'a>(prompt: &'a Prompt, opinions: &'a [(String, Opinion)], denied: &'a [String], now: u64) -> Ask<'a> {
-    Ask {
+fn ask<'a>(
+    prompt: &'a Prompt,
+    opinions: &'a [(String, ServerStatus)],
+    denied: &'a [String],
+    now: u64,
+) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
-        aim: Duration::from_millis(2_000),
-        gap_aim: None,
+        target: Duration::from_millis(2_000),
+        gap_limit: None,
         urgency: 0,
         bytes: 10_000,
         tried: &[],
         denied,
-        homes: [None, None],
-        opinions,
+        allowed_regions: [None, None],
+        statuses: opinions,
         now,
     }
 }
@@ -86,14 +92,18 @@
         self.numbers
     }
 
-    fn opinions(&mut self, index: usize, prompt: &Prompt, now: u64) -> Vec<(String, Opinion)> {
-        let planned = self.boxes[index].plan(&ask(prompt, &[], &[], now), 9);
+    fn opinions(&mut self, index: usize, prompt: &Prompt, now: u64) -> Vec<(String, ServerStatus)> {
+        let planned = self.boxes[index].servers_to_query(&ask(prompt, &[], &[], now), 9);
         let mut opinions = Vec::new();
         for server in planned {
-            let question =
-                Question { number: self.number(), server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-            let opinion = self.owner.ask(&question, now);
-            self.boxes[index].hear(MODEL, &server.id, opinion.clone(), now);
+            let question = StatusQuery {
+                number: self.number(),
+                server: server.id.clone(),
+                parts: prompt.parts.clone(),
+                gap_ms: 0,
+            };
+            let opinion = self.owner.on_query(&question, now);
+            self.boxes[index].on_status(MODEL, &server.id, opinion.clone(), now);
             opinions.push((server.id.clone(), opinion));
         }
         opinions
@@ -109,9 +119,10 @@
         let choice = loop {
             match self.boxes[index].choose(&ask(&prompt, &opinions, &denied, now)) {
                 Ok(choice) => {
-                    let Some(quotas) = choice.leave else { break choice };
-                    let permit = Permit { number: self.number(), server: choice.server.id.clone(), quotas, urgency: 0 };
-                    if heard && self.owner.permit(&permit, now) == Leave::Given {
+                    let Some(quotas) = choice.permit_quotas else { break choice };
+                    let permit =
+                        PermitRequest { number: self.number(), server: choice.server.id.clone(), quotas, urgency: 0 };
+                    if heard && self.owner.on_permit_request(&permit, now) == PermitReply::Granted {
                         break choice;
                     }
                     denied.push(choice.server.id.clone());
@@ -127,13 +138,13 @@
         let arrives = now + self.rng.random_range(0..=WAY_MOST);
         self.arrived.entry(id.clone()).or_default().push(arrives);
         if heard {
-            let permitted = choice.leave.is_some();
-            let news = News::Sent { parts: prompt.parts, work: Work::default(), memory: 300_000, permitted };
+            let permitted = choice.permit_quotas.is_some();
+            let news = SendUpdate::Sent { parts: prompt.parts, work: Work::default(), memory: 300_000, permitted };
             let from = SocketAddr::from(([10, 1, 0, index as u8], 80));
             let number = self.number();
-            self.owner.report(from, Report { number, server: id.clone(), news }, now);
-            let over = News::Ended { ending: Ending::Good, pause_ms: 0 };
-            self.owner.report(from, Report { number, server: id, news: over }, now);
+            self.owner.on_report(from, SendReport { number, server: id.clone(), update: news }, now);
+            let over = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
+            self.owner.on_report(from, SendReport { number, server: id, update: over }, now);
         }
     }
 
@@ -210,13 +221,15 @@
     update(&mut placement, servers(), &["hall-0"], 1_000);
     let prompt = prompt(1, 2);
     let during = placement.choose(&ask(&prompt, &[], &[], 1_500)).expect("the other hall's server");
-    assert_eq!((during.server.name.as_str(), during.leave), ("s1", None));
+    assert_eq!((during.server.name.as_str(), during.permit_quotas), ("s1", None));
     update(&mut placement, servers(), &[], 9_000);
     let tried = ["s1@1".to_owned()];
-    let given_back = placement.choose(&Ask { tried: &tried, ..ask(&prompt, &[], &[], 9_100) }).expect("a server");
-    assert!(given_back.leave.is_some());
-    let warm = placement.choose(&Ask { tried: &tried, ..ask(&prompt, &[], &[], 12_100) }).expect("a server");
-    assert_eq!(warm.leave, None);
+    let given_back =
+        placement.choose(&PlacementRequest { tried: &tried, ..ask(&prompt, &[], &[], 9_100) }).expect("a server");
+    assert!(given_back.permit_quotas.is_some());
+    let warm =
+        placement.choose(&PlacementRequest { tried: &tried, ..ask(&prompt, &[], &[], 12_100) }).expect("a server");
+    assert_eq!(warm.permit_quotas, None);
     update(&mut placement, servers(), &["hall-0", "hall-1"], 20_000);
     assert_eq!(placement.choose(&ask(&prompt, &[], &[], 20_001)).expect_err("no hall"), Refusal::NoServer);
 }
@@ -226,12 +239,12 @@
     let mut placement = placement();
     update(&mut placement, vec![life(0, 1, 0)], &[], 0);
     let leave = |placement: &mut Placement, now: u64| {
-        placement.choose(&ask(&prompt(1, 2), &[], &[], now)).expect("a server").leave.is_some()
+        placement.choose(&ask(&prompt(1, 2), &[], &[], now)).expect("a server").permit_quotas.is_some()
     };
     assert!(!leave(&mut placement, 10));
-    placement.note(MODEL, "s0@1", Ending::Broken, 20);
+    placement.record_ending(MODEL, "s0@1", Ending::Broken, 20);
     assert!(leave(&mut placement, 30) && leave(&mut placement, 60_000), "it may start again at any time");
-    placement.note(MODEL, "s0@1", Ending::Good, 60_000);
+    placement.record_ending(MODEL, "s0@1", Ending::Good, 60_000);
     assert!(leave(&mut placement, 62_900));
     assert!(!leave(&mut placement, 63_100));
 }
@@ -242,21 +255,22 @@
     update(&mut placement, vec![life(0, 1, 0)], &[], 0);
     let known = prompt(1, 2);
     placement.choose(&ask(&known, &[], &[], 10)).expect("a server");
-    placement.confirm(MODEL, "s0@1", &known);
-    placement.note(MODEL, "s0@1", Ending::Unreached, 20);
+    placement.record_cached(MODEL, "s0@1", &known);
+    placement.record_ending(MODEL, "s0@1", Ending::Unreached, 20);
     update(&mut placement, vec![life(0, 2, 0)], &[], 30);
     let chosen = placement.choose(&ask(&prompt(1, 3), &[], &[], 40)).expect("it isn't paused");
-    assert_eq!((chosen.server.id.as_str(), chosen.leave), ("s0@2", None));
+    assert_eq!((chosen.server.id.as_str(), chosen.permit_quotas), ("s0@2", None));
     assert_eq!(chosen.load.running, 0);
     // Late news of the former life change nothing.
-    placement.note(MODEL, "s0@1", Ending::Broken, 50);
-    assert_eq!(placement.choose(&ask(&prompt(1, 4), &[], &[], 60)).expect("a server").leave, None);
+    placement.record_ending(MODEL, "s0@1", Ending::Broken, 50);
+    assert_eq!(placement.choose(&ask(&prompt(1, 4), &[], &[], 60)).expect("a server").permit_quotas, None);
     let mut owner = Owner::default();
     let from = SocketAddr::from(([10, 1, 0, 1], 80));
-    let sent = News::Sent { parts: known.parts.clone(), work: Work::default(), memory: 100_000, permitted: false };
-    owner.report(from, Report { number: 1, server: "s0@1".to_owned(), news: sent }, 10);
-    owner.report(from, Report { number: 1, server: "s0@1".to_owned(), news: News::Read }, 40);
-    let asked = Question { number: 2, server: "s0@2".to_owned(), parts: known.parts, gap_ms: 0 };
-    let opinion = owner.ask(&asked, 50);
-    assert_eq!((opinion.load.running, opinion.kept, opinion.read, opinion.arrivals), (0, 0, 0, 0));
+    let sent =
+        SendUpdate::Sent { parts: known.parts.clone(), work: Work::default(), memory: 100_000, permitted: false };
+    owner.on_report(from, SendReport { number: 1, server: "s0@1".to_owned(), update: sent }, 10);
+    owner.on_report(from, SendReport { number: 1, server: "s0@1".to_owned(), update: SendUpdate::Read }, 40);
+    let asked = StatusQuery { number: 2, server: "s0@2".to_owned(), parts: known.parts, gap_ms: 0 };
+    let opinion = owner.on_query(&asked, 50);
+    assert_eq!((opinion.load.running, opinion.cached_tokens, opinion.confirmed_tokens, opinion.arrivals), (0, 0, 0, 0));
 }
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -2,7 +2,7 @@
 // Each of them uses a part of it.
 #![allow(dead_code)]
 
-use placement::{InForce, Placement};
+use placement::{Placement, Snapshot};
 use routing::{Change, Cold, Directory, Engine, Evacuations, Kind, Position, Route, Server, Service, Share, Table};
 use std::time::Duration;
 
@@ -52,5 +52,5 @@
     directory.apply(servers.into_iter().map(Change::Present).collect(), Position::new(0, 1));
     let halls = evacuated.iter().map(|hall| (*hall).to_owned()).collect();
     let evacuations = Evacuations::new(Position::new(0, 1), halls);
-    placement.update(&InForce { table, directory: &directory, evacuations: &evacuations }, now);
+    placement.update(&Snapshot { table, directory: &directory, evacuations: &evacuations }, now);
 }
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{route, server, service, MODEL};
-use placement::{Ask, Budget, Part, Placement, Prompt};
+use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget};
 use routing::{Homes, Regions, Server, Table};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -25,7 +25,7 @@
 fn placement(servers: Vec<Server>) -> Placement {
     let halls = (0..5).map(|hall| (format!("hall-{hall}"), "near".to_owned()));
     let regions: Regions = halls.chain([(FAR.to_owned(), "far".to_owned())]).collect();
-    let mut placement = Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000)).with_regions(regions);
+    let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000)).with_regions(regions);
     let table = Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(64, 8, None)]);
     common::update(&mut placement, &table, servers, &[], 0);
     placement
@@ -34,21 +34,21 @@
 /// The server that a request is sent to whose prompt shares a part, and the first that would be asked for it.
 fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&Homes>) -> (String, String) {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
-    let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, out_most: 200, out_hint: None, parts };
-    let ask = Ask {
+    let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
+    let ask = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
-        aim: Duration::from_millis(1_500),
-        gap_aim: None,
+        target: Duration::from_millis(1_500),
+        gap_limit: None,
         urgency: 0,
         bytes: 17_000,
         tried: &[],
         denied: &[],
-        homes: [homes, None],
-        opinions: &[],
+        allowed_regions: [homes, None],
+        statuses: &[],
         now: 1_000,
     };
-    let planned = placement.plan(&ask, 9);
+    let planned = placement.servers_to_query(&ask, 9);
     let chosen = placement.choose(&ask).expect("a server");
     (chosen.server.id.clone(), planned[0].id.clone())
 }
@@ -86,21 +86,21 @@
     let mut sent = HashSet::new();
     for own in 0..300 {
         let parts = vec![Part { id: 5, tokens: 100 }, Part { id: 1_000 + own, tokens: 300 }];
-        let prompt = Prompt { model: "m".to_owned(), tokens: 400, out_most: 200, out_hint: None, parts };
-        let ask = Ask {
+        let prompt = Prompt { model: "m".to_owned(), tokens: 400, max_out_tokens: 200, out_tokens_hint: None, parts };
+        let ask = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
-            aim: Duration::from_millis(1_500),
-            gap_aim: None,
+            target: Duration::from_millis(1_500),
+            gap_limit: None,
             urgency: 0,
             bytes: 1_000,
             tried: &[],
             denied: &[],
-            homes: [None, None],
-            opinions: &[],
+            allowed_regions: [None, None],
+            statuses: &[],
             now: 1_000,
         };
-        sent.extend(one.plan(&ask, 9).iter().map(|server| server.id.clone()));
+        sent.extend(one.servers_to_query(&ask, 9).iter().map(|server| server.id.clone()));
     }
     assert!(sent.len() > SERVERS / 3, "{} servers are looked at", sent.len());
 }
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -4,8 +4,8 @@
 
 use common::{server, service, update, MODEL};
 use placement::{
-    Ask, Budget, Ending, Leave, Limit, News, Opinion, Owner, Part, Permit, Placement, Prompt, Question, Quota, Quotas,
-    Refusal, Report, Statement,
+    Ending, Limit, LimitUpdate, Owner, Part, PermitReply, PermitRequest, Placement, PlacementRequest, Prompt, Quota,
+    Quotas, Refusal, RetryBudget, SendReport, SendUpdate, ServerStatus, StatusQuery,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -39,7 +39,7 @@
 }
 
 fn placement(servers: Vec<Server>) -> Placement {
-    let mut placement = Placement::new("hall", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     update(&mut placement, &table(None), servers, &[], 0);
     placement
 }
@@ -48,18 +48,18 @@
     (0..count).map(|index| server(index, "hall")).collect()
 }
 
-fn ask(denied: &[String], now: u64) -> Ask<'_> {
-    Ask {
+fn ask(denied: &[String], now: u64) -> PlacementRequest<'_> {
+    PlacementRequest {
         service: MODEL,
         prompt: None,
-        aim: Duration::from_millis(2_000),
-        gap_aim: None,
+        target: Duration::from_millis(2_000),
+        gap_limit: None,
         urgency: 0,
         bytes: 1_000,
         tried: &[],
         denied,
-        homes: [None, None],
-        opinions: &[],
+        allowed_regions: [None, None],
+        statuses: &[],
         now,
     }
 }
@@ -67,7 +67,7 @@
 /// A prompt of a shared part and one of its own.
 fn prompt(shared: u64, own: u64) -> Prompt {
     let parts = vec![Part { id: shared, tokens: 600 }, Part { id: own, tokens: 100 }];
-    Prompt { model: "m".to_owned(), tokens: 700, out_most: 60, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 700, max_out_tokens: 60, out_tokens_hint: None, parts }
 }
 
 fn address(from: usize) -> SocketAddr {
@@ -82,14 +82,14 @@
     /// Its answer, with what it says.
     Answer { to: usize, sent: u64, server: usize, number: u64, limit: Limit },
     /// Another box's word.
-    Told { to: usize, statement: Statement },
+    Told { to: usize, statement: LimitUpdate },
 }
 
 /// Who says that a request may be sent to a server that names a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Way {
     /// One box, for each request.
-    Leave,
+    PermitReply,
     /// Each box for itself: its share of the limit.
     Shares,
 }
@@ -155,36 +155,37 @@
         self.bodies.insert(number, message);
     }
 
-    fn may(&mut self, from: usize, server: usize, quotas: Quotas, urgency: u8) -> Leave {
+    fn may(&mut self, from: usize, server: usize, quotas: Quotas, urgency: u8) -> PermitReply {
         match self.way {
-            Way::Leave => {
-                let permit = Permit { number: self.number(), server: format!("s{server}"), quotas, urgency };
-                self.owner.permit(&permit, self.now)
+            Way::PermitReply => {
+                let permit = PermitRequest { number: self.number(), server: format!("s{server}"), quotas, urgency };
+                self.owner.on_permit_request(&permit, self.now)
             }
             Way::Shares => {
                 let quota = quotas.limit.expect("a limit");
-                let each = quota.within * self.boxes.len() as u64 / u64::from(quota.most);
+                let each = quota.window * self.boxes.len() as u64 / u64::from(quota.max_requests);
                 // Boxes begin at different moments, so that they don't all send at once.
                 let (now, phase) = (self.now, self.rng.random_range(0..=each));
                 let next = self.shares.entry((from, server)).or_insert(now + phase);
                 if self.now < *next {
-                    return Leave::Denied { again: *next - self.now };
+                    return PermitReply::Denied { retry_ms: *next - self.now };
                 }
                 *next = self.now + each;
-                Leave::Given
+                PermitReply::Granted
             }
         }
     }
 
     /// What owners say of the likeliest servers.
-    fn opinions(&mut self, from: usize, prompt: &Prompt) -> Vec<(String, Opinion)> {
-        let planned = self.boxes[from].plan(&Ask { prompt: Some(prompt), ..ask(&[], self.now) }, SERVERS);
+    fn opinions(&mut self, from: usize, prompt: &Prompt) -> Vec<(String, ServerStatus)> {
+        let planned = self.boxes[from]
+            .servers_to_query(&PlacementRequest { prompt: Some(prompt), ..ask(&[], self.now) }, SERVERS);
         let mut opinions = Vec::new();
         for server in planned {
             let (number, id) = (self.number(), server.id.clone());
-            let question = Question { number, server: id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-            let opinion = self.owner.ask(&question, self.now);
-            self.boxes[from].hear(MODEL, &id, opinion.clone(), self.now);
+            let question = StatusQuery { number, server: id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
+            let opinion = self.owner.on_query(&question, self.now);
+            self.boxes[from].on_status(MODEL, &id, opinion.clone(), self.now);
             opinions.push((id, opinion));
         }
         opinions
@@ -198,7 +199,8 @@
         let urgency = [0, 6][lesser];
         let mut denied = Vec::new();
         loop {
-            let ask = Ask { prompt: Some(&prompt), opinions: &opinions, urgency, ..ask(&denied, self.now) };
+            let ask =
+                PlacementRequest { prompt: Some(&prompt), statuses: &opinions, urgency, ..ask(&denied, self.now) };
             let choice = match self.boxes[from].choose(&ask) {
                 Ok(choice) => choice,
                 Err(Refusal::Limited { .. }) => {
@@ -210,18 +212,19 @@
             };
             let id = choice.server.id.clone();
             let server: usize = id[1..].parse().expect("a number");
-            let leave = choice.leave.map_or(Leave::Given, |quotas| self.may(from, server, quotas, urgency));
+            let leave =
+                choice.permit_quotas.map_or(PermitReply::Granted, |quotas| self.may(from, server, quotas, urgency));
             match leave {
-                Leave::Given => {
+                PermitReply::Granted => {
                     self.came[lesser].0 += 1;
                     let (sent, number) = (self.now, self.number());
-                    let permitted = choice.leave.is_some();
-                    let news = News::Sent { parts: prompt.parts, work: choice.work, memory: 300_000, permitted };
-                    self.owner.report(address(from), Report { number, server: id, news }, sent);
+                    let permitted = choice.permit_quotas.is_some();
+                    let news = SendUpdate::Sent { parts: prompt.parts, work: choice.work, memory: 300_000, permitted };
+                    self.owner.on_report(address(from), SendReport { number, server: id, update: news }, sent);
                     return self.send(0, Message::Request { from, sent, server, number });
                 }
-                Leave::Denied { again } => {
-                    self.boxes[from].spent(MODEL, &id, urgency, self.now + again);
+                PermitReply::Denied { retry_ms: again } => {
+                    self.boxes[from].record_denial(MODEL, &id, urgency, self.now + again);
                     denied.push(id);
                 }
             }
@@ -239,9 +242,9 @@
             }
             Message::Answer { to, sent, server, number, limit } => {
                 let id = format!("s{server}");
-                let news = self.boxes[to].limits(&id, limit, sent, self.now);
-                let over = News::Ended { ending: Ending::Good, pause_ms: 0 };
-                self.owner.report(address(to), Report { number, server: id, news: over }, self.now);
+                let news = self.boxes[to].record_limit(&id, limit, sent, self.now);
+                let over = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
+                self.owner.on_report(address(to), SendReport { number, server: id, update: over }, self.now);
                 self.told += usize::from(news.is_some());
                 for other in (0..self.boxes.len()).filter(|other| *other != to && news.is_some()) {
                     let statement = news.clone().expect("just looked");
@@ -249,7 +252,7 @@
                 }
             }
             Message::Told { to, statement } => {
-                self.boxes[to].hear_limit(&statement, self.now);
+                self.boxes[to].on_limit_update(&statement, self.now);
             }
         }
     }
@@ -290,7 +293,7 @@
 fn limits_hold_over_all_boxes_and_what_servers_take_is_used() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
         for per_s in [0.3, 2.1, 12.0] {
-            let mut fleet = Fleet::new(seed, Way::Leave, boxes);
+            let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
             fleet.run(2_000, 300.0);
             fleet.limits[0] = Limit::PerS(per_s);
             fleet.limits[1] = Limit::PerS(2.0 * per_s);
@@ -313,7 +316,7 @@
 #[test]
 fn where_all_servers_name_limits_they_get_what_they_take() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
-        let mut fleet = Fleet::new(seed, Way::Leave, boxes);
+        let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
         fleet.limits = vec![Limit::PerS(3.0); SERVERS];
         fleet.run(CONTACT, 100.0);
         fleet.run(12_000, 100.0);
@@ -331,7 +334,7 @@
 #[test]
 fn a_server_whose_need_is_over_has_its_share_back_at_once_and_without_a_rush() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
-        let mut fleet = Fleet::new(seed, Way::Leave, boxes);
+        let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
         // Nothing is read twice, so that no other server keeps what this one had.
         fleet.shared = u64::MAX;
         fleet.run(4_000, 300.0);
@@ -351,7 +354,7 @@
 #[test]
 fn limits_that_change_with_each_answer_hold_as_well() {
     for seed in 0..4 {
-        let mut fleet = Fleet::new(seed, Way::Leave, 40);
+        let mut fleet = Fleet::new(seed, Way::PermitReply, 40);
         for _ in 0..100 {
             let per_s = fleet.rng.random_range(1.0..4.0);
             fleet.limits[0] = Limit::PerS(per_s);
@@ -365,7 +368,7 @@
 #[test]
 fn a_limit_that_wavers_is_not_told_with_each_answer() {
     for seed in 0..4 {
-        let mut fleet = Fleet::new(seed, Way::Leave, 40);
+        let mut fleet = Fleet::new(seed, Way::PermitReply, 40);
         for _ in 0..100 {
             let per_s = fleet.rng.random_range(10.0..12.0);
             fleet.limits[0] = Limit::PerS(per_s);
@@ -380,7 +383,7 @@
 
 /// The part of eight urgent requests a second that is sent where servers take twelve, and how many others of so many a second are.
 fn urgent_beside(seed: u64, boxes: usize, others: f64) -> (f64, usize) {
-    let mut fleet = Fleet::new(seed, Way::Leave, boxes);
+    let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
     fleet.limits = vec![Limit::PerS(2.0); SERVERS];
     let rate = 8.0 + others;
     fleet.urgent = 8.0 / rate;
@@ -400,7 +403,7 @@
         assert!(beside >= alone - 0.1, "{boxes} boxes: {beside} of the urgent ones, {alone} without others");
         assert!(lesser > 40, "{boxes} boxes: {lesser} others in 40 s");
         // Where urgent ones alone are more than the servers take, the others still get some.
-        let mut fleet = Fleet::new(seed, Way::Leave, boxes);
+        let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
         fleet.limits = vec![Limit::PerS(2.0); SERVERS];
         fleet.urgent = 0.8;
         fleet.run(30_000, 40.0);
@@ -415,7 +418,7 @@
     let mut used = [0.0, 0.0];
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
         for per_s in [0.3, 1.0, 12.0] {
-            for way in [Way::Leave, Way::Shares] {
+            for way in [Way::PermitReply, Way::Shares] {
                 let mut fleet = Fleet::new(seed, way, boxes);
                 fleet.limits = vec![Limit::PerS(per_s); SERVERS];
                 fleet.run(15_000, 100.0);
@@ -434,29 +437,29 @@
     assert!(used[0] > used[1]);
 }
 
-fn named(per_s: f64) -> Statement {
-    Statement { life: "s0".to_owned(), limit: Limit::PerS(per_s), version: 1 }
+fn named(per_s: f64) -> LimitUpdate {
+    LimitUpdate { instance: "s0".to_owned(), limit: Limit::PerS(per_s), version: 1 }
 }
 
 fn quotas(placement: &mut Placement, now: u64) -> Option<Quotas> {
-    placement.choose(&ask(&[], now)).expect("a server").leave
+    placement.choose(&ask(&[], now)).expect("a server").permit_quotas
 }
 
 #[test]
 fn each_limit_has_a_quota_that_no_number_breaks() {
     let quota = |per_s: f64| {
         let mut placement = placement(servers(1));
-        assert!(placement.hear_limit(&named(per_s), 0));
+        assert!(placement.on_limit_update(&named(per_s), 0));
         quotas(&mut placement, 10).and_then(|quotas| quotas.limit)
     };
-    assert_eq!(quota(2.1), Some(Quota { most: 2, within: 953 }));
-    assert_eq!(quota(0.3), Some(Quota { most: 1, within: 3_334 }));
-    assert_eq!(quota(1.0 / 60.0), Some(Quota { most: 1, within: 60_000 }));
+    assert_eq!(quota(2.1), Some(Quota { max_requests: 2, window: 953 }));
+    assert_eq!(quota(0.3), Some(Quota { max_requests: 1, window: 3_334 }));
+    assert_eq!(quota(1.0 / 60.0), Some(Quota { max_requests: 1, window: 60_000 }));
     // Nothing a second: one now and then, since only an answer says that it takes more again.
     for per_s in [0.0, -0.0, 1e-9, f64::MIN_POSITIVE] {
-        assert_eq!(quota(per_s), Some(Quota { most: 1, within: 60_000 }), "{per_s}");
+        assert_eq!(quota(per_s), Some(Quota { max_requests: 1, window: 60_000 }), "{per_s}");
     }
-    assert_eq!(quota(9_999.5), Some(Quota { most: 9_999, within: 1_000 }));
+    assert_eq!(quota(9_999.5), Some(Quota { max_requests: 9_999, window: 1_000 }));
     assert_eq!(quota(1e300), None, "more than any server answers");
 }
 
@@ -464,7 +467,7 @@
 fn the_later_word_holds_and_of_words_that_could_be_either_the_stricter() {
     let limit = |placement: &mut Placement, per_s: Option<f64>, sent: u64, now: u64| {
         let limit = per_s.map_or(Limit::None, Limit::PerS);
-        placement.limits("s0", limit, sent, now).is_some()
+        placement.record_limit("s0", limit, sent, now).is_some()
     };
     let mut placement = placement(servers(1));
     assert!(!limit(&mut placement, None, 1, 10), "nothing new");
@@ -481,51 +484,51 @@
 
 #[test]
 fn boxes_agree_whatever_order_they_hear_in() {
-    let word = |limit: Limit, version: u64| Statement { life: "s0".to_owned(), limit, version };
+    let word = |limit: Limit, version: u64| LimitUpdate { instance: "s0".to_owned(), limit, version };
     let words = [word(Limit::PerS(2.0), 1), word(Limit::None, 2), word(Limit::PerS(1.0), 3), word(Limit::PerS(4.0), 3)];
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [2, 0, 3, 1]] {
         let mut placement = placement(servers(1));
         for index in order {
-            placement.hear_limit(&words[index], 10);
+            placement.on_limit_update(&words[index], 10);
         }
-        assert_eq!(placement.statements(), vec![words[2].clone()], "{order:?}");
+        assert_eq!(placement.limit_updates(), vec![words[2].clone()], "{order:?}");
     }
     let (mut one, mut other) = (placement(servers(2)), placement(servers(2)));
-    let statement = one.limits("s1", Limit::PerS(1.0), 5, 10).expect("news");
+    let statement = one.record_limit("s1", Limit::PerS(1.0), 5, 10).expect("news");
     assert_ne!(one.notices_digest(), other.notices_digest());
-    assert!(other.hear_limit(&statement, 900) && !other.hear_limit(&statement, 901));
+    assert!(other.on_limit_update(&statement, 900) && !other.on_limit_update(&statement, 901));
     assert_eq!(one.notices_digest(), other.notices_digest());
     // A life that is no longer listed is nothing to tell of, and is known if it comes back.
     update(&mut one, &table(None), servers(1), &[], 1_000);
-    assert!(one.statements().is_empty());
+    assert!(one.limit_updates().is_empty());
     update(&mut one, &table(None), servers(2), &[], 2_000);
-    assert_eq!(one.statements(), vec![statement]);
+    assert_eq!(one.limit_updates(), vec![statement]);
 }
 
 #[test]
 fn a_limit_is_of_one_life_and_holds_whatever_else_does() {
     let cold = Some(Cold { time: Duration::from_secs(10), per_s: 5.0 });
-    let mut placement = Placement::new("hall", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = || Server { cold_ms: 10_000, ..server(0, "hall") };
     update(&mut placement, &table(cold), vec![cold_server()], &[], 0);
-    placement.hear_limit(&named(1.0), 0);
+    placement.on_limit_update(&named(1.0), 0);
     let both = quotas(&mut placement, 10).expect("it is both");
     assert!(both.cold.is_some() && both.limit.is_some());
     // Cold servers get as many as they bear, but no more than the limit.
     let mut owner = Owner::default();
     let mut permit = |quotas: Quotas, now: u64| {
-        let permit = Permit { number: 0, server: "s0".to_owned(), quotas, urgency: 0 };
-        owner.permit(&permit, now)
+        let permit = PermitRequest { number: 0, server: "s0".to_owned(), quotas, urgency: 0 };
+        owner.on_permit_request(&permit, now)
     };
-    assert_eq!(permit(both, 0), Leave::Denied { again: 1_000 }, "what others gave leave for isn't known");
-    assert_eq!(permit(both, 1_000), Leave::Given);
-    assert_eq!(permit(both, 1_001), Leave::Denied { again: 999 });
-    assert_eq!(permit(Quotas { limit: None, ..both }, 1_002), Leave::Given);
+    assert_eq!(permit(both, 0), PermitReply::Denied { retry_ms: 1_000 }, "what others gave leave for isn't known");
+    assert_eq!(permit(both, 1_000), PermitReply::Granted);
+    assert_eq!(permit(both, 1_001), PermitReply::Denied { retry_ms: 999 });
+    assert_eq!(permit(Quotas { limit: None, ..both }, 1_002), PermitReply::Granted);
     assert!(!placement.may_send(MODEL, "s0", false, 20), "chosen before the word");
     assert!(placement.may_send(MODEL, "s0", true, 20));
-    placement.rests("s0", 5_000);
+    placement.record_back_off("s0", 5_000);
     assert!(!placement.may_send(MODEL, "s0", true, 30));
-    assert_eq!(placement.choose(&ask(&[], 30)).expect_err("it rests"), Refusal::Resting { back_ms: 4_970 });
+    assert_eq!(placement.choose(&ask(&[], 30)).expect_err("it rests"), Refusal::BackingOff { retry_ms: 4_970 });
     let later = Server { id: "s0@7".to_owned(), ..server(0, "hall") };
     update(&mut placement, &table(None), vec![later], &[], 40);
     assert_eq!(quotas(&mut placement, 50), None, "a later life is another server");
@@ -534,14 +537,14 @@
 #[test]
 fn callers_hear_when_the_first_server_takes_a_request_again() {
     let mut placement = placement(servers(2));
-    placement.hear_limit(&named(1.0), 0);
-    placement.hear_limit(&Statement { life: "s1".to_owned(), ..named(0.5) }, 0);
+    placement.on_limit_update(&named(1.0), 0);
+    placement.on_limit_update(&LimitUpdate { instance: "s1".to_owned(), ..named(0.5) }, 0);
     assert!(placement.choose(&ask(&[], 10)).is_ok());
-    placement.spent(MODEL, "s0", 0, 700);
-    placement.spent(MODEL, "s1", 0, 1_500);
-    assert_eq!(placement.choose(&ask(&[], 100)).expect_err("spent"), Refusal::Limited { back_ms: 600 });
+    placement.record_denial(MODEL, "s0", 0, 700);
+    placement.record_denial(MODEL, "s1", 0, 1_500);
+    assert_eq!(placement.choose(&ask(&[], 100)).expect_err("spent"), Refusal::Limited { retry_ms: 600 });
     assert!(placement.choose(&ask(&[], 700)).is_ok());
     // Another limit is another matter.
-    placement.hear_limit(&Statement { version: 2, ..named(5.0) }, 200);
+    placement.on_limit_update(&LimitUpdate { version: 2, ..named(5.0) }, 200);
     assert!(placement.choose(&ask(&[], 210)).is_ok());
 }
--- a/crates/placement/tests/notices.rs
+++ b/crates/placement/tests/notices.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{server, service, update, MODEL};
-use placement::{Ask, Budget, Choice, Ending, Load, Opinion, Part, Placement, Prompt, Refusal};
+use placement::{Choice, Ending, Load, Part, Placement, PlacementRequest, Prompt, Refusal, RetryBudget, ServerStatus};
 use routing::{Cold, Server, Table};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -18,31 +18,31 @@
 }
 
 fn placement(count: usize) -> Placement {
-    let mut placement = Placement::new("hall", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     update(&mut placement, &table(None), servers(count), &[], 0);
     // It has read the part that all prompts share.
     placement.choose(&ask(None, &[], 0)).expect("a server");
-    placement.confirm(MODEL, "s1", &prompt(0));
+    placement.record_cached(MODEL, "s1", &prompt(0));
     placement
 }
 
 fn prompt(own: u64) -> Prompt {
     let parts = vec![Part { id: 1, tokens: 6_000 }, Part { id: own, tokens: 1_000 }];
-    Prompt { model: "m".to_owned(), tokens: 7_000, out_most: 60, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 7_000, max_out_tokens: 60, out_tokens_hint: None, parts }
 }
 
-fn ask<'a>(prompt: Option<&'a Prompt>, opinions: &'a [(String, Opinion)], now: u64) -> Ask<'a> {
-    Ask {
+fn ask<'a>(prompt: Option<&'a Prompt>, opinions: &'a [(String, ServerStatus)], now: u64) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: MODEL,
         prompt,
-        aim: Duration::from_millis(2_000),
-        gap_aim: None,
+        target: Duration::from_millis(2_000),
+        gap_limit: None,
         urgency: 0,
         bytes: 10_000,
         tried: &[],
         denied: &[],
-        homes: [None, None],
-        opinions,
+        allowed_regions: [None, None],
+        statuses: opinions,
         now,
     }
 }
@@ -70,9 +70,9 @@
     for own in 2..40 {
         let prompt = prompt(own);
         ways.note(placement.choose(&ask(Some(&prompt), &[], now)));
-        let planned = placement.plan(&ask(Some(&prompt), &[], now), 9);
+        let planned = placement.servers_to_query(&ask(Some(&prompt), &[], now), 9);
         // All but one have much to do, so that the one without the shared part is chosen now and then.
-        let opinion = |id: &str| if id == "s1" { busy() } else { Opinion::default() };
+        let opinion = |id: &str| if id == "s1" { busy() } else { ServerStatus::default() };
         let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), opinion(&server.id))).collect();
         ways.note(placement.choose(&ask(Some(&prompt), &opinions, now)));
         ways.note(placement.choose(&ask(None, &[], now)));
@@ -82,8 +82,13 @@
 }
 
 /// What the owner of a server with all places taken says, which has read the shared part.
-fn busy() -> Opinion {
-    Opinion { load: Load { running: 64, ..Load::default() }, kept: 6_000, read: 6_000, ..Opinion::default() }
+fn busy() -> ServerStatus {
+    ServerStatus {
+        load: Load { running: 64, ..Load::default() },
+        cached_tokens: 6_000,
+        confirmed_tokens: 6_000,
+        ..ServerStatus::default()
+    }
 }
 
 #[test]
@@ -93,11 +98,11 @@
     assert!(["s0", "s1", "s2"].iter().all(|id| all.used.contains(*id)), "without a word each is used");
     assert!(all.fetched.contains(&address), "and others fetch from it");
     let mut leaving = placement(3);
-    assert!(leaving.leaves("s1", Some(false), 10));
-    assert!(!leaving.leaves("s1", Some(false), 11), "it is news once");
+    assert!(leaving.record_leaving("s1", Some(false), 10));
+    assert!(!leaving.record_leaving("s1", Some(false), 11), "it is news once");
     assert!(!ways(&mut leaving, 10).used.contains("s1"));
     let mut resting = placement(3);
-    resting.rests("s1", 3_000);
+    resting.record_back_off("s1", 3_000);
     for now in [10, 2_999] {
         let ways = ways(&mut resting, now);
         assert!(!ways.used.contains("s1") && !ways.fetched.contains(&address), "after {now} ms");
@@ -108,7 +113,7 @@
 #[test]
 fn nothing_reopens_a_life_that_said_that_it_leaves() {
     let mut placement = placement(2);
-    placement.leaves("s1", Some(false), 10);
+    placement.record_leaving("s1", Some(false), 10);
     let closed = |placement: &mut Placement, now| !ways(placement, now).used.contains("s1");
     // Its entry is written again as it was, lapses, and comes back from an old copy.
     for (now, count) in [(100, 2), (200, 1), (300, 2), (60_000, 1), (120_000, 2)] {
@@ -135,13 +140,13 @@
 #[test]
 fn rest_outlasts_an_entry_that_lapses_and_a_shorter_wish() {
     let mut placement = placement(2);
-    placement.rests("s1", 3_000);
-    placement.rests("s1", 1_000);
+    placement.record_back_off("s1", 3_000);
+    placement.record_back_off("s1", 1_000);
     update(&mut placement, &table(None), servers(1), &[], 100);
     update(&mut placement, &table(None), servers(2), &[], 200);
     assert!(!placement.may_send(MODEL, "s1", false, 2_999));
     assert!(placement.may_send(MODEL, "s1", false, 3_000));
-    placement.rests("s1", 9_000);
+    placement.record_back_off("s1", 9_000);
     assert!(!placement.may_send(MODEL, "s1", false, 3_000), "a longer one counts");
 }
 
@@ -151,8 +156,8 @@
     for id in ["s0", "s1", "s2"] {
         assert!(placement.may_send(MODEL, id, false, 10));
     }
-    placement.leaves("s0", Some(false), 10);
-    placement.rests("s1", 20);
+    placement.record_leaving("s0", Some(false), 10);
+    placement.record_back_off("s1", 20);
     for id in ["s0", "s1", "gone"] {
         assert!(!placement.may_send(MODEL, id, false, 11), "{id}");
     }
@@ -162,38 +167,38 @@
 #[test]
 fn where_all_rest_callers_hear_when_the_first_returns() {
     let mut placement = placement(2);
-    placement.rests("s0", 5_000);
-    placement.rests("s1", 3_000);
+    placement.record_back_off("s0", 5_000);
+    placement.record_back_off("s1", 3_000);
     let refusal = placement.choose(&ask(None, &[], 1_000)).expect_err("all rest");
-    assert_eq!(refusal, Refusal::Resting { back_ms: 2_000 });
+    assert_eq!(refusal, Refusal::BackingOff { retry_ms: 2_000 });
     // One that failed lately doesn't get what a resting one would have got; it is the last resort of nobody else.
     for now in [1_000, 1_001] {
-        placement.note(MODEL, "s1", Ending::Broken, now);
+        placement.record_ending(MODEL, "s1", Ending::Broken, now);
     }
-    assert!(matches!(placement.choose(&ask(None, &[], 1_002)), Err(Refusal::Resting { .. })));
-    placement.leaves("s0", Some(false), 1_002);
-    placement.leaves("s1", Some(false), 1_002);
+    assert!(matches!(placement.choose(&ask(None, &[], 1_002)), Err(Refusal::BackingOff { .. })));
+    placement.record_leaving("s0", Some(false), 1_002);
+    placement.record_leaving("s1", Some(false), 1_002);
     assert_eq!(placement.choose(&ask(None, &[], 1_002)).expect_err("all leave"), Refusal::NoServer);
 }
 
 #[test]
 fn a_cold_server_that_rests_is_not_what_callers_wait_for() {
     let cold = Some(Cold { time: Duration::from_secs(10), per_s: 5.0 });
-    let mut placement = Placement::new("hall", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = Server { cold_ms: 10_000, ..server(0, "hall") };
     update(&mut placement, &table(cold), vec![cold_server], &[], 0);
-    assert!(placement.choose(&ask(None, &[], 10)).is_ok_and(|choice| choice.leave.is_some()));
-    placement.rests("s0", 3_000);
-    assert_eq!(placement.choose(&ask(None, &[], 10)).expect_err("rests"), Refusal::Resting { back_ms: 2_990 });
+    assert!(placement.choose(&ask(None, &[], 10)).is_ok_and(|choice| choice.permit_quotas.is_some()));
+    placement.record_back_off("s0", 3_000);
+    assert_eq!(placement.choose(&ask(None, &[], 10)).expect_err("rests"), Refusal::BackingOff { retry_ms: 2_990 });
 }
 
 #[test]
 fn boxes_that_know_the_same_agree_and_published_words_are_not_told() {
     let mut one = placement(3);
     let mut other = placement(3);
-    one.leaves("s1", Some(false), 10);
+    one.record_leaving("s1", Some(false), 10);
     assert_ne!(one.notices_digest(), other.notices_digest());
-    other.leaves("s1", Some(false), 900);
+    other.record_leaving("s1", Some(false), 900);
     assert_eq!(one.notices_digest(), other.notices_digest());
     assert_eq!(one.leaving(), ["s1"]);
     let draining = Server { draining: true, ..server(1, "hall") };
@@ -205,15 +210,15 @@
 #[test]
 fn a_life_that_only_an_older_copy_has_gets_nothing_while_others_do() {
     let mut placement = placement(3);
-    placement.doubt(&["s1".to_owned(), "s2".to_owned()], 4_000);
+    placement.mark_unconfirmed(&["s1".to_owned(), "s2".to_owned()], 4_000);
     assert_eq!(ways(&mut placement, 10).used, BTreeSet::from(["s0".to_owned()]));
-    placement.trust("s2");
+    placement.confirm_instance("s2");
     assert!(!ways(&mut placement, 10).used.contains("s1"));
     assert!(ways(&mut placement, 10).used.contains("s2"), "it has written its entry");
     assert!(ways(&mut placement, 4_000).used.contains("s1"), "its entry has not gone");
     // Where there is no other, it is better than none.
-    placement.doubt(&["s1".to_owned(), "s2".to_owned()], 9_000);
-    placement.leaves("s0", Some(false), 5_000);
+    placement.mark_unconfirmed(&["s1".to_owned(), "s2".to_owned()], 9_000);
+    placement.record_leaving("s0", Some(false), 5_000);
     let used = ways(&mut placement, 5_000).used;
     assert!(used.contains("s1") && used.contains("s2"));
     assert!(placement.may_send(MODEL, "s1", false, 5_000));
--- a/crates/placement/tests/owner.rs
+++ b/crates/placement/tests/owner.rs
@@ -1,6 +1,6 @@
 //! What the owner of a server knows.
 
-use placement::{Ending, Load, News, Opinion, Owner, Part, Question, Reading, Report, Work};
+use placement::{Ending, Load, Owner, Part, Prefill, SendReport, SendUpdate, ServerStatus, StatusQuery, Work};
 use std::net::SocketAddr;
 
 const MEMORY: u64 = 100_000;
@@ -13,23 +13,23 @@
     vec![Part { id: 1, tokens: 10_000 }, Part { id: 2, tokens: 500 }]
 }
 
-fn ask(owner: &mut Owner, now: u64) -> Opinion {
-    owner.ask(&Question { number: 99, server: "s".to_owned(), parts: parts(), gap_ms: 200 }, now)
+fn ask(owner: &mut Owner, now: u64) -> ServerStatus {
+    owner.on_query(&StatusQuery { number: 99, server: "s".to_owned(), parts: parts(), gap_ms: 200 }, now)
 }
 
-fn tell(owner: &mut Owner, number: u64, news: News, now: u64) {
-    owner.report(from(), Report { number, server: "s".to_owned(), news }, now);
+fn tell(owner: &mut Owner, number: u64, news: SendUpdate, now: u64) {
+    owner.on_report(from(), SendReport { number, server: "s".to_owned(), update: news }, now);
 }
 
-fn ended(ending: Ending) -> News {
-    News::Ended { ending, pause_ms: 0 }
+fn ended(ending: Ending) -> SendUpdate {
+    SendUpdate::Ended { ending, pause_ms: 0 }
 }
 
-fn sent() -> News {
-    let reading = Reading::last(10_500, 10_500, 6_000);
-    News::Sent {
+fn sent() -> SendUpdate {
+    let reading = Prefill::tail(10_500, 10_500, 6_000);
+    SendUpdate::Sent {
         parts: parts(),
-        work: Work { reading, held: 11_000, ..Work::default() },
+        work: Work { prefill: reading, held: 11_000, ..Work::default() },
         memory: MEMORY,
         permitted: false,
     }
@@ -40,7 +40,7 @@
     let mut owner = Owner::default();
     let first = ask(&mut owner, 0);
     assert_eq!(ask(&mut owner, 1), first);
-    assert_eq!((first.load.running, first.kept, first.read), (0, 0, 0));
+    assert_eq!((first.load.running, first.cached_tokens, first.confirmed_tokens), (0, 0, 0));
 }
 
 #[test]
@@ -48,14 +48,14 @@
     let mut owner = Owner::default();
     tell(&mut owner, 1, sent(), 0);
     let waiting = ask(&mut owner, 0);
-    assert_eq!((waiting.load.running, waiting.load.reading.tokens, waiting.load.held), (1, 10_500, 11_000));
-    assert_eq!((waiting.kept, waiting.read), (10_500, 0));
-    tell(&mut owner, 1, News::Read, 2);
+    assert_eq!((waiting.load.running, waiting.load.prefill.tokens, waiting.load.held), (1, 10_500, 11_000));
+    assert_eq!((waiting.cached_tokens, waiting.confirmed_tokens), (10_500, 0));
+    tell(&mut owner, 1, SendUpdate::Read, 2);
     let reading = ask(&mut owner, 3);
-    assert_eq!((reading.load.running, reading.load.reading.tokens, reading.read), (1, 0, 10_500));
+    assert_eq!((reading.load.running, reading.load.prefill.tokens, reading.confirmed_tokens), (1, 0, 10_500));
     tell(&mut owner, 1, ended(Ending::Good), 4);
     let after = ask(&mut owner, 5);
-    assert_eq!((after.load.running, after.load.held, after.read), (0, 0, 10_500));
+    assert_eq!((after.load.running, after.load.held, after.confirmed_tokens), (0, 0, 10_500));
 }
 
 #[test]
@@ -64,10 +64,10 @@
     tell(&mut owner, 1, sent(), 0);
     tell(&mut owner, 2, sent(), 0);
     tell(&mut owner, 1, ended(Ending::Left), 1);
-    assert_eq!(ask(&mut owner, 2).kept, 10_500, "another request still waits for them");
+    assert_eq!(ask(&mut owner, 2).cached_tokens, 10_500, "another request still waits for them");
     tell(&mut owner, 2, ended(Ending::Broken), 3);
     let after = ask(&mut owner, 4);
-    assert_eq!((after.kept, after.load.running, after.load.reading.tokens), (0, 0, 0));
+    assert_eq!((after.cached_tokens, after.load.running, after.load.prefill.tokens), (0, 0, 0));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     tell(&mut owner, 1, sent(), 0);
     tell(&mut owner, 1, ended(Ending::Good), 1);
     tell(&mut owner, 1, ended(Ending::Good), 2);
-    tell(&mut owner, 7, News::Read, 3);
+    tell(&mut owner, 7, SendUpdate::Read, 3);
     assert_eq!(ask(&mut owner, 4).load.running, 0);
 }
 
@@ -105,16 +105,16 @@
     owner.retain(|id| id == "s");
     assert_eq!(ask(&mut owner, 1).load.running, 1);
     owner.retain(|id| id != "s");
-    assert_eq!((ask(&mut owner, 2).load.running, ask(&mut owner, 2).kept), (0, 0));
+    assert_eq!((ask(&mut owner, 2).load.running, ask(&mut owner, 2).cached_tokens), (0, 0));
 }
 
 /// A request of 200 tokens to generate whose answer bears pauses of so many milliseconds.
 fn work(unread: u32, gap_ms: u32) -> Work {
-    Work { reading: Reading::last(unread, unread, 6_000), held: 0, out: 200, urgency: 0, gap_ms, long: false }
+    Work { prefill: Prefill::tail(unread, unread, 6_000), held: 0, out: 200, urgency: 0, gap_ms, long: false }
 }
 
-fn sent_with(work: Work) -> News {
-    News::Sent { parts: parts(), work, memory: MEMORY, permitted: false }
+fn sent_with(work: Work) -> SendUpdate {
+    SendUpdate::Sent { parts: parts(), work, memory: MEMORY, permitted: false }
 }
 
 #[test]
@@ -123,10 +123,10 @@
     for number in 1..=3 {
         tell(&mut owner, number, sent_with(work(500, if number == 3 { 300 } else { 200 })), 0);
     }
-    assert_eq!(ask(&mut owner, 1).load.paces, [(200, 2), (300, 1)].into());
-    tell(&mut owner, 1, News::Late, 2);
-    tell(&mut owner, 1, News::Late, 2);
-    assert_eq!(ask(&mut owner, 3).load.paces, [(200, 1), (300, 1)].into());
+    assert_eq!(ask(&mut owner, 1).load.gap_limits, [(200, 2), (300, 1)].into());
+    tell(&mut owner, 1, SendUpdate::Late, 2);
+    tell(&mut owner, 1, SendUpdate::Late, 2);
+    assert_eq!(ask(&mut owner, 3).load.gap_limits, [(200, 1), (300, 1)].into());
     for number in 1..=3 {
         tell(&mut owner, number, ended(Ending::Good), 4);
     }
@@ -137,7 +137,7 @@
 fn what_is_left_to_read_shrinks_while_it_is_read() {
     let mut owner = Owner::default();
     tell(&mut owner, 1, sent_with(work(10_000, 0)), 0);
-    let at = |owner: &mut Owner, now| ask(owner, now).load.reading.tokens;
+    let at = |owner: &mut Owner, now| ask(owner, now).load.prefill.tokens;
     let (begun, half, long_after) = (at(&mut owner, 0), at(&mut owner, 130), at(&mut owner, 5_000));
     assert!(begun == 10_000 && (4_000..7_000).contains(&half) && long_after > 0, "{begun} {half} {long_after}");
 }
@@ -149,14 +149,14 @@
     for number in 0..requests {
         let (answer, prompt) = (number * 2, number * 2 + 1);
         tell(owner, answer, sent_with(work(1_000, 0)), now);
-        tell(owner, answer, News::Read, now + 20 + read_ms);
+        tell(owner, answer, SendUpdate::Read, now + 20 + read_ms);
         now += 50 + read_ms;
         tell(owner, prompt, sent_with(work(20_000, 0)), now);
         now += 20 + read_ms * 20;
-        tell(owner, prompt, News::Read, now);
+        tell(owner, prompt, SendUpdate::Read, now);
         now += 200;
         for number in [answer, prompt] {
-            tell(owner, number, News::Ended { ending: Ending::Good, pause_ms }, now);
+            tell(owner, number, SendUpdate::Ended { ending: Ending::Good, pause_ms }, now);
         }
         now += 1_000;
     }
@@ -168,8 +168,8 @@
         let mut owner = Owner::default();
         watch(&mut owner, 40, read_ms, pause_ms);
         let speed = ask(&mut owner, 0).speed;
-        let long = Reading::last(20_000, 20_000, speed.stretch());
-        let (read, stall) = (speed.read(long), speed.stall(long));
+        let long = Prefill::tail(20_000, 20_000, speed.chunk_tokens());
+        let (read, stall) = (speed.prefill_ms(long), speed.expected_stall_ms(long));
         let near = |value: f64, truth: f64| (value / truth - 1.0).abs() < 0.15;
         assert!(near(read, 20.0 * read_ms as f64), "{read} ms for 20,000 tokens of {read_ms} a thousand");
         assert!(near(stall, f64::from(pause_ms)), "{stall} ms of pause in place of {pause_ms}");
