--- a/crates/placement/tests/quarantine.rs
+++ b/crates/placement/tests/quarantine.rs
@@ -1,6 +1,6 @@
 //! Which requests are held after servers ended under them, and that innocent ones are not.
 
-use placement::{Change, End, Fingerprint, Quarantine, Record, Verdict};
+use placement::{Change, Fingerprint, Quarantine, SuspectRecord, Termination, Verdict};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,15 +14,15 @@
 }
 
 /// A server's end at `now`, of a request that was sent there at `sent`.
-fn end(server: &str, sent: u64, now: u64) -> End {
-    End { server: server.to_owned(), sent: now.saturating_sub(sent), ago: 0 }
+fn end(server: &str, sent: u64, now: u64) -> Termination {
+    Termination { server: server.to_owned(), sent: now.saturating_sub(sent), ago: 0 }
 }
 
 /// One under which servers ended at these times, each sent the request this long before.
 fn after(running: u64, ends: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (number, at) in ends.iter().enumerate() {
-        quarantine.ended(GUILTY, end(&format!("s{number}"), at - running, *at), *at);
+        quarantine.record_termination(GUILTY, end(&format!("s{number}"), at - running, *at), *at);
     }
     quarantine
 }
@@ -34,7 +34,11 @@
     assert!(held(&after(500, &[1_000, 1_010, 1_020]), GUILTY, 1_020), "also where it runs at many");
     assert!(!held(&after(10, &[1_000, 2_000, 3_000]), Fingerprint(2), 3_000));
     let mut again = after(10, &[1_000, 2_000]);
-    assert_eq!(again.ended(GUILTY, end("s1", 2_500, 3_000), 3_000), Change::Known, "a server ends once");
+    assert_eq!(
+        again.record_termination(GUILTY, end("s1", 2_500, 3_000), 3_000),
+        Change::Unchanged,
+        "a server ends once"
+    );
     assert!(!held(&again, GUILTY, 3_000));
 }
 
@@ -42,15 +46,15 @@
 fn a_request_that_a_server_survives_is_innocent_everywhere() {
     let mut here = after(10, &[1_000, 2_000, 3_000]);
     let mut there = Quarantine::default();
-    there.take(&here.record(GUILTY, 3_000).expect("a suspect"), 50);
+    there.on_record(&here.record(GUILTY, 3_000).expect("a suspect"), 50);
     assert!(held(&there, GUILTY, 60));
-    let Change::Lifted(record) = here.survived(GUILTY, 3_100) else { panic!("it was held") };
-    assert!(matches!(there.take(&record, 160), Change::Lifted(_)));
+    let Change::Lifted(record) = here.record_survival(GUILTY, 3_100) else { panic!("it was held") };
+    assert!(matches!(there.on_record(&record, 160), Change::Lifted(_)));
     assert!(!held(&there, GUILTY, 170));
     // What ended before is told late, and no longer counts.
-    there.take(&after(10, &[1_000, 2_000, 3_000]).record(GUILTY, 3_000).expect("a suspect"), 200);
+    there.on_record(&after(10, &[1_000, 2_000, 3_000]).record(GUILTY, 3_000).expect("a suspect"), 200);
     assert!(!held(&there, GUILTY, 210));
-    assert_eq!(here.survived(GUILTY, 3_200), Change::Known, "nothing to say of one that isn't suspected");
+    assert_eq!(here.record_survival(GUILTY, 3_200), Change::Unchanged, "nothing to say of one that isn't suspected");
 }
 
 #[test]
@@ -58,14 +62,14 @@
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut source = Quarantine::default();
-        let mut told: Vec<(u64, Record)> = Vec::new();
+        let mut told: Vec<(u64, SuspectRecord)> = Vec::new();
         for number in 0..60_u64 {
             let now = number * rng.random_range(50..400);
             let request = Fingerprint(rng.random_range(0..8));
             let change = if rng.random_bool(0.1) {
-                source.survived(request, now)
+                source.record_survival(request, now)
             } else {
-                source.ended(request, end(&format!("s{number}"), now.saturating_sub(80), now), now)
+                source.record_termination(request, end(&format!("s{number}"), now.saturating_sub(80), now), now)
             };
             told.extend(change.into_record().map(|record| (now, record)));
         }
@@ -79,9 +83,9 @@
                 let ends = record
                     .ends
                     .iter()
-                    .map(|e| End { server: e.server.clone(), sent: late(e.sent), ago: late(e.ago) })
+                    .map(|e| Termination { server: e.server.clone(), sent: late(e.sent), ago: late(e.ago) })
                     .collect();
-                other.take(&Record { ends, ago: late(record.ago), ..record.clone() }, end);
+                other.on_record(&SuspectRecord { ends, ago: late(record.ago), ..record.clone() }, end);
             }
             let list = |quarantine: &Quarantine| quarantine.held().collect::<HashSet<_>>();
             assert_eq!(list(&other), list(&source), "seed {seed}");
@@ -146,13 +150,13 @@
                     if requests.len() <= 5 && rng.random_bool(0.9) {
                         break;
                     }
-                    quarantine.survived(requests.remove(at).0, now);
+                    quarantine.record_survival(requests.remove(at).0, now);
                 }
                 continue;
             }
             lives += 1;
             for (request, sent) in requests.drain(..) {
-                quarantine.ended(request, end(&format!("life-{lives}"), sent, now), now);
+                quarantine.record_termination(request, end(&format!("life-{lives}"), sent, now), now);
                 if request != GUILTY && rng.random_bool(0.7) {
                     repeated.push(request);
                 }
@@ -185,20 +189,20 @@
     let told = cut_off.record(GUILTY, 1_200).expect("a suspect");
     let mut knows_better = Quarantine::default();
     for server in ["s0", "s1", "s2"] {
-        assert!(knows_better.answered(server, 2_900).is_empty());
+        assert!(knows_better.record_answer(server, 2_900).is_empty());
     }
     let mut believes = Quarantine::default();
-    believes.take(&told, 1_210);
+    believes.on_record(&told, 1_210);
     assert!(held(&believes, GUILTY, 1_210));
     // It hears of it when the cut is over, and says so to who told it.
     let later = cut_off.record(GUILTY, 3_000).expect("a suspect");
-    assert_eq!(knows_better.take(&later, 3_000), Change::Known);
-    let signs = knows_better.signs(&later, 3_000);
+    assert_eq!(knows_better.on_record(&later, 3_000), Change::Unchanged);
+    let signs = knows_better.evidence_against(&later, 3_000);
     assert_eq!(signs.len(), 3);
     for sign in &signs {
-        assert!(!cut_off.take_sign(sign, 3_010).is_empty(), "others must hear it from there");
-        assert!(!believes.take_sign(sign, 3_020).is_empty());
-        assert!(believes.take_sign(sign, 3_030).is_empty(), "told once");
+        assert!(!cut_off.on_liveness_evidence(sign, 3_010).is_empty(), "others must hear it from there");
+        assert!(!believes.on_liveness_evidence(sign, 3_020).is_empty());
+        assert!(believes.on_liveness_evidence(sign, 3_030).is_empty(), "told once");
     }
     for quarantine in [&cut_off, &believes, &knows_better] {
         assert!(quarantine.is_empty());
@@ -208,9 +212,9 @@
 #[test]
 fn what_a_server_sent_before_its_end_is_read_late_and_proves_nothing() {
     let mut quarantine = after(10, &[1_000, 1_100, 1_200]);
-    assert!(quarantine.answered("s1", 1_800).is_empty());
+    assert!(quarantine.record_answer("s1", 1_800).is_empty());
     assert!(held(&quarantine, GUILTY, 1_800));
-    assert!(matches!(quarantine.answered("s1", 2_200)[..], [Change::Lifted(_)]));
+    assert!(matches!(quarantine.record_answer("s1", 2_200)[..], [Change::Lifted(_)]));
     assert!(!held(&quarantine, GUILTY, 2_200));
 }
 
@@ -218,7 +222,7 @@
 fn a_flood_of_suspects_drops_none_that_is_held_and_fills_nothing() {
     let mut quarantine = after(10, &[1_000, 2_000, 3_000]);
     for number in 0..20_000 {
-        quarantine.ended(Fingerprint(100 + number), end("lost", 3_900, 4_000), 4_000);
+        quarantine.record_termination(Fingerprint(100 + number), end("lost", 3_900, 4_000), 4_000);
     }
     assert!(held(&quarantine, GUILTY, 5_000));
     let suspected = (100..20_100).filter(|n| quarantine.record(Fingerprint(*n), 5_000).is_some()).count();
@@ -229,15 +233,15 @@
 #[test]
 fn a_held_request_is_tried_twice_by_one_box_and_forgotten_after_a_day() {
     let mut quarantine = after(10, &[1_000, 2_000, 3_000]);
-    assert_eq!(quarantine.verdict(GUILTY, true, 122_000), Verdict::Held { back_ms: 119_000 });
+    assert_eq!(quarantine.verdict(GUILTY, true, 122_000), Verdict::Held { retry_ms: 119_000 });
     assert_eq!(quarantine.verdict(GUILTY, true, 200_000), Verdict::Trial);
     assert!(matches!(quarantine.verdict(GUILTY, false, 200_000), Verdict::Held { .. }), "other boxes don't");
-    let Change::Noted(told) = quarantine.begin_trial(GUILTY, 200_000) else { panic!("others must hear") };
+    let Change::Updated(told) = quarantine.begin_trial(GUILTY, 200_000) else { panic!("others must hear") };
     assert!(matches!(quarantine.verdict(GUILTY, true, 200_001), Verdict::Held { .. }), "once");
     let mut other = Quarantine::default();
-    other.take(&told, 10);
+    other.on_record(&told, 10);
     assert!(matches!(other.verdict(GUILTY, true, 11), Verdict::Held { .. }), "who was told doesn't try again");
-    quarantine.ended(GUILTY, end("s9", 200_400, 200_500), 200_500);
+    quarantine.record_termination(GUILTY, end("s9", 200_400, 200_500), 200_500);
     assert_eq!(quarantine.verdict(GUILTY, true, 1_900_000), Verdict::Trial);
     quarantine.begin_trial(GUILTY, 1_900_000);
     assert!(matches!(quarantine.verdict(GUILTY, true, 80_000_000), Verdict::Held { .. }), "twice at most");
@@ -249,10 +253,10 @@
 #[test]
 fn a_request_that_ran_at_all_servers_when_they_ended_together_is_tried_early() {
     let mut quarantine = after(900, &[1_000, 1_050, 1_100]);
-    assert_eq!(quarantine.verdict(GUILTY, true, 2_000), Verdict::Held { back_ms: 5_000 });
+    assert_eq!(quarantine.verdict(GUILTY, true, 2_000), Verdict::Held { retry_ms: 5_000 });
     assert_eq!(quarantine.verdict(GUILTY, true, 2_100), Verdict::Trial);
     quarantine.begin_trial(GUILTY, 2_100);
-    assert!(matches!(quarantine.survived(GUILTY, 2_300), Change::Lifted(_)));
+    assert!(matches!(quarantine.record_survival(GUILTY, 2_300), Change::Lifted(_)));
     assert!(!held(&quarantine, GUILTY, 2_300));
 }
 
--- a/crates/placement/tests/register.rs
+++ b/crates/placement/tests/register.rs
@@ -4,7 +4,10 @@
 mod common;
 
 use common::{server, service, MODEL};
-use placement::{Ask, Budget, Choice, Load, News, Opinion, Owner, Part, Placement, Prompt, Question, Reading, Report};
+use placement::{
+    Choice, Load, Owner, Part, Placement, PlacementRequest, Prefill, Prompt, RetryBudget, SendReport, SendUpdate,
+    ServerStatus, StatusQuery,
+};
 use routing::Table;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +15,7 @@
 const SERVERS: usize = 40;
 
 fn placement() -> Placement {
-    let mut placement = Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000));
+    let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000));
     let servers = (0..SERVERS).map(|index| server(index, &format!("hall-{}", index % 2))).collect();
     common::update(&mut placement, &Table::new(1, Vec::new(), vec![service(64, 6, None)]), servers, &[], 0);
     placement
@@ -20,35 +23,35 @@
 
 fn prompt(shared: u64, own: u64) -> Prompt {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
-    Prompt { model: "m".to_owned(), tokens: 16_000, out_most: 100, out_hint: None, parts }
+    Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
 /// A box's question to the owners of nine servers, of which the first five, that are asked for the prompt's parts, have their
 /// hands full, and its choice.
 fn choose(one: &mut Placement, owner: &mut Owner, prompt: &Prompt, now: u64) -> Choice {
-    let ask = |opinions| Ask {
+    let ask = |opinions| PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
-        aim: Duration::from_millis(2_500),
-        gap_aim: None,
+        target: Duration::from_millis(2_500),
+        gap_limit: None,
         urgency: 2,
         bytes: 17_000,
         tried: &[],
         denied: &[],
-        homes: [None, None],
-        opinions,
+        allowed_regions: [None, None],
+        statuses: opinions,
         now,
     };
-    let planned = one.plan(&ask(&[]), 9);
+    let planned = one.servers_to_query(&ask(&[]), 9);
     let mut opinions = Vec::new();
     for (place, server) in planned.iter().enumerate() {
-        let question = Question { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-        let mut opinion = owner.ask(&question, now);
+        let question = StatusQuery { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
+        let mut opinion = owner.on_query(&question, now);
         if place < 5 {
-            let reading = Reading { tokens: 4_000_000, ..Reading::default() };
-            opinion.load = Load { running: 60, reading, ..Load::default() };
+            let reading = Prefill { tokens: 4_000_000, ..Prefill::default() };
+            opinion.load = Load { running: 60, prefill: reading, ..Load::default() };
         }
-        one.hear(MODEL, &server.id, opinion.clone(), now);
+        one.on_status(MODEL, &server.id, opinion.clone(), now);
         opinions.push((server.id.clone(), opinion));
     }
     one.choose(&ask(&opinions)).expect("a server")
@@ -61,19 +64,19 @@
         let (mut owner, mut first_box, mut other_box) = (Owner::default(), placement(), placement());
         let first = choose(&mut first_box, &mut owner, &prompt(shared, 1_000), 0);
         let from = SocketAddr::from(([10, 1, 0, 1], 80));
-        let tell = |owner: &mut Owner, number: u64, server: &str, news: News| {
-            owner.report(from, Report { number, server: server.to_owned(), news }, 100);
+        let tell = |owner: &mut Owner, number: u64, server: &str, news: SendUpdate| {
+            owner.on_report(from, SendReport { number, server: server.to_owned(), update: news }, 100);
         };
         let prompt_sent = prompt(shared, 1_000);
-        let sent = News::Sent { parts: prompt_sent.parts, work: first.work, memory: 400_000, permitted: false };
+        let sent = SendUpdate::Sent { parts: prompt_sent.parts, work: first.work, memory: 400_000, permitted: false };
         tell(&mut owner, 1, &first.server.id, sent);
-        tell(&mut owner, 1, &first.server.id, News::Read);
-        for (register, part) in &first.registers {
+        tell(&mut owner, 1, &first.server.id, SendUpdate::Read);
+        for (register, part) in &first.cache_directories {
             assert_eq!(*part, shared);
-            tell(&mut owner, 2, &register.id, News::Elsewhere { part: *part, by: first.server.id.clone() });
+            tell(&mut owner, 2, &register.id, SendUpdate::Elsewhere { part: *part, by: first.server.id.clone() });
         }
         let next = choose(&mut other_box, &mut owner, &prompt(shared, 2_000), 200);
-        let reads = next.work.reading.tokens > 3_000;
+        let reads = next.work.prefill.tokens > 3_000;
         again += usize::from(reads);
         if next.fetch.is_some() {
             assert_eq!(next.fetch, Some(first.server.address));
@@ -87,13 +90,13 @@
     let mut owner = Owner::default();
     let from = SocketAddr::from(([10, 1, 0, 1], 80));
     for reader in ["a", "b", "c", "a", "d"] {
-        let news = News::Elsewhere { part: 7, by: reader.to_owned() };
-        owner.report(from, Report { number: 0, server: "s".to_owned(), news }, 0);
+        let news = SendUpdate::Elsewhere { part: 7, by: reader.to_owned() };
+        owner.on_report(from, SendReport { number: 0, server: "s".to_owned(), update: news }, 0);
     }
     let mut elsewhere = |parts: &[u64]| {
         let parts = parts.iter().map(|id| Part { id: *id, tokens: 5_000 }).collect();
-        let question = Question { number: 1, server: "s".to_owned(), parts, gap_ms: 0 };
-        let Opinion { elsewhere, .. } = owner.ask(&question, 1);
+        let question = StatusQuery { number: 1, server: "s".to_owned(), parts, gap_ms: 0 };
+        let ServerStatus { cached_by: elsewhere, .. } = owner.on_query(&question, 1);
         elsewhere
     };
     assert_eq!(elsewhere(&[7, 100]), ["d", "a", "c"]);
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -4,7 +4,9 @@
 mod common;
 
 use common::{route, server, service, MODEL};
-use placement::{Ask, Budget, Ending, News, Owner, Part, Placement, Prompt, Question, Report};
+use placement::{
+    Ending, Owner, Part, Placement, PlacementRequest, Prompt, RetryBudget, SendReport, SendUpdate, StatusQuery,
+};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use routing::{Server, Table};
@@ -88,7 +90,7 @@
 
 impl World {
     fn new(gap: Option<Duration>) -> Self {
-        let mut placement = Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000));
+        let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000));
         let table = Table::new(1, vec![route(gap)], vec![service(32, 8, None)]);
         common::update(&mut placement, &table, servers(), &[], 0);
         Self {
@@ -124,38 +126,43 @@
         let quick = shared.tokens < 1_000;
         let parts = vec![shared, Part { id: 10_000 + self.number, tokens: own }];
         let tokens = shared.tokens + own;
-        let prompt = Prompt { model: "m".to_owned(), tokens, out_most: 200, out_hint: Some(150), parts };
+        let prompt = Prompt { model: "m".to_owned(), tokens, max_out_tokens: 200, out_tokens_hint: Some(150), parts };
         let gap_ms = if quick { GAP_MS } else { 4 * GAP_MS };
-        let ask = Ask {
+        let ask = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
-            aim: Duration::from_millis(2_000),
-            gap_aim: Some(Duration::from_millis(gap_ms)),
+            target: Duration::from_millis(2_000),
+            gap_limit: Some(Duration::from_millis(gap_ms)),
             urgency: if quick { 0 } else { 3 },
             bytes: 1_000,
             tried: &[],
             denied: &[],
-            homes: [None, None],
-            opinions: &[],
+            allowed_regions: [None, None],
+            statuses: &[],
             now,
         };
         let mut opinions = Vec::new();
-        for server in self.placement.plan(&ask, 9) {
-            let question =
-                Question { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: gap_ms as u32 };
-            let opinion = self.owner.ask(&question, now);
-            self.placement.hear(MODEL, &server.id, opinion.clone(), now);
+        for server in self.placement.servers_to_query(&ask, 9) {
+            let question = StatusQuery {
+                number: 1,
+                server: server.id.clone(),
+                parts: prompt.parts.clone(),
+                gap_ms: gap_ms as u32,
+            };
+            let opinion = self.owner.on_query(&question, now);
+            self.placement.on_status(MODEL, &server.id, opinion.clone(), now);
             opinions.push((server.id.clone(), opinion));
         }
-        let Ok(choice) = self.placement.choose(&Ask { opinions: &opinions, ..ask }) else { return };
+        let Ok(choice) = self.placement.choose(&PlacementRequest { statuses: &opinions, ..ask }) else { return };
         let id = choice.server.id.clone();
-        let sent = News::Sent { parts: prompt.parts.clone(), work: choice.work, memory: 400_000, permitted: false };
-        self.owner.report(me(), Report { number: self.number, server: id.clone(), news: sent }, now);
+        let sent =
+            SendUpdate::Sent { parts: prompt.parts.clone(), work: choice.work, memory: 400_000, permitted: false };
+        self.owner.on_report(me(), SendReport { number: self.number, server: id.clone(), update: sent }, now);
         if !quick && now >= COUNT_FROM {
             self.readers.insert(id.clone());
         }
         let engine = self.engines.get_mut(&id).expect("a listed server");
-        engine.take(self.number, choice.work.reading.tokens, quick, now);
+        engine.take(self.number, choice.work.prefill.tokens, quick, now);
         if !quick && now >= COUNT_FROM {
             self.long.0 += 1;
             self.long.1 += engine.free_at - now;
@@ -168,15 +175,19 @@
             for answer in &mut engine.answers {
                 if !answer.read && answer.first <= now {
                     answer.read = true;
-                    self.owner.report(
+                    self.owner.on_report(
                         me(),
-                        Report { number: answer.number, server: id.clone(), news: News::Read },
+                        SendReport { number: answer.number, server: id.clone(), update: SendUpdate::Read },
                         now,
                     );
                 }
                 if answer.end <= now {
-                    let news = News::Ended { ending: Ending::Good, pause_ms: answer.held_up as u32 };
-                    self.owner.report(me(), Report { number: answer.number, server: id.clone(), news }, now);
+                    let news = SendUpdate::Ended { ending: Ending::Good, pause_ms: answer.held_up as u32 };
+                    self.owner.on_report(
+                        me(),
+                        SendReport { number: answer.number, server: id.clone(), update: news },
+                        now,
+                    );
                     if answer.quick && now >= COUNT_FROM {
                         self.quick.0 += 1;
                         self.quick.1 += u32::from(answer.held_up > GAP_MS);
--- a/crates/placement/tests/update.rs
+++ b/crates/placement/tests/update.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{route, server, service, MODEL};
-use placement::{Ask, Budget, InForce, Limit, Part, Placement, Prompt, Statement};
+use placement::{Limit, LimitUpdate, Part, Placement, PlacementRequest, Prompt, RetryBudget, Snapshot};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use routing::{Change, Directory, Evacuations, Position, Server, Table};
@@ -13,7 +13,7 @@
 const SERVERS: usize = 40;
 
 fn placement() -> Placement {
-    Placement::new("hall-0", Budget::new(0.2, 50.0, 10_000))
+    Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000))
 }
 
 fn table() -> Table {
@@ -50,21 +50,22 @@
 fn choices(placement: &mut Placement, now: u64) -> Vec<(Vec<String>, Option<String>)> {
     let choose = |number: u64| {
         let parts = vec![Part { id: number, tokens: 13_000 }, Part { id: 10_000 + number, tokens: 3_000 }];
-        let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, out_most: 200, out_hint: None, parts };
-        let ask = Ask {
+        let prompt =
+            Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
+        let ask = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
-            aim: Duration::from_millis(1_500),
-            gap_aim: None,
+            target: Duration::from_millis(1_500),
+            gap_limit: None,
             urgency: 0,
             bytes: 17_000,
             tried: &[],
             denied: &[],
-            homes: [None, None],
-            opinions: &[],
+            allowed_regions: [None, None],
+            statuses: &[],
             now,
         };
-        let planned = placement.plan(&ask, 9).iter().map(|server| server.id.clone()).collect();
+        let planned = placement.servers_to_query(&ask, 9).iter().map(|server| server.id.clone()).collect();
         let chosen = placement.clone().choose(&ask).ok().map(|choice| choice.server.id.clone());
         (planned, chosen)
     };
@@ -89,7 +90,7 @@
                 let hall = format!("hall-{}", rng.random_range(0..5));
                 evacuations = Evacuations::new(Position::new(0, now), [hall].into());
             }
-            let in_force = InForce { table: &table, directory: &directory, evacuations: &evacuations };
+            let in_force = Snapshot { table: &table, directory: &directory, evacuations: &evacuations };
             followed.update(&in_force, now);
             let mut starts = placement();
             starts.update(&in_force, now);
@@ -107,17 +108,17 @@
     let mut directory = Directory::default();
     let mut put = |placement: &mut Placement, change: Change, now: u64| {
         directory.apply(vec![change], Position::new(0, now));
-        placement.update(&InForce { table: &table, directory: &directory, evacuations: &evacuations }, now);
+        placement.update(&Snapshot { table: &table, directory: &directory, evacuations: &evacuations }, now);
     };
     put(&mut placement, Change::Present(life.clone()), 1);
-    assert!(placement.limits(&life.id, Limit::PerS(3.0), 2, 3).is_some());
-    assert!(placement.leaves(&life.id, Some(false), 3));
-    let known = (placement.statements().len(), placement.leaving());
+    assert!(placement.record_limit(&life.id, Limit::PerS(3.0), 2, 3).is_some());
+    assert!(placement.record_leaving(&life.id, Some(false), 3));
+    let known = (placement.limit_updates().len(), placement.leaving());
     assert_eq!(known, (1, vec![life.id.clone()]));
     put(&mut placement, Change::Gone(life.name.clone()), 4);
-    assert_eq!((placement.statements().len(), placement.leaving()), (0, Vec::new()), "others know no such life");
+    assert_eq!((placement.limit_updates().len(), placement.leaving()), (0, Vec::new()), "others know no such life");
     put(&mut placement, Change::Present(life.clone()), 5);
-    assert_eq!((placement.statements().len(), placement.leaving()), known);
+    assert_eq!((placement.limit_updates().len(), placement.leaving()), known);
     assert!(!placement.may_send(MODEL, &life.id, true, 6));
     // What its entry says itself need not be told.
     put(&mut placement, Change::Present(Server { draining: true, ..life.clone() }), 7);
@@ -130,10 +131,10 @@
 fn a_limit_of_a_life_that_is_not_listed_is_not_told_for_good() {
     let (table, evacuations) = (table(), Evacuations::default());
     let mut placement = placement();
-    let told = Statement { life: "s1-0".to_owned(), limit: Limit::PerS(3.0), version: 1 };
-    assert!(placement.hear_limit(&told, 1));
+    let told = LimitUpdate { instance: "s1-0".to_owned(), limit: Limit::PerS(3.0), version: 1 };
+    assert!(placement.on_limit_update(&told, 1));
     let mut directory = Directory::default();
     directory.apply(vec![Change::Present(server(2, "hall-0"))], Position::new(0, 2));
-    placement.update(&InForce { table: &table, directory: &directory, evacuations: &evacuations }, 2);
-    assert_eq!(placement.statements(), Vec::new(), "no list has it");
+    placement.update(&Snapshot { table: &table, directory: &directory, evacuations: &evacuations }, 2);
+    assert_eq!(placement.limit_updates(), Vec::new(), "no list has it");
 }
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -7,7 +7,7 @@
 use http::{header, request, response, HeaderMap, HeaderValue, Request};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use placement::{Choice, Ending, Millis, News, Prompt, Report, Work};
+use placement::{Choice, Ending, Millis, Prompt, SendReport, SendUpdate, Work};
 use routing::Server;
 use std::cell::Cell;
 use std::sync::atomic::Ordering;
@@ -66,7 +66,7 @@
     /// Notes that a request is being sent to a server.
     pub(crate) fn new(shared: &Arc<Shared>, service: &str, choice: &Choice, prompt: Option<&Prompt>) -> Self {
         let work = choice.work;
-        shared.placement().begin(service, &choice.server.id, work);
+        shared.placement().record_sent(service, &choice.server.id, work);
         let claim = Self {
             shared: Arc::clone(shared),
             service: service.to_owned(),
@@ -77,13 +77,13 @@
             late: false,
             pause_ms: 0,
             ending: Ending::Left,
-            registers: choice.registers.clone(),
+            registers: choice.cache_directories.clone(),
             lease: prompt.map(|_| shared.numbers.fetch_add(1, Ordering::Relaxed)),
         };
         if let Some(prompt) = prompt {
-            let memory = shared.placement().memory(service);
-            let permitted = choice.leave.is_some();
-            claim.report(News::Sent { parts: prompt.parts.clone(), work, memory, permitted });
+            let memory = shared.placement().cache_capacity(service);
+            let permitted = choice.permit_quotas.is_some();
+            claim.report(SendUpdate::Sent { parts: prompt.parts.clone(), work, memory, permitted });
         }
         claim
     }
@@ -93,8 +93,8 @@
         let first = !std::mem::replace(&mut self.read, true);
         if first {
             self.answered();
-            self.shared.placement().read(&self.service, &self.server.id, self.work);
-            self.report(News::Read);
+            self.shared.placement().record_prefilled(&self.service, &self.server.id, self.work);
+            self.report(SendUpdate::Read);
             self.tell_registers();
         }
         first
@@ -105,8 +105,8 @@
         let ms = u32::try_from(pause.as_millis()).unwrap_or(u32::MAX);
         self.pause_ms = self.pause_ms.max(ms);
         if self.work.gap_ms > 0 && ms > self.work.gap_ms && !std::mem::replace(&mut self.late, true) {
-            self.shared.placement().late(&self.service, &self.server.id, self.work);
-            self.report(News::Late);
+            self.shared.placement().record_late(&self.service, &self.server.id, self.work);
+            self.report(SendUpdate::Late);
         }
     }
 
@@ -121,15 +121,15 @@
     /// Tells where a part was read that others may look for.
     fn tell_registers(&mut self) {
         for (register, part) in std::mem::take(&mut self.registers) {
-            let news = News::Elsewhere { part, by: self.server.id.clone() };
-            let report = Report { number: 0, server: register.id.clone(), news };
+            let news = SendUpdate::Elsewhere { part, by: self.server.id.clone() };
+            let report = SendReport { number: 0, server: register.id.clone(), update: news };
             self.shared.peer_client.report(&register, report);
         }
     }
 
-    fn report(&self, news: News) {
+    fn report(&self, news: SendUpdate) {
         if let Some(number) = self.lease {
-            let report = Report { number, server: self.server.id.clone(), news };
+            let report = SendReport { number, server: self.server.id.clone(), update: news };
             self.shared.peer_client.report(&self.server, report);
         }
     }
@@ -146,14 +146,14 @@
 impl Drop for Claim {
     fn drop(&mut self) {
         if !std::mem::replace(&mut self.read, true) {
-            self.shared.placement().read(&self.service, &self.server.id, self.work);
+            self.shared.placement().record_prefilled(&self.service, &self.server.id, self.work);
         }
         if !std::mem::replace(&mut self.late, true) {
-            self.shared.placement().late(&self.service, &self.server.id, self.work);
+            self.shared.placement().record_late(&self.service, &self.server.id, self.work);
         }
-        self.report(News::Ended { ending: self.ending, pause_ms: self.pause_ms });
+        self.report(SendUpdate::Ended { ending: self.ending, pause_ms: self.pause_ms });
         let now: Millis = self.shared.now();
-        self.shared.placement().end(&self.service, &self.server.id, self.work, self.ending, now);
+        self.shared.placement().record_end(&self.service, &self.server.id, self.work, self.ending, now);
     }
 }
 
--- a/crates/relay/src/choosing.rs
+++ b/crates/relay/src/choosing.rs
@@ -6,7 +6,7 @@
 use crate::exchange::Exchange;
 use http::uri::PathAndQuery;
 use http::{header, HeaderValue};
-use placement::{Ask, Choice, Fingerprint, Leave, Millis, Opinion, Prompt, Refusal, Verdict};
+use placement::{Choice, Fingerprint, Millis, PermitReply, PlacementRequest, Prompt, Refusal, ServerStatus, Verdict};
 use std::time::Duration;
 use telemetry::Event;
 use tokio::time::Instant;
@@ -58,15 +58,15 @@
         loop {
             let choice = self.shared.placement().choose(&self.ask(&opinions, &denied))?;
             let leave_until = self.shared.now() + LEAVE_MOST;
-            let Some(quotas) = choice.leave else {
+            let Some(quotas) = choice.permit_quotas else {
                 return self.claim(choice, None);
             };
             let (urgency, until) = (self.urgency(), Instant::now() + OPINION_MOST);
             match consult::leave(&self.shared, &choice.server, quotas, urgency, until).await {
-                Leave::Given => return self.claim(choice, Some(leave_until)),
-                Leave::Denied { again } => {
+                PermitReply::Granted => return self.claim(choice, Some(leave_until)),
+                PermitReply::Denied { retry_ms: again } => {
                     let until = self.shared.now().saturating_add(again);
-                    self.shared.placement().spent(&self.service, &choice.server.id, urgency, until);
+                    self.shared.placement().record_denial(&self.service, &choice.server.id, urgency, until);
                 }
             }
             denied.push(choice.server.id.clone());
@@ -82,7 +82,7 @@
         match self.verdict() {
             Verdict::Free => {}
             Verdict::Trial => self.shared.begin_trial(self.fingerprint()),
-            Verdict::Held { back_ms } => return Err(Withheld::Held { back_ms }),
+            Verdict::Held { retry_ms: back_ms } => return Err(Withheld::Held { back_ms }),
         }
         self.leave_until = leave_until;
         self.log_choice(&choice);
@@ -90,26 +90,33 @@
         Ok((choice, claim))
     }
 
-    pub(crate) fn ask<'a>(&'a self, opinions: &'a [(String, Opinion)], denied: &'a [String]) -> Ask<'a> {
-        Ask {
+    pub(crate) fn ask<'a>(
+        &'a self,
+        opinions: &'a [(String, ServerStatus)],
+        denied: &'a [String],
+    ) -> PlacementRequest<'a> {
+        PlacementRequest {
             service: &self.service,
             prompt: self.call.prompt.as_ref(),
-            aim: self.route.aim,
-            gap_aim: self.route.gap_aim,
+            target: self.route.aim,
+            gap_limit: self.route.gap_aim,
             urgency: self.urgency(),
             bytes: self.body.len(),
             tried: &self.tried,
             denied,
-            homes: [self.route.homes.as_ref(), self.customer.as_ref().and_then(|customer| customer.homes.as_ref())],
-            opinions,
+            allowed_regions: [
+                self.route.homes.as_ref(),
+                self.customer.as_ref().and_then(|customer| customer.homes.as_ref()),
+            ],
+            statuses: opinions,
             now: self.shared.now(),
         }
     }
 
     /// Asks the owners of the likeliest servers; nobody for requests that are no prompts.
-    pub(crate) async fn consult(&self) -> Vec<(String, Opinion)> {
+    pub(crate) async fn consult(&self) -> Vec<(String, ServerStatus)> {
         let Some(prompt) = &self.call.prompt else { return Vec::new() };
-        let planned = self.shared.placement().plan(&self.ask(&[], &[]), OWNERS_ASKED);
+        let planned = self.shared.placement().servers_to_query(&self.ask(&[], &[]), OWNERS_ASKED);
         let gap_ms = self.route.gap_aim.map_or(0, |gap| gap.as_millis() as u32);
         let asked: Vec<Asked> =
             planned.iter().filter_map(|server| Asked::new(&self.shared, server, prompt, gap_ms)).collect();
@@ -148,7 +155,7 @@
     }
 
     pub(crate) fn log_choice(&self, choice: &Choice) {
-        let Choice { expected, work, load, .. } = choice;
+        let Choice { estimate: expected, work, load, .. } = choice;
         let prompt = self.call.prompt.as_ref();
         telemetry::emit(
             Event::ServerChosen,
@@ -159,14 +166,14 @@
                 choice.server.id,
                 expected.cost,
                 expected.wait_ms,
-                expected.stalled,
-                expected.others,
-                expected.split,
-                work.reading.tokens,
+                expected.stall_probability,
+                expected.others_late,
+                expected.long_share,
+                work.prefill.tokens,
                 choice.fetch.map_or_else(|| "-".to_owned(), |f| f.to_string()),
                 choice.candidates,
                 load.running,
-                load.reading.tokens,
+                load.prefill.tokens,
                 load.held,
                 prompt.map_or(0, |p| p.tokens),
                 prompt.map_or(0, Prompt::shared_tokens),
--- a/crates/relay/src/consult.rs
+++ b/crates/relay/src/consult.rs
@@ -1,7 +1,7 @@
 //! One question to the owner of a server.
 
 use crate::Shared;
-use placement::{Leave, Opinion, Permit, Prompt, Question, Quotas};
+use placement::{PermitReply, PermitRequest, Prompt, Quotas, ServerStatus, StatusQuery};
 use routing::Server;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -11,34 +11,40 @@
 /// A question that is on its way.
 pub(crate) struct Asked {
     server: Arc<Server>,
-    answer: oneshot::Receiver<Opinion>,
+    answer: oneshot::Receiver<ServerStatus>,
 }
 
 impl Asked {
     /// Asks the owner of `server`; none when nobody can be asked.
     pub(crate) fn new(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = Question { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
+        let question = StatusQuery { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
         let answer = shared.peer_client.request_opinion(server, question)?;
         Some(Self { server: Arc::clone(server), answer })
     }
 
     /// Waits for the answer, and takes it in.
-    pub(crate) async fn wait(self, shared: &Shared, service: &str, until: Instant) -> Option<(String, Opinion)> {
+    pub(crate) async fn wait(self, shared: &Shared, service: &str, until: Instant) -> Option<(String, ServerStatus)> {
         let Ok(Ok(opinion)) = tokio::time::timeout_at(until, self.answer).await else {
             shared.peer_client.on_missed_reply(&self.server);
             return None;
         };
-        shared.placement().hear(service, &self.server.id, opinion.clone(), shared.now());
+        shared.placement().on_status(service, &self.server.id, opinion.clone(), shared.now());
         Some((self.server.id.clone(), opinion))
     }
 }
 
 /// Asks for leave to send one request to a server that takes few. Without an answer there is none.
-pub(crate) async fn leave(shared: &Shared, server: &Server, quotas: Quotas, urgency: u8, until: Instant) -> Leave {
+pub(crate) async fn leave(
+    shared: &Shared,
+    server: &Server,
+    quotas: Quotas,
+    urgency: u8,
+    until: Instant,
+) -> PermitReply {
     let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
-    let permit = Permit { number, server: server.id.clone(), quotas, urgency };
-    let nobody = Leave::Denied { again: 0 };
+    let permit = PermitRequest { number, server: server.id.clone(), quotas, urgency };
+    let nobody = PermitReply::Denied { retry_ms: 0 };
     let Some(answer) = shared.peer_client.request_permit(server, permit) else { return nobody };
     tokio::time::timeout_at(until, answer).await.ok().and_then(Result::ok).unwrap_or(nobody)
 }
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -40,7 +40,7 @@
                 let after = COLD_LEAST.mul_f64(rand::rng().random_range(1.0..2.0));
                 self.refuse_until("all servers are cold", after)
             }
-            Withheld::Refused(Refusal::Limited { back_ms }) => {
+            Withheld::Refused(Refusal::Limited { retry_ms: back_ms }) => {
                 let _ = write!(self.trail, "all have what they take, {back_ms} ms");
                 let wait = Duration::from_millis(back_ms).max(LIMIT_LEAST);
                 self.refuse_until(
@@ -48,7 +48,7 @@
                     wait.mul_f64(rand::rng().random_range(1.0..2.0)),
                 )
             }
-            Withheld::Refused(Refusal::Resting { back_ms }) => {
+            Withheld::Refused(Refusal::BackingOff { retry_ms: back_ms }) => {
                 let _ = write!(self.trail, "all rest, {back_ms} ms");
                 let wait = Duration::from_millis(back_ms).max(COME_BACK);
                 self.refuse_until("all servers rest", wait.mul_f64(rand::rng().random_range(1.0..REST_SPREAD)))
@@ -58,7 +58,7 @@
                 self.trail.push_str("held");
                 self.refuse_until("servers ended under this request", Duration::from_millis(back_ms))
             }
-            Withheld::Refused(Refusal::Crowded { wait_ms }) => {
+            Withheld::Refused(Refusal::Overloaded { wait_ms }) => {
                 let _ = write!(self.trail, "crowded, {wait_ms:.0} ms to a place");
                 let wait = Duration::from_secs_f64(wait_ms / 1e3) + CROWD_LEAST;
                 self.refuse_until("all places are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
@@ -89,7 +89,7 @@
         if let Some(server) = self.tried.last().filter(|_| !self.route.kind.streams()) {
             // A plain server that says nothing for that long is broken; an engine may be busy.
             let now = self.shared.now();
-            self.shared.placement().note(&self.service, server, Ending::Broken, now);
+            self.shared.placement().record_ending(&self.service, server, Ending::Broken, now);
         }
         if !self.may_have_run && !self.under_way.get() {
             return self.refuse("no server could be reached in time");
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -89,11 +89,11 @@
 impl Exchange {
     /// Sends the request until there is an outcome, or the beginning of a stream.
     pub(crate) async fn run(&mut self) -> Reply {
-        if let Verdict::Held { back_ms } = self.verdict() {
+        if let Verdict::Held { retry_ms: back_ms } = self.verdict() {
             return Reply::Whole(self.not_sent(&Withheld::Held { back_ms }));
         }
         let now = self.shared.now();
-        self.shared.placement().first_send(&self.service, now);
+        self.shared.placement().record_request(&self.service, now);
         loop {
             match tokio::time::timeout_at(self.deadline, self.step()).await {
                 Ok(Some(reply)) => return reply,
@@ -243,7 +243,7 @@
             return false;
         }
         let now = self.shared.now();
-        let taken = self.shared.placement().second_send(&self.service, now);
+        let taken = self.shared.placement().take_retry(&self.service, now);
         if !taken {
             self.trail.push_str(" budget used up");
         }
--- a/crates/relay/src/noticed.rs
+++ b/crates/relay/src/noticed.rs
@@ -2,7 +2,7 @@
 
 use crate::{Notice, Shared, UnknownHeader};
 use http::HeaderMap;
-use placement::{Limit, Millis, Statement};
+use placement::{Limit, LimitUpdate, Millis};
 use rand::Rng;
 use routing::Server;
 use std::time::Duration;
@@ -44,11 +44,11 @@
 
     /// Takes what another box knows of servers' limits. What this one didn't know.
     #[must_use]
-    pub fn on_peer_limits(&self, statements: Vec<Statement>) -> Vec<Statement> {
-        let news = |statement: &Statement| {
-            let news = self.placement().hear_limit(statement, self.now());
+    pub fn on_peer_limits(&self, statements: Vec<LimitUpdate>) -> Vec<LimitUpdate> {
+        let news = |statement: &LimitUpdate| {
+            let news = self.placement().on_limit_update(statement, self.now());
             if news {
-                log_limit(format_args!("from=Peer"), &statement.life, statement.limit);
+                log_limit(format_args!("from=Peer"), &statement.instance, statement.limit);
             }
             news
         };
@@ -58,7 +58,7 @@
     /// A limit is over all boxes, so that all are told and each request needs leave from one of them: kept by each box alone it would
     /// let through as many times what the server takes as there are boxes.
     fn limits(&self, id: &str, server: &Server, limit: Limit, sent: Millis) {
-        let news = self.placement().limits(&server.id, limit, sent, self.now());
+        let news = self.placement().record_limit(&server.id, limit, sent, self.now());
         if let Some(statement) = news {
             log_limit(format_args!("id={id}"), &server.id, limit);
             self.peer_client.broadcast_limit(&statement);
@@ -70,7 +70,7 @@
         let (news, listed) = {
             let mut placement = self.placement();
             let listed = placement.listed(life).map(|server| server.draining);
-            (placement.leaves(life, listed, self.now()), listed)
+            (placement.record_leaving(life, listed, self.now()), listed)
         };
         if news {
             let entry = listed.map_or("gone", |draining| if draining { "leaving" } else { "ready" });
@@ -85,7 +85,7 @@
         let ms = (spread * 1e3) as u64;
         let now = self.now();
         // Rounded up: a server is not asked again before it wants to be.
-        self.placement().rests(&server.id, now.saturating_add(ms).saturating_add(1));
+        self.placement().record_back_off(&server.id, now.saturating_add(ms).saturating_add(1));
         telemetry::emit(Event::ServerRests, format_args!("id={id} server={} ms={ms}", server.id));
     }
 }
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -142,7 +142,7 @@
         if claim.read() {
             let exchange = &self.exchange;
             if let Some(prompt) = &exchange.call.prompt {
-                exchange.shared.placement().confirm(&exchange.service, &claim.server.id, prompt);
+                exchange.shared.placement().record_cached(&exchange.service, &claim.server.id, prompt);
             }
             let ms = exchange.began.elapsed().as_millis();
             telemetry::emit(
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::{HeaderCodec, PeerClient};
 use clock::Clock;
-use placement::{InForce, Millis, Placement, Quarantine};
+use placement::{Millis, Placement, Quarantine, Snapshot};
 use routing::{Directory, Evacuations, Table};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
@@ -97,7 +97,7 @@
     /// Puts a configuration and servers in force.
     pub fn set_view(&self, view: View) {
         if let Some(table) = &view.table {
-            let in_force = InForce { table, directory: &view.directory, evacuations: &view.evacuations };
+            let in_force = Snapshot { table, directory: &view.directory, evacuations: &view.evacuations };
             self.placement().update(&in_force, self.now());
         }
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(view);
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -2,7 +2,7 @@
 
 use crate::crash::Broken;
 use crate::Shared;
-use placement::{Change, End, Fingerprint, Quarantine, Record, Sign, Verdict};
+use placement::{Change, Fingerprint, LivenessEvidence, Quarantine, SuspectRecord, Termination, Verdict};
 use std::fmt::Write;
 use std::sync::{MutexGuard, PoisonError};
 use telemetry::Event;
@@ -18,12 +18,12 @@
         let now = self.now();
         let changes: Vec<Change> = {
             let mut quarantine = self.quarantine();
-            let end = |broken: &Broken| End {
+            let end = |broken: &Broken| Termination {
                 server: server.to_owned(),
                 sent: now.saturating_sub(broken.sent),
                 ago: now.saturating_sub(broken.at),
             };
-            requests.iter().map(|broken| quarantine.ended(broken.request, end(broken), now)).collect()
+            requests.iter().map(|broken| quarantine.record_termination(broken.request, end(broken), now)).collect()
         };
         self.tell(changes);
     }
@@ -32,8 +32,8 @@
     /// innocent. False where it wasn't.
     pub fn record_survival(&self, request: Fingerprint) -> bool {
         let now = self.now();
-        let change = self.quarantine().survived(request, now);
-        let suspected = change != Change::Known;
+        let change = self.quarantine().record_survival(request, now);
+        let suspected = change != Change::Unchanged;
         self.tell(vec![change]);
         suspected
     }
@@ -41,29 +41,30 @@
     /// A server answers: if some box took it for ended, all hear that it lives.
     pub(crate) fn answered(&self, server: &str) {
         let now = self.now();
-        let changes = self.quarantine().answered(server, now);
+        let changes = self.quarantine().record_answer(server, now);
         if !changes.is_empty() {
             changes.iter().for_each(note);
-            self.peer_client.broadcast_suspects(Vec::new(), vec![Sign { server: server.to_owned(), ago: 0 }]);
+            self.peer_client
+                .broadcast_suspects(Vec::new(), vec![LivenessEvidence { server: server.to_owned(), ago: 0 }]);
         }
     }
 
     /// Takes what another box knows of requests and servers. What disproves it, for that box.
     #[must_use]
-    pub fn on_peer_suspects(&self, records: &[Record], signs: Vec<Sign>) -> Vec<Sign> {
+    pub fn on_peer_suspects(&self, records: &[SuspectRecord], signs: Vec<LivenessEvidence>) -> Vec<LivenessEvidence> {
         let now = self.now();
         let mut quarantine = self.quarantine();
         let mut changes = Vec::new();
         let mut told = Vec::new();
         for sign in signs {
-            let disproved = quarantine.take_sign(&sign, now);
+            let disproved = quarantine.on_liveness_evidence(&sign, now);
             if !disproved.is_empty() {
                 told.push(sign);
             }
             changes.extend(disproved);
         }
-        changes.extend(records.iter().map(|record| quarantine.take(record, now)));
-        let disproved = records.iter().flat_map(|record| quarantine.signs(record, now)).collect();
+        changes.extend(records.iter().map(|record| quarantine.on_record(record, now)));
+        let disproved = records.iter().flat_map(|record| quarantine.evidence_against(record, now)).collect();
         drop(quarantine);
         changes.iter().for_each(note);
         if !told.is_empty() {
@@ -95,7 +96,7 @@
     /// Logs what has changed, and tells the other boxes.
     fn tell(&self, changes: Vec<Change>) {
         changes.iter().for_each(note);
-        let records: Vec<Record> = changes.into_iter().filter_map(Change::into_record).collect();
+        let records: Vec<SuspectRecord> = changes.into_iter().filter_map(Change::into_record).collect();
         if !records.is_empty() {
             self.peer_client.broadcast_suspects(records, Vec::new());
         }
@@ -107,7 +108,7 @@
     let (event, record) = match change {
         Change::Held(record) => (Event::RequestHeld, record),
         Change::Lifted(record) => (Event::RequestLifted, record),
-        Change::Noted(_) | Change::Known => return,
+        Change::Updated(_) | Change::Unchanged => return,
     };
     let mut ends = String::new();
     for end in &record.ends {
