--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -11,8 +11,8 @@
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, WrapFuture};
 use catalog::{BoxId, ClassId, CustomerId, Digest, ReleaseId, ServerId};
 use clock::Clock;
-use feed::{Allowance, Listing, Source, Trouble, Value, MANIFEST};
-use fleet::{watchers, Probe, Spread, State, Timing};
+use feed::{CallBudget, MemberList, Source, SourceError, Value, MANIFEST_KEY};
+use fleet::{watchers, FailureDetector, ProbeTiming, ReleaseSync, State};
 use gateway::{ControlRequest, LeaseGrant, Snapshot};
 use policy::{Action, Broker, Layout, Load, Permit, Refusal, Time, Verdict};
 use rand::Rng;
@@ -132,8 +132,8 @@
     source: Rc<dyn Source>,
     gauge: Rc<dyn LoadProbe>,
     broker: Broker,
-    probe: Probe,
-    spread: Spread,
+    probe: FailureDetector,
+    spread: ReleaseSync,
     key: Key,
     /// Links to other boxes, each with the address that it was made for.
     links: HashMap<BoxId, (SocketAddr, Link<Envelope>)>,
@@ -149,7 +149,7 @@
     /// The broker's number by traffic's, for claims.
     claim_numbers: HashMap<u64, u64>,
     platform: Platform,
-    allowance: Allowance,
+    allowance: CallBudget,
     gauged: Time,
     ticked: Time,
     started: Time,
@@ -192,7 +192,7 @@
         let seconds = unix().as_secs();
         // Numbers of an earlier life of this box are lower, at up to 4,096 a second.
         let first = (seconds % (1 << 20)) << 12;
-        let probe = Probe::new(me.clone(), &settings.peers, seconds as u32, Timing::default(), now);
+        let probe = FailureDetector::new(me.clone(), &settings.peers, seconds as u32, ProbeTiming::default(), now);
         let key = Key::new(&settings.link.key);
         let address = context.address();
         let handler = Rc::new(move |from: &str, envelope| address.do_send(Inbound(BoxId::of(from), envelope)));
@@ -202,15 +202,15 @@
         }
         Self {
             broker: Broker::new(me.id(), &me.hall, settings.way, first, now),
-            source: Rc::new(feed::Http::new(settings.config, settings.members)),
+            source: Rc::new(feed::HttpSource::new(settings.config, settings.members)),
             gauge: Rc::new(upstream::HttpClient::default()),
-            allowance: Allowance::new(CALLS_PER_SECOND, CALLS_AT_ONCE, now),
+            allowance: CallBudget::new(CALLS_PER_SECOND, CALLS_AT_ONCE, now),
             settings,
             clock,
             shared,
             running,
             probe,
-            spread: Spread::default(),
+            spread: ReleaseSync::default(),
             key,
             links: HashMap::new(),
             listener: Some(listener),
@@ -279,7 +279,7 @@
     /// Takes calls once a release is here that isn't older than that of any peer that was heard.
     fn settle(&mut self, now: Time) {
         let waited = now.since(self.began);
-        let asked = !self.probe.is_waiting() || waited >= SETTLE_MOST_MS;
+        let asked = !self.probe.has_uncontacted_peers() || waited >= SETTLE_MOST_MS;
         let newest = self.spread.order() >= self.best_heard;
         let refused = self.best_heard.is_some_and(|best| self.spread.has_refused(best));
         // Until then this box can't prove of any request key that it is new.
@@ -327,20 +327,20 @@
     fn hear_order(&mut self, from: BoxId, order: Option<ReleaseId>, context: &mut Context<Self>) {
         self.heard_peer = true;
         self.best_heard = self.best_heard.max(order);
-        let actions = self.spread.hear(from, order, self.now());
+        let actions = self.spread.on_release(from, order, self.now());
         self.do_fleet(actions, context);
     }
 
     fn take_fleet(&mut self, from: BoxId, message: &fleet::Message, context: &mut Context<Self>) {
         let now = self.now();
-        let actions = self.probe.receive(from, message, self.spread.order(), now);
+        let actions = self.probe.on_message(from, message, self.spread.order(), now);
         self.do_fleet(actions, context);
         match message {
             fleet::Message::Ping { order, .. } | fleet::Message::Ack { order, .. } => {
                 self.hear_order(from, *order, context);
             }
             _ => {
-                let actions = self.spread.receive(from, message, now);
+                let actions = self.spread.on_message(from, message, now);
                 self.do_fleet(actions, context);
             }
         }
--- a/crates/cleatshelf/src/control/actor.rs
+++ b/crates/cleatshelf/src/control/actor.rs
@@ -8,7 +8,7 @@
     fn started(&mut self, context: &mut Self::Context) {
         context.run_interval(TICK, Self::tick);
         self.settle_watch();
-        let actions = self.broker.set_boxes(self.probe.boxes(), self.probe.leaving(), self.now());
+        let actions = self.broker.set_boxes(self.probe.eligible_boxes(), self.probe.leaving_boxes(), self.now());
         self.do_policy(actions, context);
     }
 }
@@ -69,7 +69,7 @@
     type Result = ();
 
     fn handle(&mut self, Broke(id): Broke, context: &mut Self::Context) {
-        let actions = self.probe.unreachable(id, self.now());
+        let actions = self.probe.on_connection_lost(id, self.now());
         self.do_fleet(actions, context);
     }
 }
--- a/crates/cleatshelf/src/control/carry.rs
+++ b/crates/cleatshelf/src/control/carry.rs
@@ -101,23 +101,24 @@
         for action in actions {
             match action {
                 fleet::Action::Send(to, message) => self.send(to, &Envelope::Fleet(message), context),
-                fleet::Action::View => {
+                fleet::Action::ViewChanged => {
                     self.settle_watch();
-                    let actions = self.broker.set_boxes(self.probe.boxes(), self.probe.leaving(), self.now());
+                    let actions =
+                        self.broker.set_boxes(self.probe.eligible_boxes(), self.probe.leaving_boxes(), self.now());
                     self.do_policy(actions, context);
                 }
                 fleet::Action::Upstream(server, leaving) => {
                     let actions = self.broker.set_upstream_leaving(server, leaving, self.now());
                     self.do_policy(actions, context);
                 }
-                fleet::Action::Spread(change) => self.probe.spread(change),
-                fleet::Action::Refused(order, reason) => {
-                    let actions = self.spread.told(order, &reason);
+                fleet::Action::Gossip(change) => self.probe.gossip(change),
+                fleet::Action::RefusedElsewhere(order, reason) => {
+                    let actions = self.spread.on_refused_elsewhere(order, &reason);
                     self.do_fleet(actions, context);
                 }
                 fleet::Action::Adopt(release, catalog) => self.adopt(&release, *catalog, context),
                 fleet::Action::Fetch(digests) => self.fetch(digests, context),
-                fleet::Action::Note(event, detail) => self.note(event, &detail),
+                fleet::Action::Log(event, detail) => self.note(event, &detail),
             }
         }
     }
@@ -141,7 +142,7 @@
         let actions = self.broker.set_layout(layout, self.now());
         self.do_policy(actions, context);
         let order = self.spread.order();
-        for to in self.probe.some_alive(TOLD_AT_ONCE) {
+        for to in self.probe.random_alive(TOLD_AT_ONCE) {
             // An answer's form carries the release without asking for anything back.
             let message = fleet::Message::Ack { number: 0, order, changes: Vec::new() };
             self.send(to, &Envelope::Fleet(message), context);
--- a/crates/cleatshelf/src/control/reading.rs
+++ b/crates/cleatshelf/src/control/reading.rs
@@ -4,7 +4,7 @@
 
 impl Control {
     pub(super) fn is_watcher(&self) -> bool {
-        let boxes = self.probe.boxes();
+        let boxes = self.probe.eligible_boxes();
         let alive = boxes.get(&self.settings.me.hall).map_or(&[][..], Vec::as_slice);
         watchers(alive).contains(&self.settings.me.id())
     }
@@ -45,7 +45,7 @@
 
     fn read_manifest(&mut self, watch: bool, context: &mut Context<Self>) {
         let now = self.now();
-        if !self.allowance.take(now) {
+        if !self.allowance.try_acquire(now) {
             return;
         }
         self.platform.busy = true;
@@ -53,15 +53,15 @@
         let since = self.platform.revision;
         let ask = async move {
             if watch {
-                source.watch(MANIFEST, since).await
+                source.watch(MANIFEST_KEY, since).await
             } else {
-                source.get(MANIFEST).await
+                source.get(MANIFEST_KEY).await
             }
         };
         context.spawn(ask.into_actor(self).map(move |answer, this, context| this.take_manifest(answer, context)));
     }
 
-    fn take_manifest(&mut self, answer: Result<Option<Value>, Trouble>, context: &mut Context<Self>) {
+    fn take_manifest(&mut self, answer: Result<Option<Value>, SourceError>, context: &mut Context<Self>) {
         let now = self.now();
         self.platform.busy = false;
         let value = match answer {
@@ -83,7 +83,7 @@
         // A replica behind the others may show an older revision; watching from it would spin.
         self.platform.revision = self.platform.revision.max(value.revision);
         if let Ok(text) = std::str::from_utf8(&value.bytes) {
-            let actions = self.spread.offered(text, now);
+            let actions = self.spread.on_manifest_offered(text, now);
             self.do_fleet(actions, context);
         }
     }
@@ -95,7 +95,7 @@
         self.platform.trouble_ms = TROUBLE_MS;
     }
 
-    fn platform_trouble(&mut self, trouble: &Trouble) {
+    fn platform_trouble(&mut self, trouble: &SourceError) {
         if self.platform.trouble_ms == TROUBLE_MS {
             telemetry::emit(Event::PlatformUnreachable, format_args!("why=\"{trouble}\""));
         }
@@ -107,22 +107,22 @@
 
     fn read_listing(&mut self, context: &mut Context<Self>) {
         let now = self.now();
-        if !self.allowance.take(now) {
+        if !self.allowance.try_acquire(now) {
             return;
         }
         self.platform.listing = true;
         self.platform.list_at = now.after(LISTING_MS);
         let source = Rc::clone(&self.source);
-        let ask = async move { source.listing().await };
+        let ask = async move { source.member_list().await };
         context.spawn(ask.into_actor(self).map(|answer, this, context| this.take_listing(answer, context)));
     }
 
-    fn take_listing(&mut self, answer: Result<Listing, Trouble>, context: &mut Context<Self>) {
+    fn take_listing(&mut self, answer: Result<MemberList, SourceError>, context: &mut Context<Self>) {
         self.platform.listing = false;
         match answer {
             Ok(list) => {
                 let now = self.now();
-                let actions = self.probe.listed(&list.boxes, &list.upstreams, list.revision, now);
+                let actions = self.probe.on_member_list(&list.boxes, &list.upstreams, list.revision, now);
                 self.do_fleet(actions, context);
             }
             Err(trouble) => self.platform_trouble(&trouble),
@@ -134,7 +134,7 @@
             return;
         }
         let now = self.now();
-        let affordable: Vec<Digest> = digests.into_iter().take_while(|_| self.allowance.take(now)).collect();
+        let affordable: Vec<Digest> = digests.into_iter().take_while(|_| self.allowance.try_acquire(now)).collect();
         self.platform.fetching = true;
         let source = Rc::clone(&self.source);
         let ask = async move {
@@ -149,7 +149,7 @@
         context.spawn(ask.into_actor(self).map(|parts, this, context| {
             this.platform.fetching = false;
             let some = !parts.is_empty();
-            let actions = this.spread.fetched(&parts, this.now());
+            let actions = this.spread.on_parts_fetched(&parts, this.now());
             this.do_fleet(actions, context);
             if !some {
                 // Parts aren't there (yet): read the manifest again in a while.
--- a/crates/cleatshelf/src/control/telling.rs
+++ b/crates/cleatshelf/src/control/telling.rs
@@ -20,7 +20,7 @@
             pending: self.broker.pending_count(),
             running: self.running.load(Ordering::Relaxed),
             watcher: self.is_watcher(),
-            platform_calls: self.allowance.made,
+            platform_calls: self.allowance.calls_made,
             sent_bytes: self.links.values().map(|(_, link)| link.bytes_sent()).sum(),
             received_bytes: self.listener.as_ref().map_or(0, Listener::bytes_received),
             sent_messages: self.sent_messages,
--- a/crates/cleatshelf/src/router/advice.rs
+++ b/crates/cleatshelf/src/router/advice.rs
@@ -1,7 +1,7 @@
 //! Which box owns a server, and the questions that are on their way there.
 
 use clock::Clock;
-use peers::{Millis, Profile, Silence};
+use peers::{Millis, MissedReplies, Profile};
 use placement::{
     Fingerprint, LimitUpdate, LivenessEvidence, Owner, PermitReply, PermitRequest, SendReport, SendUpdate,
     ServerStatus, StatusQuery, SuspectRecord,
@@ -122,7 +122,7 @@
     /// True once another box knew the same ones: before, this box may take itself for the owner of what others own.
     settled: bool,
     /// Which boxes aren't asked.
-    silence: Silence,
+    silence: MissedReplies,
     /// Who waits for opinions.
     opinions: Waiting<ServerStatus>,
     /// Who waits for leaves.
@@ -177,7 +177,7 @@
     pub(super) fn handle(&self, from: SocketAddr, message: Message) -> Option<Message> {
         let now = self.now();
         let mut state = self.state();
-        state.silence.heard(from);
+        state.silence.record_reply(from);
         match message {
             Message::Question(question) => Some(Message::Opinion(state.owner.on_query(&question, now))),
             Message::Report(report) => {
@@ -213,7 +213,7 @@
     /// The box that owns a server: equal on every box that knows the same boxes. One of the server's hall, so that
     /// who reaches the one reaches the other.
     fn owner_of(&self, server: &Server, now: Millis) -> Option<SocketAddr> {
-        self.first(&server.id, &server.hall, |address| !self.silence.silent(address, now))
+        self.first(&server.id, &server.hall, |address| !self.silence.is_unresponsive(address, now))
     }
 
     /// The one box that may give leave for sends to a server, whether it is heard or not: two that each took the other
@@ -273,7 +273,7 @@
             let _ = answer.send(advice.grant(&mut state, &permit, &server.hall, now));
             return Some(waiting);
         }
-        if state.silence.silent(&owner, now) {
+        if state.silence.is_unresponsive(&owner, now) {
             return None;
         }
         state.leaves.add(permit.number, answer);
@@ -311,7 +311,7 @@
         let now = self.0.now();
         let mut state = self.0.state();
         let Some(owner) = state.owner_of(server, now).filter(|owner| *owner != self.0.me) else { return };
-        state.silence.missed(owner, now);
+        state.silence.record_missed(owner, now);
     }
 
     fn broadcast_suspects(&self, records: Vec<SuspectRecord>, signs: Vec<LivenessEvidence>) {
--- a/crates/cleatshelf/src/router/follow.rs
+++ b/crates/cleatshelf/src/router/follow.rs
@@ -1,9 +1,9 @@
 //! Reads and watches what the platform publishes, while this box is one of those that do.
 
 use super::knowledge::{Knowledge, Origin};
-use peers::Watch;
+use peers::WatchRole;
 use rand::Rng;
-use routing::{Change, Freshness, Position, Publisher, Subject, Trouble};
+use routing::{Change, Freshness, Position, Publisher, PublisherError, Subject};
 use std::cell::Cell;
 use std::future::Future;
 use std::rc::Rc;
@@ -68,7 +68,7 @@
     pub(super) knowledge: Rc<Knowledge>,
     pub(super) subject: Subject,
     /// What this box watches as.
-    pub(super) watching: watch::Receiver<Watch>,
+    pub(super) watching: watch::Receiver<WatchRole>,
     /// Subjects whose last call failed; shared by the followers of one publisher.
     pub(super) troubles: Rc<Troubles>,
 }
@@ -157,10 +157,10 @@
                     pause = PAUSE_LEAST;
                     // While this box gathered, another may have told it more.
                     since = self.known().max(Some(position));
-                    wait = if *self.watching.borrow() == Watch::Second { WAIT_SECOND } else { WAIT };
+                    wait = if *self.watching.borrow() == WatchRole::Secondary { WAIT_SECOND } else { WAIT };
                 }
-                Err(Trouble::Forgotten) => since = None,
-                Err(Trouble::Absent) => self.absent(ABSENT_WATCHING).await,
+                Err(PublisherError::HistoryUnavailable) => since = None,
+                Err(PublisherError::NoConfiguration) => self.absent(ABSENT_WATCHING).await,
                 Err(why) => {
                     self.troubled(&why);
                     wait = WAIT_IN_TROUBLE;
@@ -212,7 +212,7 @@
         }
     }
 
-    async fn read_sample(&self) -> Result<Position, Trouble> {
+    async fn read_sample(&self) -> Result<Position, PublisherError> {
         let sample = self.publisher.sample(Freshness::Stale, rand::rng().random()).await?;
         let position = sample.position;
         if position.is_known() {
@@ -224,7 +224,7 @@
     }
 
     /// Reads until that succeeds or others have told.
-    async fn try_until_told<F: Future<Output = Result<Position, Trouble>>>(&self, read: impl Fn() -> F) {
+    async fn try_until_told<F: Future<Output = Result<Position, PublisherError>>>(&self, read: impl Fn() -> F) {
         let mut pause = PAUSE_LEAST;
         while !self.told() {
             match read().await {
@@ -232,7 +232,7 @@
                     self.calm();
                     return;
                 }
-                Err(Trouble::Absent) => {
+                Err(PublisherError::NoConfiguration) => {
                     self.absent(if self.watches() { ABSENT_WATCHING } else { ABSENT }).await;
                 }
                 Err(why) => {
@@ -282,21 +282,21 @@
         Some(position).filter(|position| position.is_known())
     }
 
-    async fn step(&self, since: Option<Position>, wait: Duration) -> Result<Position, Trouble> {
+    async fn step(&self, since: Option<Position>, wait: Duration) -> Result<Position, PublisherError> {
         match since {
             None => self.read(Freshness::Newest).await,
             Some(since) => self.watch(since, wait).await,
         }
     }
 
-    async fn read(&self, freshness: Freshness) -> Result<Position, Trouble> {
+    async fn read(&self, freshness: Freshness) -> Result<Position, PublisherError> {
         match self.subject {
             Subject::Orders => {
                 let orders = self.publisher.orders(freshness).await?;
                 let position = orders.evacuations.position;
                 self.refuse_former(position)?;
                 self.knowledge.offer_evacuations(orders.evacuations, Origin::Publisher);
-                let bytes = orders.table.ok_or(Trouble::Absent)?;
+                let bytes = orders.table.ok_or(PublisherError::NoConfiguration)?;
                 self.take_table(Some(&bytes), position);
                 Ok(position)
             }
@@ -310,7 +310,7 @@
         }
     }
 
-    async fn watch(&self, since: Position, wait: Duration) -> Result<Position, Trouble> {
+    async fn watch(&self, since: Position, wait: Duration) -> Result<Position, PublisherError> {
         let update = self.publisher.watch(self.subject, since, wait).await?;
         if self.subject == Subject::Orders {
             self.take_table(update.table.as_deref(), update.position);
@@ -321,21 +321,21 @@
             let changes = update.changes.into_iter().map(|change| if away { lapsed(change) } else { change }).collect();
             self.knowledge.offer_changes(changes, update.position, Origin::Publisher);
             self.calm();
-            let second = *self.watching.borrow() == Watch::Second;
+            let second = *self.watching.borrow() == WatchRole::Secondary;
             actix_rt::time::sleep(if second { GATHER_SECOND } else { GATHER }).await;
         }
         Ok(update.position)
     }
 
     /// What was read in an era before the one that is known is over: a late answer, or a replica's that is behind.
-    fn refuse_former(&self, read: Position) -> Result<(), Trouble> {
+    fn refuse_former(&self, read: Position) -> Result<(), PublisherError> {
         let holding = self.knowledge.holding();
         let known = match self.subject {
             Subject::Orders => holding.evacuations.position,
             Subject::Directory => holding.directory,
         };
         if read.era < known.era {
-            return Err(Trouble::Garbled(format!("read at {read}, known at {known}")));
+            return Err(PublisherError::Malformed(format!("read at {read}, known at {known}")));
         }
         Ok(())
     }
@@ -347,7 +347,7 @@
         }
     }
 
-    fn troubled(&self, why: &Trouble) {
+    fn troubled(&self, why: &PublisherError) {
         if self.subject == Subject::Directory {
             self.troubles.note_away(true);
         }
--- a/crates/cleatshelf/src/router/knowledge.rs
+++ b/crates/cleatshelf/src/router/knowledge.rs
@@ -1,7 +1,7 @@
 //! What this box knows of the configuration and the servers, and where it got it from.
 
 use super::packing::{decode, encode, pack, unpack};
-use peers::{Holding, Millis};
+use peers::{KnownVersions, Millis};
 use relay::{Shared, View};
 use routing::{Change, Digests, Directory, Evacuations, Excerpt, Position, Publisher, Subject, Table};
 use std::cell::RefCell;
@@ -80,7 +80,7 @@
 impl State {
     /// Notes since when servers are lapsed.
     fn note_lapses(&mut self, now: Millis) {
-        let lapsed = &self.directory.lapsed;
+        let lapsed = &self.directory.in_grace;
         self.lapsed.retain(|id, _| lapsed.contains(id));
         for id in lapsed {
             self.lapsed.entry(id.clone()).or_insert(now);
@@ -142,7 +142,7 @@
             evacuations.held.clear();
         }
         let former = state.evacuations.position;
-        let changed = state.evacuations.take(evacuations);
+        let changed = state.evacuations.merge(evacuations);
         if state.evacuations.position.restored_since(former) {
             let held = list(state.evacuations.held.iter().cloned());
             let held = format!("held={held}");
@@ -155,7 +155,7 @@
     /// Takes which evacuations began (true) or ended up to a position of the publisher, on top of what is known.
     pub(super) fn change_evacuations(&self, changes: Vec<(String, bool)>, position: Position) {
         let mut state = self.state.borrow_mut();
-        let changed = state.evacuations.change(changes, position);
+        let changed = state.evacuations.apply(changes, position);
         self.evacuations_changed(&mut state, changed, Origin::Publisher);
     }
 
@@ -166,7 +166,7 @@
             return;
         }
         let position = state.evacuations.position;
-        let halls = list(state.evacuations.evacuated().into_iter());
+        let halls = list(state.evacuations.evacuated_halls().into_iter());
         telemetry::emit(Event::HallsEvacuated, format_args!("position={position} halls={halls} from={origin:?}"));
         self.put_in_force(state);
         // The next heartbeat carries them, and is due at once.
@@ -181,7 +181,7 @@
             return;
         }
         state.released = state.evacuations.position.era;
-        let changed = state.evacuations.release();
+        let changed = state.evacuations.drop_held();
         self.evacuations_changed(&mut state, changed, Origin::Lapse);
     }
 
@@ -204,12 +204,12 @@
         }
         let restored = directory.position.restored_since(state.directory.position);
         // What this box has let go, or never had, doesn't come back for having lapsed.
-        let lapsed: Vec<String> = directory.lapsed.iter().cloned().collect();
+        let lapsed: Vec<String> = directory.in_grace.iter().cloned().collect();
         for id in lapsed.iter().filter(|id| !state.directory.servers.contains_key(*id)) {
             directory.expire(id);
         }
         if was_away || restored {
-            directory.lapse_missing(&state.directory);
+            directory.retain_missing(&state.directory);
         }
         if restored {
             self.doubt(&directory, &state);
@@ -227,7 +227,7 @@
             News::Directory
         } else {
             let (since, until) = (former.position, state.directory.position);
-            News::Changes { since, until, changes: state.directory.since(&former) }
+            News::Changes { since, until, changes: state.directory.changes_since(&former) }
         };
         self.tell(&mut state, news);
     }
@@ -238,7 +238,7 @@
         if state.directory.position.is_known() {
             return;
         }
-        if state.directory.extend(sample) {
+        if state.directory.merge_sample(sample) {
             self.servers_changed(&state, Origin::Publisher);
         }
     }
@@ -265,8 +265,8 @@
     /// Lives that only an older copy of the list has may have ended: they wait until their entries have had the time to go.
     fn doubt(&self, copy: &Directory, state: &State) {
         let former = &state.directory;
-        let doubted = copy.lives_beyond(former);
-        let kept = format!("lapsed={} doubted={}", list(copy.lapsed.iter().cloned()), list(doubted.iter().cloned()));
+        let doubted = copy.new_instances(former);
+        let kept = format!("lapsed={} doubted={}", list(copy.in_grace.iter().cloned()), list(doubted.iter().cloned()));
         self.log_restored(Subject::Directory, (former.position, state.heard), copy.position, &kept);
         self.shared.placement().mark_unconfirmed(&doubted, self.shared.now() + DOUBT);
     }
@@ -297,7 +297,7 @@
             Ok(excerpt) => {
                 let known = self.directory();
                 let known = if known.position.is_known() { known } else { Directory::default() };
-                let list = known.with(excerpt);
+                let list = known.with_excerpt(excerpt);
                 // Made for what this box has no more: the next heartbeat leads to another question.
                 let Some(list) = list else { return };
                 self.offer_directory(list, Origin::Peer, false);
@@ -315,7 +315,7 @@
             return;
         }
         self.trust(&changes);
-        let changes = state.directory.news_of(changes);
+        let changes = state.directory.changes_to_forward(changes);
         let changed = state.directory.apply(changes.clone(), until);
         state.excerpt = None;
         state.note_lapses(self.shared.now());
@@ -389,14 +389,14 @@
     }
 
     /// How new this box's knowledge is.
-    pub(super) fn holding(&self) -> Holding {
+    pub(super) fn holding(&self) -> KnownVersions {
         let state = self.state.borrow();
         let table = state.table.as_ref().map_or(0, |(table, _)| table.version);
         let evacuations = state.evacuations.clone();
         let suspects = self.shared.quarantine().digest(self.shared.now());
         let notices = self.shared.placement().notices_digest();
         let directory = state.directory.position;
-        Holding { table, table_until: state.table_until, directory, evacuations, suspects, notices }
+        KnownVersions { table, table_until: state.table_until, directory, evacuations, suspects, notices }
     }
 
     /// The configuration in force as it was published, packed.
--- a/crates/cleatshelf/src/router/peering.rs
+++ b/crates/cleatshelf/src/router/peering.rs
@@ -4,7 +4,7 @@
 use super::follow::Troubles;
 use super::knowledge::{Knowledge, News, Origin};
 use super::packing::encode;
-use peers::{Action, Message, Millis, Peers, Watch};
+use peers::{Action, Message, Millis, Peers, WatchRole};
 use placement::{LimitUpdate, LivenessEvidence};
 use relay::Shared;
 use serde::{Deserialize, Serialize};
@@ -66,7 +66,7 @@
     key: Key,
     peers: RefCell<Peers>,
     links: RefCell<HashMap<SocketAddr, Link<Envelope>>>,
-    watching: watch::Sender<Watch>,
+    watching: watch::Sender<WatchRole>,
     advice: Arc<Advice>,
     /// Which boxes, and whether they were settled, placement and advice were told of last.
     taken: Cell<Option<(u64, bool)>>,
@@ -84,7 +84,7 @@
     pub(super) me: SocketAddr,
     pub(super) key: Key,
     /// Tells the followers what this box is to watch as.
-    pub(super) watching: watch::Sender<Watch>,
+    pub(super) watching: watch::Sender<WatchRole>,
     pub(super) advice: Arc<Advice>,
 }
 
@@ -149,8 +149,8 @@
         while let Some((to, message)) = sent.recv().await {
             let boxes = match to {
                 To::One(to) => vec![to],
-                To::Each => self.peers.borrow().others().collect(),
-                To::All => self.peers.borrow().tell(None, self.shared.now()),
+                To::Each => self.peers.borrow().other_boxes().collect(),
+                To::All => self.peers.borrow().forward_targets(None, self.shared.now()),
             };
             self.send_to(&boxes, &Envelope::Advice(message));
         }
@@ -163,7 +163,7 @@
         if leaving.is_empty() && limits.is_empty() {
             return;
         }
-        let boxes = self.peers.borrow().tell(Some(from), self.shared.now());
+        let boxes = self.peers.borrow().forward_targets(Some(from), self.shared.now());
         self.send_to(&boxes, &Envelope::Advice(advice::Message::Notices { leaving, limits, asks: false }));
     }
 
@@ -185,14 +185,14 @@
         self.forget_unlisted();
         let actions = {
             let mut peers = self.peers.borrow_mut();
-            peers.hold(self.knowledge.holding());
-            peers.reach(self.troubles.none());
+            peers.set_known_versions(self.knowledge.holding());
+            peers.set_publisher_reachable(self.troubles.none());
             let mut actions: Vec<Action> = news.iter().flat_map(|news| spread(&peers, news)).collect();
             actions.extend(peers.tick(self.shared.now()));
             actions
         };
         self.carry_out(actions);
-        let watch = self.peers.borrow().watch(self.shared.now());
+        let watch = self.peers.borrow().watch_role(self.shared.now());
         self.watching.send_if_modified(|known| std::mem::replace(known, watch) != watch);
         self.take_boxes();
     }
@@ -205,7 +205,7 @@
         }
         self.forgot.set(now);
         let directory = self.knowledge.directory();
-        let lives = directory.lives();
+        let lives = directory.instances();
         self.advice.retain(&lives);
         self.shared.quarantine().retain_servers(|id| lives.contains(id));
     }
@@ -234,7 +234,7 @@
                         self.send(to, &Envelope::Peers(Message::Table(bytes.to_vec())));
                     }
                 }
-                Action::AskDirectory(to) => {
+                Action::RequestDirectory(to) => {
                     let digests = self.knowledge.digests();
                     self.send(to, &Envelope::Peers(Message::Lacking(digests)));
                 }
@@ -243,9 +243,9 @@
                         self.send(to, &Envelope::Peers(Message::Excerpt(packed.to_vec())));
                     }
                 }
-                Action::ShareSuspects(to) => self.send_suspects(to, Vec::new(), true),
-                Action::ShareNotices(to) => self.send_notices(to, true),
-                Action::Watch(watching) => {
+                Action::SyncSuspects(to) => self.send_suspects(to, Vec::new(), true),
+                Action::SyncNotices(to) => self.send_notices(to, true),
+                Action::SetWatching(watching) => {
                     telemetry::emit(Event::WatchRole, format_args!("watching={watching}"));
                 }
                 Action::Table(packed) => self.knowledge.offer_packed(&packed),
@@ -255,18 +255,18 @@
                 Action::Changes(packed, until) => self.knowledge.offer_packed_changes(&packed, until),
             }
         }
-        self.peers.borrow_mut().hold(self.knowledge.holding());
+        self.peers.borrow_mut().set_known_versions(self.knowledge.holding());
     }
 
     /// Tells placement and advice of the boxes known, where others are known than before.
     fn take_boxes(&self) {
         let peers = self.peers.borrow();
-        let now = (peers.generation(), peers.settled());
+        let now = (peers.generation(), peers.has_converged());
         if self.taken.replace(Some(now)) == Some(now) {
             return;
         }
-        self.shared.placement().set_box_count(peers.boxes());
-        self.advice.set_boxes(peers.list(), peers.settled());
+        self.shared.placement().set_box_count(peers.box_count());
+        self.advice.set_boxes(peers.members(), peers.has_converged());
     }
 
     /// Tells a box which requests are held, or were found innocent, and which servers live; `asks` for what that one knows.
@@ -297,13 +297,13 @@
 
 /// What a watcher tells its hall; others have nobody to tell, and pack nothing.
 fn spread(peers: &Peers, news: &News) -> Vec<Action> {
-    if !peers.watching() {
+    if !peers.is_watching() {
         return Vec::new();
     }
     match news {
-        News::Table => peers.spread_table(),
+        News::Table => peers.broadcast_table(),
         // The next heartbeat says that it is there.
         News::Directory => Vec::new(),
-        News::Changes { since, until, changes } => peers.spread_changes(*since, *until, &encode(changes)),
+        News::Changes { since, until, changes } => peers.broadcast_changes(*since, *until, &encode(changes)),
     }
 }
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -9,7 +9,7 @@
 use super::Settings;
 use clock::Clock;
 use eyre::WrapErr;
-use peers::{Peers, Profile, Watch};
+use peers::{Peers, Profile, WatchRole};
 use placement::{Placement, RetryBudget};
 use relay::{Frontend, ReadinessServer, Shared};
 use routing::{rank, Publisher, Subject};
@@ -127,7 +127,7 @@
     let publisher: Rc<dyn Publisher> = Rc::new(platform::Store::new(settings.publisher));
     let knowledge = Rc::new(Knowledge::new(Arc::clone(shared), Rc::clone(&publisher)));
     let troubles = Rc::new(Troubles::default());
-    let (watching, _) = watch::channel(Watch::Off);
+    let (watching, _) = watch::channel(WatchRole::Off);
     for subject in [Subject::Orders, Subject::Directory] {
         let follower = Follower {
             publisher: Rc::clone(&publisher),
--- a/crates/cleatshelf/src/router/settings.rs
+++ b/crates/cleatshelf/src/router/settings.rs
@@ -3,7 +3,7 @@
 use crate::settings::{address, check_link_key};
 use catalog::{Fault, TableReader};
 use placement::ColdAllowance;
-use routing::Regions;
+use routing::HallRegions;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
     /// What all boxes may send to a server that has just started, or turned cold.
     pub cold: ColdAllowance,
     /// The region of each hall. A request that may run in some regions only is not sent to halls that aren't named.
-    pub regions: Regions,
+    pub regions: HallRegions,
 }
 
 fn capacity(reader: &mut TableReader<'_>) -> u32 {
@@ -61,7 +61,7 @@
     }
 }
 
-fn regions(reader: &mut TableReader<'_>) -> Regions {
+fn regions(reader: &mut TableReader<'_>) -> HallRegions {
     reader.tables("halls", |hall| (hall.name("name"), hall.name("region"))).into_iter().collect()
 }
 
--- a/crates/feed/src/http.rs
+++ b/crates/feed/src/http.rs
@@ -1,6 +1,6 @@
 //! The platform over HTTP.
 
-use crate::{Listing, Source, Trouble, Value};
+use crate::{MemberList, Source, SourceError, Value};
 use async_trait::async_trait;
 use awc::http::StatusCode;
 use awc::Client;
@@ -24,7 +24,7 @@
 const REVISION: &str = "revision";
 
 /// Reads `/v1/values/KEY`, `/v1/watch/KEY?since=N&wait_ms=N` and `/v1/members`.
-pub struct Http {
+pub struct HttpSource {
     client: Client,
     config: SocketAddr,
     members: SocketAddr,
@@ -54,7 +54,7 @@
     leaving: bool,
 }
 
-impl Http {
+impl HttpSource {
     /// The configuration service at `config`, the membership list at `members`.
     #[must_use]
     pub fn new(config: SocketAddr, members: SocketAddr) -> Self {
@@ -62,13 +62,13 @@
         Self { client, config, members }
     }
 
-    async fn read(&self, url: &str, most: Duration) -> Result<Option<Value>, Trouble> {
-        let unreachable = |e: &dyn std::fmt::Display| Trouble::Unreachable(e.to_string());
+    async fn read(&self, url: &str, most: Duration) -> Result<Option<Value>, SourceError> {
+        let unreachable = |e: &dyn std::fmt::Display| SourceError::Unreachable(e.to_string());
         let response = self.client.get(url).timeout(most).send().await.map_err(|e| unreachable(&e))?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND | StatusCode::NO_CONTENT => return Ok(None),
-            status => return Err(Trouble::Unreachable(format!("status {status}"))),
+            status => return Err(SourceError::Unreachable(format!("status {status}"))),
         }
         let mut response = response.timeout(most);
         let revision = response.headers().get(REVISION).and_then(|v| v.to_str().ok()?.parse().ok());
@@ -78,21 +78,22 @@
 }
 
 #[async_trait(?Send)]
-impl Source for Http {
-    async fn get(&self, key: &str) -> Result<Option<Value>, Trouble> {
+impl Source for HttpSource {
+    async fn get(&self, key: &str) -> Result<Option<Value>, SourceError> {
         self.read(&format!("http://{}/v1/values/{key}", self.config), ANSWER_MOST).await
     }
 
-    async fn watch(&self, key: &str, since: u64) -> Result<Option<Value>, Trouble> {
+    async fn watch(&self, key: &str, since: u64) -> Result<Option<Value>, SourceError> {
         let url = format!("http://{}/v1/watch/{key}?since={since}&wait_ms={WATCH_MS}", self.config);
         self.read(&url, WATCH_MOST).await
     }
 
-    async fn listing(&self) -> Result<Listing, Trouble> {
+    async fn member_list(&self) -> Result<MemberList, SourceError> {
         let url = format!("http://{}/v1/members", self.members);
         let value = self.read(&url, ANSWER_MOST).await?.unwrap_or(Value { revision: 0, bytes: Vec::new() });
-        let members: Members = serde_json::from_slice(&value.bytes).map_err(|e| Trouble::Garbled(e.to_string()))?;
-        Ok(Listing {
+        let members: Members =
+            serde_json::from_slice(&value.bytes).map_err(|e| SourceError::Malformed(e.to_string()))?;
+        Ok(MemberList {
             revision: members.revision,
             boxes: members.boxes.into_iter().map(|b| (b.peer, b.leaving)).collect(),
             upstreams: members.upstreams.iter().map(|u| (ServerId::of(&u.name), u.leaving)).collect(),
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,13 +1,13 @@
 //! What the platform publishes, read only: the configuration service, the membership list.
 //!
-//! The traits stand where an operator's own platform plugs in; [`Http`] is the one we ship. Nothing
+//! The traits stand where an operator's own platform plugs in; [`HttpSource`] is the one we ship. Nothing
 //! here writes to the platform, and each call is counted against a budget of the box. What a release
 //! or a member means is decided elsewhere (`catalog`, `fleet`).
 
-mod allowance;
+mod call_budget;
 mod http;
 mod source;
 
-pub use allowance::Allowance;
-pub use http::Http;
-pub use source::{Listing, Source, Trouble, Value, MANIFEST};
+pub use call_budget::CallBudget;
+pub use http::HttpSource;
+pub use source::{MemberList, Source, SourceError, Value, MANIFEST_KEY};
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -5,7 +5,7 @@
 use fleet::Peer;
 
 /// The key under which operators publish the manifest. A part stands under `part/DIGEST`.
-pub const MANIFEST: &str = "manifest";
+pub const MANIFEST_KEY: &str = "manifest";
 
 /// A value of the configuration service.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 
 /// The membership list as last published. It lags.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Listing {
+pub struct MemberList {
     /// Rises with each change.
     pub revision: u64,
     /// Boxes, and whether each is leaving.
@@ -29,23 +29,23 @@
 
 /// Why the platform gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum SourceError {
     /// It did not answer, or not in time.
     Unreachable(String),
     /// It answered something that makes no sense.
-    Garbled(String),
+    Malformed(String),
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for SourceError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "unreachable: {why}"),
-            Self::Garbled(why) => write!(f, "garbled: {why}"),
+            Self::Malformed(why) => write!(f, "garbled: {why}"),
         }
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for SourceError {}
 
 /// What the platform publishes, read only.
 #[async_trait(?Send)]
@@ -53,18 +53,18 @@
     /// The value under `key`, if there is one.
     ///
     /// # Errors
-    /// [`Trouble`] when the platform gives no usable answer.
-    async fn get(&self, key: &str) -> Result<Option<Value>, Trouble>;
+    /// [`SourceError`] when the platform gives no usable answer.
+    async fn get(&self, key: &str) -> Result<Option<Value>, SourceError>;
 
     /// Waits until `key` has a revision above `since`; none when the platform's time for that is over.
     ///
     /// # Errors
-    /// [`Trouble`] when the platform gives no usable answer.
-    async fn watch(&self, key: &str, since: u64) -> Result<Option<Value>, Trouble>;
+    /// [`SourceError`] when the platform gives no usable answer.
+    async fn watch(&self, key: &str, since: u64) -> Result<Option<Value>, SourceError>;
 
     /// The membership list.
     ///
     /// # Errors
-    /// [`Trouble`] when the platform gives no usable answer.
-    async fn listing(&self) -> Result<Listing, Trouble>;
+    /// [`SourceError`] when the platform gives no usable answer.
+    async fn member_list(&self) -> Result<MemberList, SourceError>;
 }
--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -10,17 +10,17 @@
     /// Send this to that box.
     Send(BoxId, Message),
     /// The boxes that are alive changed: ask for the new view.
-    View,
+    ViewChanged,
     /// A server is leaving, or is back.
     Upstream(ServerId, bool),
     /// Let this change ride along on probes.
-    Spread(Change),
+    Gossip(Change),
     /// Another box refused a release, for this reason: to be shown here as well.
-    Refused(ReleaseId, String),
+    RefusedElsewhere(ReleaseId, String),
     /// This release is in force from now on.
     Adopt(Box<Release>, Box<Catalog>),
     /// Get these parts from the platform, for a manifest that it offered.
     Fetch(Vec<Digest>),
     /// Log this.
-    Note(Event, String),
+    Log(Event, String),
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,6 +1,6 @@
 //! Who is alive: probes in turn, help from others before a suspicion, and changes that ride along.
 
-use crate::rumour::Rumours;
+use crate::gossip::GossipQueue;
 use crate::{Action, Change, Member, Message, Peer, State};
 use catalog::{BoxId, ReleaseId, ServerId};
 use policy::Time;
@@ -18,24 +18,31 @@
 
 /// The times of probing.
 #[derive(Clone, Copy, Debug)]
-pub struct Timing {
+pub struct ProbeTiming {
     /// Between two probes, in milliseconds.
     pub interval_ms: u64,
     /// Until others are asked to help, in milliseconds.
-    pub ack_ms: u64,
+    pub ack_timeout_ms: u64,
     /// Until a box is suspect although others tried, in milliseconds after the probe.
-    pub suspect_ms: u64,
+    pub suspect_timeout_ms: u64,
     /// From suspect to dead, in milliseconds.
-    pub dead_ms: u64,
+    pub dead_timeout_ms: u64,
     /// After waking from a pause nobody unheard is suspected for this long, in milliseconds.
-    pub distrust_ms: u64,
+    pub wake_grace_ms: u64,
     /// After the start nobody unheard is suspected for this long, in milliseconds: links are still being made.
-    pub start_ms: u64,
+    pub start_grace_ms: u64,
 }
 
-impl Default for Timing {
+impl Default for ProbeTiming {
     fn default() -> Self {
-        Self { interval_ms: 250, ack_ms: 200, suspect_ms: 500, dead_ms: 600, distrust_ms: 1_000, start_ms: 5_000 }
+        Self {
+            interval_ms: 250,
+            ack_timeout_ms: 200,
+            suspect_timeout_ms: 500,
+            dead_timeout_ms: 600,
+            wake_grace_ms: 1_000,
+            start_grace_ms: 5_000,
+        }
     }
 }
 
@@ -47,9 +54,9 @@
 }
 
 /// Who is alive, as this box sees it.
-pub struct Probe {
+pub struct FailureDetector {
     me: Peer,
-    timing: Timing,
+    timing: ProbeTiming,
     incarnation: u32,
     leaving: bool,
     members: BTreeMap<BoxId, Member>,
@@ -61,7 +68,7 @@
     outstanding: BTreeMap<u32, Outstanding>,
     /// Pings made for others: who asked, and their number.
     helping: BTreeMap<u32, (BoxId, u32)>,
-    rumours: Rumours,
+    gossip: GossipQueue,
     probed: Time,
     ticked: Time,
     trust_after: Time,
@@ -69,10 +76,10 @@
     out: Vec<Action>,
 }
 
-impl Probe {
+impl FailureDetector {
     /// A box that knows `peers` from its settings. `incarnation` must rise with each start.
     #[must_use]
-    pub fn new(me: Peer, peers: &[Peer], incarnation: u32, timing: Timing, now: Time) -> Self {
+    pub fn new(me: Peer, peers: &[Peer], incarnation: u32, timing: ProbeTiming, now: Time) -> Self {
         let random = ChaCha8Rng::seed_from_u64(u64::from(me.id().0) ^ u64::from(incarnation));
         let mut probe = Self {
             me,
@@ -86,17 +93,17 @@
             count: 0,
             outstanding: BTreeMap::new(),
             helping: BTreeMap::new(),
-            rumours: Rumours::default(),
+            gossip: GossipQueue::default(),
             probed: Time(0),
             ticked: now,
-            trust_after: now.after(timing.start_ms),
+            trust_after: now.after(timing.start_grace_ms),
             random,
             out: Vec::new(),
         };
         for peer in peers {
             probe.add(peer.clone(), 0, now);
         }
-        probe.members.values_mut().for_each(|m| m.fixed = true);
+        probe.members.values_mut().for_each(|m| m.address_fixed = true);
         probe.spread_self();
         probe
     }
@@ -107,45 +114,45 @@
         }
         if let Some(known) = self.members.get_mut(&peer.id()) {
             // A younger life may have come up elsewhere; links are made to where it says it is.
-            if !known.fixed && incarnation > known.incarnation {
+            if !known.address_fixed && incarnation > known.incarnation {
                 known.peer = peer;
             }
             return;
         }
         let member = Member {
-            fixed: false,
+            address_fixed: false,
             state: State::Alive,
             incarnation,
             since: now,
-            heard: false,
-            heard_at: Time(0),
+            contacted: false,
+            last_contact: Time(0),
             peer,
         };
         self.members.insert(member.peer.id(), member);
-        self.out.push(Action::View);
+        self.out.push(Action::ViewChanged);
     }
 
     fn spread_self(&mut self) {
         let state = if self.leaving { State::Leaving } else { State::Alive };
         let change =
             Change::Box { id: self.me.id(), state, incarnation: self.incarnation, peer: Some(self.me.clone()) };
-        self.spread(change);
+        self.gossip(change);
     }
 
     /// Lets a change ride along on probes.
-    pub fn spread(&mut self, change: Change) {
+    pub fn gossip(&mut self, change: Change) {
         // This box, and one that is perhaps not known yet.
-        self.rumours.push(change, self.members.len() + 2);
+        self.gossip.push(change, self.members.len() + 2);
     }
 
     // ------------------------------------------------------------------------
     // What others say
 
     /// A box was heard from, whatever it said.
-    pub fn heard(&mut self, from: BoxId, now: Time) {
+    pub fn record_contact(&mut self, from: BoxId, now: Time) {
         let Some(member) = self.members.get_mut(&from) else { return };
-        member.heard = true;
-        member.heard_at = now;
+        member.contacted = true;
+        member.last_contact = now;
         if member.state != State::Suspect && member.state != State::Dead {
             return;
         }
@@ -155,23 +162,23 @@
         member.since = now;
         if died {
             let detail = format!("box={}", member.peer.name);
-            self.out.push(Action::Note(Event::PeerAlive, detail));
-            self.out.push(Action::View);
+            self.out.push(Action::Log(Event::PeerAlive, detail));
+            self.out.push(Action::ViewChanged);
         }
     }
 
-    /// A message about who is alive came in. Messages about releases are left to [`crate::Spread`].
-    pub fn receive(&mut self, from: BoxId, message: &Message, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
+    /// A message about who is alive came in. Messages about releases are left to [`crate::ReleaseSync`].
+    pub fn on_message(&mut self, from: BoxId, message: &Message, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
         match message {
             Message::Ping { number, changes, .. } => {
                 self.take_in(changes, now);
-                self.heard(from, now);
-                let changes = self.rumours.take();
+                self.record_contact(from, now);
+                let changes = self.gossip.take();
                 self.out.push(Action::Send(from, Message::Ack { number: *number, order, changes }));
             }
             Message::Ack { number, changes, .. } => {
                 self.take_in(changes, now);
-                self.heard(from, now);
+                self.record_contact(from, now);
                 self.outstanding.remove(number);
                 if let Some((asker, theirs)) = self.helping.remove(number) {
                     self.out.push(Action::Send(asker, Message::AckFor(theirs, from)));
@@ -180,13 +187,13 @@
             Message::PingFor(theirs, target) => {
                 let number = self.next_number();
                 self.helping.insert(number, (from, *theirs));
-                let changes = self.rumours.take();
+                let changes = self.gossip.take();
                 self.out.push(Action::Send(*target, Message::Ping { number, order, changes }));
             }
             Message::AckFor(number, _) => {
                 self.outstanding.remove(number);
             }
-            _ => self.heard(from, now),
+            _ => self.record_contact(from, now),
         }
         std::mem::take(&mut self.out)
     }
@@ -201,7 +208,7 @@
                     self.believe(*id, *state, *incarnation, now);
                 }
                 Change::Upstream { id, leaving, revision } => self.upstream(*id, *leaving, *revision),
-                Change::Refused { order, reason } => self.out.push(Action::Refused(*order, reason.clone())),
+                Change::Refused { order, reason } => self.out.push(Action::RefusedElsewhere(*order, reason.clone())),
             }
         }
     }
@@ -214,7 +221,7 @@
         let Some(member) = self.members.get_mut(&id) else { return };
         let newer = (incarnation, state) > (member.incarnation, member.state);
         // What was just heard directly beats what others believe of the same life.
-        let just_heard = member.heard && now.since(member.heard_at) < self.timing.suspect_ms;
+        let just_heard = member.contacted && now.since(member.last_contact) < self.timing.suspect_timeout_ms;
         let contradicted = just_heard && incarnation == member.incarnation && state != State::Leaving;
         if !newer || contradicted {
             return;
@@ -222,7 +229,7 @@
         member.incarnation = incarnation;
         let change = Change::Box { id, state, incarnation, peer: Some(member.peer.clone()) };
         self.enter(id, state, now);
-        self.spread(change);
+        self.gossip(change);
     }
 
     /// Others believe something wrong of this box: say so, with a higher incarnation.
@@ -248,8 +255,8 @@
             State::Dead => Event::PeerDead,
             State::Leaving => Event::PeerLeaving,
         };
-        self.out.push(Action::Note(event, format!("box={}", member.peer.name)));
-        self.out.push(Action::View);
+        self.out.push(Action::Log(event, format!("box={}", member.peer.name)));
+        self.out.push(Action::ViewChanged);
     }
 
     fn upstream(&mut self, id: ServerId, leaving: bool, revision: u64) {
@@ -260,7 +267,7 @@
         self.upstreams.insert(id, (revision, leaving));
         if known.is_none_or(|(_, was)| was != leaving) {
             self.out.push(Action::Upstream(id, leaving));
-            self.spread(Change::Upstream { id, leaving, revision });
+            self.gossip(Change::Upstream { id, leaving, revision });
         }
     }
 
@@ -271,7 +278,7 @@
     ///
     /// The list lags. It adds boxes and it says who is leaving; it never brings back a box that
     /// doesn't answer, and a box that it no longer names stays while it answers.
-    pub fn listed(
+    pub fn on_member_list(
         &mut self,
         boxes: &[(Peer, bool)],
         upstreams: &[(ServerId, bool)],
@@ -297,7 +304,7 @@
         self.leaving = true;
         self.incarnation += 1;
         self.spread_self();
-        self.out.push(Action::View);
+        self.out.push(Action::ViewChanged);
         // This hall's boxes must all know at once; others learn it as they learn any change.
         let near = |m: &&Member| m.peer.hall == self.me.hall && m.state != State::Dead;
         let ids: Vec<BoxId> = self.members.values().filter(near).map(|m| m.peer.id()).collect();
@@ -325,14 +332,14 @@
 
     fn ping(&mut self, to: BoxId, order: Option<ReleaseId>, now: Time) {
         let number = self.next_number();
-        let changes = self.rumours.take();
+        let changes = self.gossip.take();
         self.outstanding.insert(number, Outstanding { to, sent: now, helped: false });
         self.out.push(Action::Send(to, Message::Ping { number, order, changes }));
     }
 
     /// The link to a box broke: don't wait for probes to find out.
-    pub fn unreachable(&mut self, id: BoxId, now: Time) -> Vec<Action> {
-        if self.members.get(&id).is_some_and(|m| m.heard) {
+    pub fn on_connection_lost(&mut self, id: BoxId, now: Time) -> Vec<Action> {
+        if self.members.get(&id).is_some_and(|m| m.contacted) {
             self.suspect(id, now);
         }
         std::mem::take(&mut self.out)
@@ -340,7 +347,7 @@
 
     /// Until a box that started or woke has heard from another one, that one's silence means little.
     fn may_suspect(&self, id: BoxId, now: Time) -> bool {
-        now >= self.trust_after || self.members.get(&id).is_some_and(|m| m.heard)
+        now >= self.trust_after || self.members.get(&id).is_some_and(|m| m.contacted)
     }
 
     fn suspect(&mut self, id: BoxId, now: Time) {
@@ -350,7 +357,7 @@
         }
         let change = Change::Box { id, state: State::Suspect, incarnation: member.incarnation, peer: None };
         self.enter(id, State::Suspect, now);
-        self.spread(change);
+        self.gossip(change);
     }
 
     /// Time has passed. `order` is the release in force here.
@@ -358,8 +365,8 @@
         if now.since(self.ticked) >= policy::PAUSE_THRESHOLD_MS {
             // It was this box that was away, so nobody's silence means anything.
             self.outstanding.clear();
-            self.trust_after = now.after(self.timing.distrust_ms);
-            self.members.values_mut().for_each(|m| m.heard = false);
+            self.trust_after = now.after(self.timing.wake_grace_ms);
+            self.members.values_mut().for_each(|m| m.contacted = false);
         }
         self.ticked = now;
         self.judge(now);
@@ -399,9 +406,9 @@
         let mut late = Vec::new();
         for (number, probe) in &mut self.outstanding {
             let waited = now.since(probe.sent);
-            if waited >= self.timing.suspect_ms {
+            if waited >= self.timing.suspect_timeout_ms {
                 late.push((*number, probe.to));
-            } else if waited >= self.timing.ack_ms && !probe.helped {
+            } else if waited >= self.timing.ack_timeout_ms && !probe.helped {
                 probe.helped = true;
                 help.push((*number, probe.to));
             }
@@ -427,11 +434,11 @@
     }
 
     fn bury(&mut self, now: Time) {
-        let old = |m: &&Member| m.state == State::Suspect && now.since(m.since) >= self.timing.dead_ms;
+        let old = |m: &&Member| m.state == State::Suspect && now.since(m.since) >= self.timing.dead_timeout_ms;
         let dead: Vec<(BoxId, u32)> = self.members.values().filter(old).map(|m| (m.peer.id(), m.incarnation)).collect();
         for (id, incarnation) in dead {
             self.enter(id, State::Dead, now);
-            self.spread(Change::Box { id, state: State::Dead, incarnation, peer: None });
+            self.gossip(Change::Box { id, state: State::Dead, incarnation, peer: None });
         }
     }
 
@@ -440,7 +447,7 @@
 
     /// Boxes that may own something, by hall: this one unless it is leaving, and all neither dead nor leaving.
     #[must_use]
-    pub fn boxes(&self) -> BTreeMap<String, Vec<BoxId>> {
+    pub fn eligible_boxes(&self) -> BTreeMap<String, Vec<BoxId>> {
         let mut halls: BTreeMap<String, Vec<BoxId>> = BTreeMap::new();
         if !self.leaving {
             halls.entry(self.me.hall.clone()).or_default().push(self.me.id());
@@ -455,15 +462,15 @@
 
     /// Boxes of this hall that are leaving: they own nothing, but may still hold leases.
     #[must_use]
-    pub fn leaving(&self) -> Vec<BoxId> {
+    pub fn leaving_boxes(&self) -> Vec<BoxId> {
         let near = |m: &&Member| m.peer.hall == self.me.hall && m.state == State::Leaving;
         self.members.values().filter(near).map(|m| m.peer.id()).collect()
     }
 
     /// True while some box of this hall has neither answered nor been found dead or leaving.
     #[must_use]
-    pub fn is_waiting(&self) -> bool {
-        let open = |m: &Member| !m.heard && matches!(m.state, State::Alive | State::Suspect);
+    pub fn has_uncontacted_peers(&self) -> bool {
+        let open = |m: &Member| !m.contacted && matches!(m.state, State::Alive | State::Suspect);
         self.members.values().any(|m| m.peer.hall == self.me.hall && open(m))
     }
 
@@ -479,11 +486,11 @@
     }
 
     /// Some living boxes, this hall's first, to hand a new release to.
-    pub fn some_alive(&mut self, most: usize) -> Vec<BoxId> {
+    pub fn random_alive(&mut self, max: usize) -> Vec<BoxId> {
         let alive = self.members.values().filter(|m| m.state == State::Alive);
         let mut ids: Vec<(bool, u32, BoxId)> = alive.map(|m| (m.peer.hall != self.me.hall, 0, m.peer.id())).collect();
         ids.iter_mut().for_each(|id| id.1 = self.random.random());
         ids.sort_unstable();
-        ids.into_iter().take(most).map(|(_, _, id)| id).collect()
+        ids.into_iter().take(max).map(|(_, _, id)| id).collect()
     }
 }
--- a/crates/fleet/src/rumour.rs
+++ b/crates/fleet/src/gossip.rs
@@ -10,7 +10,7 @@
 const TIMES: u32 = 3;
 
 #[derive(Clone, Debug)]
-struct Rumour {
+struct GossipUpdate {
     change: Change,
     /// How often it is still to be told; above 0.
     left: u32,
@@ -18,17 +18,17 @@
 
 /// Changes that still have to be told.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Rumours {
+pub(crate) struct GossipQueue {
     /// At most one for each thing that changes.
-    queue: VecDeque<Rumour>,
+    queue: VecDeque<GossipUpdate>,
 }
 
-impl Rumours {
+impl GossipQueue {
     /// Takes in a change, in a fleet of so many boxes; it replaces what was told of the same thing.
     pub(crate) fn push(&mut self, change: Change, boxes: usize) {
-        self.queue.retain(|rumour| !same_thing(&rumour.change, &change));
+        self.queue.retain(|update| !same_thing(&update.change, &change));
         let doublings = usize::BITS - boxes.leading_zeros();
-        self.queue.push_front(Rumour { change, left: TIMES * doublings });
+        self.queue.push_front(GossipUpdate { change, left: TIMES * doublings });
     }
 
     /// What rides along on the next probe.
@@ -36,15 +36,15 @@
     /// The changes that were told least go first, so that news isn't held up by what is nearly old.
     pub(crate) fn take(&mut self) -> Vec<Change> {
         if self.queue.len() > CHANGES_MOST {
-            self.queue.make_contiguous().sort_by_key(|rumour| std::cmp::Reverse(rumour.left));
+            self.queue.make_contiguous().sort_by_key(|update| std::cmp::Reverse(update.left));
         }
         let told = self.queue.iter_mut().take(CHANGES_MOST);
-        let taken = told.map(|rumour| {
-            rumour.left -= 1;
-            rumour.change.clone()
+        let taken = told.map(|update| {
+            update.left -= 1;
+            update.change.clone()
         });
         let taken = taken.collect();
-        self.queue.retain(|rumour| rumour.left > 0);
+        self.queue.retain(|update| update.left > 0);
         taken
     }
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -43,7 +43,7 @@
     /// Who it is.
     pub peer: Peer,
     /// The settings name its address, which no news changes.
-    pub fixed: bool,
+    pub address_fixed: bool,
     /// What is believed of it.
     pub state: State,
     /// Rises each time the box starts or speaks up against a wrong belief; only the box raises it.
@@ -51,7 +51,7 @@
     /// When `state` was entered.
     pub since: Time,
     /// It was heard from directly since this box started or woke.
-    pub heard: bool,
+    pub contacted: bool,
     /// When it was last heard from directly.
-    pub heard_at: Time,
+    pub last_contact: Time,
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -32,13 +32,13 @@
     Refused {
         /// Where it stands among others.
         order: ReleaseId,
-        /// The first of its faults, cut to [`REASON_MOST`] characters.
+        /// The first of its faults, cut to [`MAX_REASON_CHARS`] characters.
         reason: String,
     },
 }
 
 /// Longest reason for a refused release that is told to others, in characters.
-pub const REASON_MOST: usize = 160;
+pub const MAX_REASON_CHARS: usize = 160;
 
 /// How one manifest differs from an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/release_sync.rs
@@ -1,13 +1,13 @@
 //! Releases: from the platform to few boxes, from them to all, and never back.
 
-use crate::{Action, Change, Delta, Message, REASON_MOST};
+use crate::{Action, Change, Delta, Message, MAX_REASON_CHARS};
 use catalog::{BoxId, Digest, Manifest, ParseCache, Release, ReleaseId};
 use policy::Time;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use telemetry::Event;
 
 /// Boxes of a hall that hold the platform's watch.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_HALL: usize = 2;
 
 /// Earlier manifests kept, so that a peer can be told only what changed.
 const HISTORY: usize = 16;
@@ -25,7 +25,7 @@
 #[must_use]
 pub fn watchers(alive: &[BoxId]) -> Vec<BoxId> {
     const WATCH: u64 = 0x0077_6174_6368;
-    policy::ranked(WATCH, alive, WATCHERS)
+    policy::ranked(WATCH, alive, WATCHERS_PER_HALL)
 }
 
 /// A release that this box won't take, and why.
@@ -66,7 +66,7 @@
 
 /// The release in force here, and one that is on its way.
 #[derive(Debug, Default)]
-pub struct Spread {
+pub struct ReleaseSync {
     /// Its order only ever rises.
     current: Option<Release>,
     history: VecDeque<(ReleaseId, Manifest)>,
@@ -75,11 +75,11 @@
     /// What this box found wrong itself. Keeps a release out.
     refused: VecDeque<Refused>,
     /// What others refused and this box wasn't offered. Only shown: acceptance is each box's own finding.
-    told: VecDeque<Refused>,
+    refused_elsewhere: VecDeque<Refused>,
     out: Vec<Action>,
 }
 
-impl Spread {
+impl ReleaseSync {
     /// The release in force.
     #[must_use]
     pub fn current(&self) -> Option<&Release> {
@@ -97,7 +97,7 @@
     /// What is in force here isn't among them, even if older boxes can't read it.
     pub fn refused(&self) -> impl Iterator<Item = &Refused> {
         let current = self.order();
-        self.refused.iter().chain(&self.told).filter(move |r| Some(r.order) != current)
+        self.refused.iter().chain(&self.refused_elsewhere).filter(move |r| Some(r.order) != current)
     }
 
     /// True when this box itself found a release wrong.
@@ -115,7 +115,7 @@
     // From peers
 
     /// A peer's release was heard of.
-    pub fn hear(&mut self, from: BoxId, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
+    pub fn on_release(&mut self, from: BoxId, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
         if let Some(order) = order.filter(|o| self.wants(*o)) {
             let busy = self.pull.as_ref().is_some_and(|p| now.since(p.since) < PULL_MS && p.order >= order);
             if !busy {
@@ -127,7 +127,7 @@
     }
 
     /// A message about releases came in. Others are left alone.
-    pub fn receive(&mut self, from: BoxId, message: &Message, now: Time) -> Vec<Action> {
+    pub fn on_message(&mut self, from: BoxId, message: &Message, now: Time) -> Vec<Action> {
         match message {
             Message::Pull(have) => self.send_manifest(from, *have),
             Message::Manifest(order, delta) => self.take_manifest(from, *order, delta, now),
@@ -158,7 +158,7 @@
         };
         let text = delta.apply(base).render();
         if Digest::of(text.as_bytes()) != order.digest {
-            self.out.push(Action::Note(Event::FrameRefused, format!("from={from} manifest doesn't match its digest")));
+            self.out.push(Action::Log(Event::FrameRefused, format!("from={from} manifest doesn't match its digest")));
             return;
         }
         self.begin(Source::Peer(from), &text, now);
@@ -178,7 +178,7 @@
     // From the platform
 
     /// The platform offered a manifest.
-    pub fn offered(&mut self, text: &str, now: Time) -> Vec<Action> {
+    pub fn on_manifest_offered(&mut self, text: &str, now: Time) -> Vec<Action> {
         let digest = Digest::of(text.as_bytes());
         if self.refused.iter().any(|r| r.order.digest == digest) || self.order().is_some_and(|o| o.digest == digest) {
             return Vec::new();
@@ -198,7 +198,7 @@
                     self.begin(Source::Platform, text, now);
                 } else if let Some(current) = self.order() {
                     let detail = format!("offered={} current={}", order.number, current.number);
-                    self.out.push(Action::Note(Event::ReleaseStale, detail));
+                    self.out.push(Action::Log(Event::ReleaseStale, detail));
                 }
             }
         }
@@ -208,7 +208,7 @@
     /// Parts came from the platform, as asked for by [`Action::Fetch`].
     ///
     /// When some are not there yet, the pull stands still, is given up, and begins anew with the next offer.
-    pub fn fetched(&mut self, parts: &[Vec<u8>], now: Time) -> Vec<Action> {
+    pub fn on_parts_fetched(&mut self, parts: &[Vec<u8>], now: Time) -> Vec<Action> {
         self.take_parts(parts, now);
         std::mem::take(&mut self.out)
     }
@@ -288,7 +288,7 @@
             return;
         }
         let detail = format!("number={} digest={}", order.number, order.digest);
-        self.out.push(Action::Note(Event::ReleaseInForce, detail));
+        self.out.push(Action::Log(Event::ReleaseInForce, detail));
         self.history.push_back((order, release.manifest.clone()));
         if self.history.len() > HISTORY {
             self.history.pop_front();
@@ -298,26 +298,26 @@
     }
 
     fn refuse(&mut self, order: ReleaseId, reasons: Vec<String>) {
-        let reason = reasons.first().map(|first| first.chars().take(REASON_MOST).collect()).unwrap_or_default();
-        self.out.push(Action::Spread(Change::Refused { order, reason }));
+        let reason = reasons.first().map(|first| first.chars().take(MAX_REASON_CHARS).collect()).unwrap_or_default();
+        self.out.push(Action::Gossip(Change::Refused { order, reason }));
         let shown: Vec<&str> = reasons.iter().take(5).map(String::as_str).collect();
         let detail = format!("number={} digest={} reasons=[{}]", order.number, order.digest, shown.join("; "));
-        self.out.push(Action::Note(Event::ReleaseRefused, detail));
-        self.told.retain(|r| r.order != order);
+        self.out.push(Action::Log(Event::ReleaseRefused, detail));
+        self.refused_elsewhere.retain(|r| r.order != order);
         remember(&mut self.refused, Refused { order, reasons });
         self.pull = None;
     }
 
     /// Another box refused a release. Shown and passed on once; this box still judges for itself.
-    pub fn told(&mut self, order: ReleaseId, reason: &str) -> Vec<Action> {
-        if self.refused.iter().chain(&self.told).any(|r| r.order == order) {
+    pub fn on_refused_elsewhere(&mut self, order: ReleaseId, reason: &str) -> Vec<Action> {
+        if self.refused.iter().chain(&self.refused_elsewhere).any(|r| r.order == order) {
             return Vec::new();
         }
-        let reason: String = reason.chars().take(REASON_MOST).collect();
+        let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
         let detail = format!("number={} digest={} told=true reasons=[{reason}]", order.number, order.digest);
-        self.out.push(Action::Note(Event::ReleaseRefused, detail));
-        self.out.push(Action::Spread(Change::Refused { order, reason: reason.clone() }));
-        remember(&mut self.told, Refused { order, reasons: vec![reason] });
+        self.out.push(Action::Log(Event::ReleaseRefused, detail));
+        self.out.push(Action::Gossip(Change::Refused { order, reason: reason.clone() }));
+        remember(&mut self.refused_elsewhere, Refused { order, reasons: vec![reason] });
         std::mem::take(&mut self.out)
     }
 
--- a/crates/fleet/tests/address.rs
+++ b/crates/fleet/tests/address.rs
@@ -1,7 +1,7 @@
 //! A box that comes back under its name at another address.
 
 use catalog::BoxId;
-use fleet::{Change, Message, Peer, Probe, State, Timing};
+use fleet::{Change, FailureDetector, Message, Peer, ProbeTiming, State};
 use policy::Time;
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     Message::Ping { number: 1, order: None, changes: vec![change] }
 }
 
-fn address(probe: &Probe, id: BoxId) -> Option<SocketAddr> {
+fn address(probe: &FailureDetector, id: BoxId) -> Option<SocketAddr> {
     probe.peer(id).map(|p| p.address)
 }
 
@@ -22,15 +22,16 @@
 fn a_younger_life_is_followed_to_its_address_unless_the_settings_name_one() {
     let now = Time(1_000);
     let (in_settings, learned) = (peer("fixed", 1), peer("learned", 2));
-    let mut probe = Probe::new(peer("me", 3), std::slice::from_ref(&in_settings), 1, Timing::default(), now);
-    probe.receive(in_settings.id(), &news(&learned, 5), None, now);
+    let mut probe =
+        FailureDetector::new(peer("me", 3), std::slice::from_ref(&in_settings), 1, ProbeTiming::default(), now);
+    probe.on_message(in_settings.id(), &news(&learned, 5), None, now);
     assert_eq!(address(&probe, learned.id()), Some(learned.address));
     // An older life's news changes nothing, a younger one's does.
-    probe.receive(in_settings.id(), &news(&peer("learned", 20), 5), None, now);
+    probe.on_message(in_settings.id(), &news(&peer("learned", 20), 5), None, now);
     assert_eq!(address(&probe, learned.id()), Some(learned.address));
     let moved = peer("learned", 21);
-    probe.receive(in_settings.id(), &news(&moved, 6), None, now);
+    probe.on_message(in_settings.id(), &news(&moved, 6), None, now);
     assert_eq!(address(&probe, learned.id()), Some(moved.address));
-    probe.receive(learned.id(), &news(&peer("fixed", 10), 9), None, now);
+    probe.on_message(learned.id(), &news(&peer("fixed", 10), 9), None, now);
     assert_eq!(address(&probe, in_settings.id()), Some(in_settings.address));
 }
--- a/crates/fleet/tests/refused.rs
+++ b/crates/fleet/tests/refused.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use fleet::{Action, Spread};
+use fleet::{Action, ReleaseSync};
 use policy::Time;
 use telemetry::Event;
 use world::{release, Faults, World, STEP_MS};
@@ -10,7 +10,7 @@
 /// Steps until every box must show it: the users allow a change 12 s.
 const STEPS: u64 = 12_000 / STEP_MS;
 
-fn shows(spread: &Spread, number: u64) -> bool {
+fn shows(spread: &ReleaseSync, number: u64) -> bool {
     spread.refused().any(|refused| refused.order.number == number)
 }
 
@@ -40,17 +40,17 @@
 
 #[test]
 fn a_release_in_force_is_not_shown_as_refused_because_others_can_not_read_it() {
-    let mut spread = Spread::default();
+    let mut spread = ReleaseSync::default();
     let good = release(1, 10);
-    for action in spread.offered(&good.text, Time(1_000)) {
+    for action in spread.on_manifest_offered(&good.text, Time(1_000)) {
         if let Action::Fetch(_) = action {
             let parts: Vec<Vec<u8>> = good.parts.values().cloned().collect();
-            spread.fetched(&parts, Time(1_000));
+            spread.on_parts_fetched(&parts, Time(1_000));
         }
     }
     assert_eq!(spread.order(), Some(good.id()));
-    let said = spread.told(good.id(), "made by a newer cleatshelf");
-    assert!(said.iter().any(|a| matches!(a, Action::Note(Event::ReleaseRefused, _))), "it is logged: {said:?}");
+    let said = spread.on_refused_elsewhere(good.id(), "made by a newer cleatshelf");
+    assert!(said.iter().any(|a| matches!(a, Action::Log(Event::ReleaseRefused, _))), "it is logged: {said:?}");
     assert!(!shows(&spread, 1));
-    assert!(spread.told(good.id(), "made by a newer cleatshelf").is_empty(), "once");
+    assert!(spread.on_refused_elsewhere(good.id(), "made by a newer cleatshelf").is_empty(), "once");
 }
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, missing_docs)]
 
 use catalog::{BoxId, Release};
-use fleet::{Action, Message, Peer, Probe, Spread, Timing};
+use fleet::{Action, FailureDetector, Message, Peer, ProbeTiming, ReleaseSync};
 use policy::Time;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,8 +12,8 @@
 
 pub struct Node {
     pub peer: Peer,
-    pub probe: Probe,
-    pub spread: Spread,
+    pub probe: FailureDetector,
+    pub spread: ReleaseSync,
     pub paused_until: Time,
     pub watches: bool,
 }
@@ -56,8 +56,8 @@
             .collect();
         let node = |(i, peer): (usize, &Peer)| Node {
             peer: peer.clone(),
-            probe: Probe::new(peer.clone(), &peers, 1, Timing::default(), now),
-            spread: Spread::default(),
+            probe: FailureDetector::new(peer.clone(), &peers, 1, ProbeTiming::default(), now),
+            spread: ReleaseSync::default(),
             paused_until: Time(0),
             watches: i == 0,
         };
@@ -81,18 +81,18 @@
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(i, to, &message),
-                Action::Note(event, detail) if event.number() >= 900 => self.wrongs.push(format!("{event:?} {detail}")),
+                Action::Log(event, detail) if event.number() >= 900 => self.wrongs.push(format!("{event:?} {detail}")),
                 Action::Fetch(digests) => {
                     let parts =
                         |r: &Release| digests.iter().filter_map(|d| r.parts.get(d).cloned()).collect::<Vec<_>>();
                     let found: Vec<Vec<u8>> = self.published.iter().flat_map(parts).collect();
                     let now = self.now;
-                    let actions = self.nodes[i].spread.fetched(&found, now);
+                    let actions = self.nodes[i].spread.on_parts_fetched(&found, now);
                     self.act(i, actions);
                 }
-                Action::Spread(change) => self.nodes[i].probe.spread(change),
-                Action::Refused(order, reason) => {
-                    let actions = self.nodes[i].spread.told(order, &reason);
+                Action::Gossip(change) => self.nodes[i].probe.gossip(change),
+                Action::RefusedElsewhere(order, reason) => {
+                    let actions = self.nodes[i].spread.on_refused_elsewhere(order, &reason);
                     self.act(i, actions);
                 }
                 _ => {}
@@ -136,11 +136,13 @@
     fn deliver(&mut self, i: usize, from: BoxId, message: &Message) {
         let now = self.now;
         let before = self.nodes[i].spread.order();
-        let actions = self.nodes[i].probe.receive(from, message, before, now);
+        let actions = self.nodes[i].probe.on_message(from, message, before, now);
         self.act(i, actions);
         let actions = match message {
-            Message::Ping { order, .. } | Message::Ack { order, .. } => self.nodes[i].spread.hear(from, *order, now),
-            other => self.nodes[i].spread.receive(from, other, now),
+            Message::Ping { order, .. } | Message::Ack { order, .. } => {
+                self.nodes[i].spread.on_release(from, *order, now)
+            }
+            other => self.nodes[i].spread.on_message(from, other, now),
         };
         self.act(i, actions);
         self.check(i, before);
@@ -164,7 +166,7 @@
             let last = self.published.len() - 1;
             let shown = if self.chance(self.faults.stale) { self.random.random_range(0..=last) } else { last };
             let text = self.published[shown].text.clone();
-            let actions = self.nodes[i].spread.offered(&text, now);
+            let actions = self.nodes[i].spread.on_manifest_offered(&text, now);
             self.act(i, actions);
         }
         self.check(i, before);
@@ -179,8 +181,8 @@
             self.lives += 1;
             let peers: Vec<Peer> = self.nodes.iter().map(|n| n.peer.clone()).collect();
             let node = &mut self.nodes[i];
-            node.probe = Probe::new(node.peer.clone(), &peers, self.lives, Timing::default(), self.now);
-            node.spread = Spread::default();
+            node.probe = FailureDetector::new(node.peer.clone(), &peers, self.lives, ProbeTiming::default(), self.now);
+            node.spread = ReleaseSync::default();
         }
     }
 }
--- a/crates/lab/src/fleetlet.rs
+++ b/crates/lab/src/fleetlet.rs
@@ -3,7 +3,7 @@
 use crate::slopes::release;
 use catalog::{BoxId, Digest, Release};
 use cleatshelf::Envelope;
-use fleet::{watchers, Action, Message, Peer, Probe, Spread, State, Timing};
+use fleet::{watchers, Action, FailureDetector, Message, Peer, ProbeTiming, ReleaseSync, State};
 use policy::Time;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::time::Instant;
@@ -46,8 +46,8 @@
 
 struct Node {
     peer: Peer,
-    probe: Probe,
-    spread: Spread,
+    probe: FailureDetector,
+    spread: ReleaseSync,
     alive: bool,
     /// The hall has the platform.
     platform: bool,
@@ -99,8 +99,14 @@
             .collect();
         let node = |(i, peer): (usize, &Peer)| Node {
             // Incarnation 0 is what all know already: a fleet that has run for long has no news of starts.
-            probe: Probe::new(peer.clone(), &peers, 0, Timing { start_ms: 0, ..Timing::default() }, now),
-            spread: Spread::default(),
+            probe: FailureDetector::new(
+                peer.clone(),
+                &peers,
+                0,
+                ProbeTiming { start_grace_ms: 0, ..ProbeTiming::default() },
+                now,
+            ),
+            spread: ReleaseSync::default(),
             peer: peer.clone(),
             alive: true,
             platform: true,
@@ -129,11 +135,15 @@
                 Action::Adopt(..) => {
                     self.in_force.entry(from).or_insert(self.now);
                     let order = self.nodes[from].spread.order();
-                    for to in self.nodes[from].probe.some_alive(3) {
+                    for to in self.nodes[from].probe.random_alive(3) {
                         self.send(from, to, Message::Ack { number: 0, order, changes: Vec::new() });
                     }
                 }
-                Action::View | Action::Upstream(..) | Action::Note(..) | Action::Spread(_) | Action::Refused(..) => {}
+                Action::ViewChanged
+                | Action::Upstream(..)
+                | Action::Log(..)
+                | Action::Gossip(_)
+                | Action::RefusedElsewhere(..) => {}
             }
         }
     }
@@ -155,7 +165,7 @@
         let Some(release) = &self.published else { return };
         let parts: Vec<Vec<u8>> = digests.iter().filter_map(|d| release.parts.get(d).cloned()).collect();
         let now = self.now;
-        let actions = self.nodes[index].spread.fetched(&parts, now);
+        let actions = self.nodes[index].spread.on_parts_fetched(&parts, now);
         self.act(index, actions);
     }
 
@@ -182,13 +192,13 @@
             return;
         }
         let order = self.nodes[i].spread.order();
-        let actions = self.nodes[i].probe.receive(flight.from, &flight.message, order, now);
+        let actions = self.nodes[i].probe.on_message(flight.from, &flight.message, order, now);
         self.act(i, actions);
         let actions = match &flight.message {
             Message::Ping { order, .. } | Message::Ack { order, .. } => {
-                self.nodes[i].spread.hear(flight.from, *order, now)
+                self.nodes[i].spread.on_release(flight.from, *order, now)
             }
-            other => self.nodes[i].spread.receive(flight.from, other, now),
+            other => self.nodes[i].spread.on_message(flight.from, other, now),
         };
         self.act(i, actions);
     }
@@ -200,10 +210,10 @@
         let mut actions = node.probe.tick(order, now);
         node.spread.tick(now);
         if let Some(release) = self.published.as_ref().filter(|r| node.platform && Some(r.id()) > order) {
-            let boxes = node.probe.boxes();
+            let boxes = node.probe.eligible_boxes();
             let alive = boxes.get(&node.peer.hall).map_or(&[][..], Vec::as_slice);
             if watchers(alive).contains(&node.peer.id()) {
-                actions.extend(node.spread.offered(&release.text, now));
+                actions.extend(node.spread.on_manifest_offered(&release.text, now));
             }
         }
         self.act(i, actions);
@@ -270,36 +280,36 @@
 }
 
 /// Hands a new release from one box to another, and gives what the second one gets.
-fn hand_over(customers: usize) -> (Spread, Vec<Message>) {
+fn hand_over(customers: usize) -> (ReleaseSync, Vec<Message>) {
     let now = Time(1);
     let first = release(1, customers, 0);
     let second = release(2, customers, 1);
-    let mut from = Spread::default();
+    let mut from = ReleaseSync::default();
     load(&mut from, &first, now);
-    let mut to = Spread::default();
+    let mut to = ReleaseSync::default();
     load(&mut to, &first, now);
     load(&mut from, &second, now);
     let mut got = Vec::new();
     let (a, b) = (BoxId(1), BoxId(2));
-    let mut asks = to.hear(a, from.order(), now);
+    let mut asks = to.on_release(a, from.order(), now);
     while let Some(Action::Send(_, ask)) = asks.pop() {
-        for answer in from.receive(b, &ask, now) {
+        for answer in from.on_message(b, &ask, now) {
             let Action::Send(_, answer) = answer else { continue };
             got.push(answer.clone());
             if matches!(answer, Message::Manifest(..)) {
-                asks.extend(to.receive(a, &answer, now));
+                asks.extend(to.on_message(a, &answer, now));
             }
         }
     }
     (to, got)
 }
 
-fn load(spread: &mut Spread, release: &Release, now: Time) {
-    let mut actions = spread.offered(&release.text, now);
+fn load(spread: &mut ReleaseSync, release: &Release, now: Time) {
+    let mut actions = spread.on_manifest_offered(&release.text, now);
     while let Some(action) = actions.pop() {
         if let Action::Fetch(digests) = action {
             let parts: Vec<Vec<u8>> = digests.iter().filter_map(|d| release.parts.get(d).cloned()).collect();
-            actions = spread.fetched(&parts, now);
+            actions = spread.on_parts_fetched(&parts, now);
         }
     }
 }
@@ -311,7 +321,7 @@
     let began = Instant::now();
     for message in &got {
         if let Message::Parts(..) = message {
-            for action in to.receive(BoxId(1), message, Time(2)) {
+            for action in to.on_message(BoxId(1), message, Time(2)) {
                 if let Action::Adopt(_, catalog) = action {
                     std::hint::black_box(policy::Layout::from_catalog(&catalog));
                 }
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -232,9 +232,9 @@
         memory_tokens: make.memory_tokens,
         token_bytes: make.token_bytes,
         link_mbps: make.link_mbps,
-        stride: make.stride,
+        tokens_per_event: make.stride,
     };
-    let service = Service { name: SERVICE.to_owned(), connections: 1_000, engine: Some(engine), cold: None };
+    let service = Service { name: SERVICE.to_owned(), max_connections: 1_000, engine: Some(engine), cold_start: None };
     let routes = deployment.classes.iter().map(|class| {
         // Engines are divided by the shortest pause that is known to be too long.
         let gap = (arm != Arm::WithoutDivision).then(|| Duration::from_secs_f64(class.gap_ms / 1e3));
@@ -244,13 +244,13 @@
             prefix: format!("/{}/", class.name),
             kind: Kind::Stream { resumable: true },
             timeout: Duration::from_secs_f64(class.limit_ms / 1e3),
-            aim: Duration::from_secs_f64(class.aim_ms / 1e3),
-            gap_aim: gap,
+            latency_target: Duration::from_secs_f64(class.aim_ms / 1e3),
+            gap_target: gap,
             priority: class.urgency,
             shares: vec![Share { service: SERVICE.to_owned(), weight: 1 }],
-            attempts: 2,
-            open: true,
-            homes: None,
+            max_attempts: 2,
+            no_auth: true,
+            allowed_regions: None,
         }
     });
     Table::new(1, routes.collect(), vec![service])
--- a/crates/peers/examples/tick.rs
+++ b/crates/peers/examples/tick.rs
@@ -1,6 +1,6 @@
 //! What a box spends on looking at what is due, by the number of boxes: `cargo run --release -p peers --example tick`.
 
-use peers::{Heartbeat, Holding, Message, Peers, Profile, Roster};
+use peers::{Heartbeat, KnownVersions, Message, Peers, Profile, Roster};
 use routing::{Evacuations, Position};
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -25,10 +25,10 @@
 fn micros(boxes: u16, watches: bool) -> f64 {
     let me = if watches { 0 } else { boxes - 1 };
     let mut peers = Peers::new(address(me), profile(me), &[address(0)]);
-    peers.hold(Holding { table: 1, directory: Position::new(0, 9), ..Holding::default() });
-    let roster = Roster::of((0..boxes).map(|index| (address(index), profile(index))));
+    peers.set_known_versions(KnownVersions { table: 1, directory: Position::new(0, 9), ..KnownVersions::default() });
+    let roster = Roster::new((0..boxes).map(|index| (address(index), profile(index))));
     peers.handle(address(1), Message::Members(roster), 0);
-    peers.reach(true);
+    peers.set_publisher_reachable(true);
     let beat = |from: u16| Heartbeat {
         profile: profile(from),
         watches: true,
--- a/crates/peers/src/action.rs
+++ b/crates/peers/src/action.rs
@@ -12,15 +12,15 @@
     /// Send the configuration as published.
     SendTable(SocketAddr),
     /// Ask for what this box's list of servers lacks.
-    AskDirectory(SocketAddr),
+    RequestDirectory(SocketAddr),
     /// Send what a list of servers lacks.
     SendDirectory(SocketAddr, Digests),
     /// Exchange with this box which requests end servers: it holds others.
-    ShareSuspects(SocketAddr),
+    SyncSuspects(SocketAddr),
     /// Exchange with this box what servers said of themselves: it knows something else.
-    ShareNotices(SocketAddr),
+    SyncNotices(SocketAddr),
     /// Begin or end to watch the publisher.
-    Watch(bool),
+    SetWatching(bool),
     /// A peer sent a configuration.
     Table(Vec<u8>),
     /// A watcher says that the configuration which this box has was still the newest there.
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -9,17 +9,17 @@
 mod action;
 mod member;
 mod message;
+mod missed_replies;
 mod peers;
 mod roster;
-mod silence;
-mod watch;
+mod watch_role;
 
 pub use action::Action;
 pub use message::{Heartbeat, Message, Profile, Subject};
-pub use peers::{Holding, Peers};
+pub use missed_replies::MissedReplies;
+pub use peers::{KnownVersions, Peers};
 pub use roster::Roster;
-pub use silence::Silence;
-pub use watch::Watch;
+pub use watch_role::WatchRole;
 
 /// Milliseconds of a clock that never goes back.
 pub type Millis = u64;
--- a/crates/peers/src/silence.rs
+++ b/crates/peers/src/missed_replies.rs
@@ -13,22 +13,22 @@
 
 /// Which boxes are silent.
 #[derive(Clone, Debug, Default)]
-pub struct Silence {
+pub struct MissedReplies {
     /// When a box first missed an answer after its last word.
     missed: HashMap<SocketAddr, Millis>,
     /// Until when a box isn't asked.
     until: HashMap<SocketAddr, Millis>,
 }
 
-impl Silence {
+impl MissedReplies {
     /// A box has said something, however late.
-    pub fn heard(&mut self, from: SocketAddr) {
+    pub fn record_reply(&mut self, from: SocketAddr) {
         self.missed.remove(&from);
         self.until.remove(&from);
     }
 
     /// A box has not answered in time.
-    pub fn missed(&mut self, by: SocketAddr, now: Millis) {
+    pub fn record_missed(&mut self, by: SocketAddr, now: Millis) {
         let first = *self.missed.entry(by).or_insert(now);
         if now >= first + AFTER {
             self.until.insert(by, now + FOR);
@@ -37,7 +37,7 @@
 
     /// True while a box isn't to be asked.
     #[must_use]
-    pub fn silent(&self, address: &SocketAddr, now: Millis) -> bool {
+    pub fn is_unresponsive(&self, address: &SocketAddr, now: Millis) -> bool {
         self.until.get(address).is_some_and(|until| now < *until)
     }
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,7 +1,7 @@
 //! The state machine: who is there, and what is due.
 
-mod asking;
-mod telling;
+mod broadcast;
+mod exchange;
 mod watching;
 
 use crate::member::Member;
@@ -18,7 +18,7 @@
 
 /// How new this box's knowledge is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Holding {
+pub struct KnownVersions {
     /// Version of the configuration; 0 for none.
     pub table: u64,
     /// Where in the publisher's history that was still the newest; none when this is not known.
@@ -49,7 +49,7 @@
     generation: u64,
     /// Digest of `members` and this box.
     digest: u32,
-    holding: Holding,
+    holding: KnownVersions,
     /// True while this box watches the publisher, or tries to.
     watching: bool,
     /// True while the publisher answers this box.
@@ -82,7 +82,7 @@
             mates: 0,
             generation: 0,
             digest: rank_address(0, &me) as u32,
-            holding: Holding::default(),
+            holding: KnownVersions::default(),
             watching: false,
             reached: false,
             settled: false,
@@ -103,25 +103,25 @@
 
     /// Boxes known, this one included.
     #[must_use]
-    pub fn boxes(&self) -> usize {
+    pub fn box_count(&self) -> usize {
         self.members.len() + 1
     }
 
     /// All boxes known, this one included.
     #[must_use]
-    pub fn list(&self) -> Vec<(SocketAddr, Profile)> {
+    pub fn members(&self) -> Vec<(SocketAddr, Profile)> {
         let others = self.members.iter().map(|(address, member)| (*address, member.profile.clone()));
         others.chain([(self.me, self.profile.clone())]).collect()
     }
 
     /// The other boxes known.
-    pub fn others(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+    pub fn other_boxes(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.members.keys().copied()
     }
 
     /// True once this box knows the others: one of them knew the same, or there is none that it could ask.
     #[must_use]
-    pub fn settled(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         self.settled || (self.seeds.is_empty() && self.members.is_empty())
     }
 
@@ -133,13 +133,13 @@
 
     /// True while this box watches the publisher, or tries to.
     #[must_use]
-    pub fn watching(&self) -> bool {
+    pub fn is_watching(&self) -> bool {
         self.watching
     }
 
     /// Notes how new this box's knowledge is.
-    pub fn hold(&mut self, holding: Holding) {
-        if self.holding.evacuations.evacuated() != holding.evacuations.evacuated() {
+    pub fn set_known_versions(&mut self, holding: KnownVersions) {
+        if self.holding.evacuations.evacuated_halls() != holding.evacuations.evacuated_halls() {
             // Heartbeats carry them.
             self.tell_all();
         }
@@ -147,7 +147,7 @@
     }
 
     /// Notes whether the publisher answers this box. A change is told at once, since others rely on it.
-    pub fn reach(&mut self, reached: bool) {
+    pub fn set_publisher_reachable(&mut self, reached: bool) {
         if self.reached != reached {
             self.reached = reached;
             self.tell_all();
@@ -226,7 +226,7 @@
             *member = Member { profile: profile.clone(), mate: profile.hall == self.profile.hall, ..member.clone() };
             self.beat_at = 0;
             self.roster_changed();
-            actions.push(Action::Send(from, Message::Members(Roster::of(self.list()))));
+            actions.push(Action::Send(from, Message::Members(Roster::new(self.members()))));
         }
         !known
     }
@@ -239,7 +239,7 @@
 
     fn meet(&mut self, roster: Roster, now: Millis) {
         let known = self.members.len();
-        for (address, profile) in roster.boxes().filter(|(address, _)| *address != self.me) {
+        for (address, profile) in roster.into_boxes().filter(|(address, _)| *address != self.me) {
             self.members.entry(address).or_insert_with(|| Member::new(&profile, &self.profile, now));
         }
         if self.members.len() > known {
--- a/crates/peers/src/peers/telling.rs
+++ b/crates/peers/src/peers/broadcast.rs
@@ -1,6 +1,6 @@
 //! What a box tells others of its own accord, and whom.
 
-use super::{Holding, Peers, SILENT_BEATS};
+use super::{KnownVersions, Peers, SILENT_BEATS};
 use crate::member::Member;
 use crate::{Action, Heartbeat, Message, Millis};
 use routing::Position;
@@ -28,13 +28,13 @@
 impl Peers {
     /// A new configuration came: the hall's others get it if this box watches for them.
     #[must_use]
-    pub fn spread_table(&self) -> Vec<Action> {
+    pub fn broadcast_table(&self) -> Vec<Action> {
         self.hall_members().map(Action::SendTable).collect()
     }
 
     /// Servers changed: the hall's others are told if this box watches for them.
     #[must_use]
-    pub fn spread_changes(&self, since: Position, until: Position, packed: &[u8]) -> Vec<Action> {
+    pub fn broadcast_changes(&self, since: Position, until: Position, packed: &[u8]) -> Vec<Action> {
         let message = Message::Changes { since, until, packed: packed.to_vec() };
         self.hall_members().map(|to| Action::Send(to, message.clone())).collect()
     }
@@ -43,7 +43,7 @@
     /// themselves. In a larger fleet the watchers of the hall tell it, and those of other halls, which tell theirs: what a box sends
     /// doesn't grow with the fleet. Whoever is missed asks, since heartbeats tell that something is known elsewhere.
     #[must_use]
-    pub fn tell(&self, from: Option<SocketAddr>, now: Millis) -> Vec<SocketAddr> {
+    pub fn forward_targets(&self, from: Option<SocketAddr>, now: Millis) -> Vec<SocketAddr> {
         let others = || self.members.iter().filter(|(address, _)| Some(**address) != from);
         let all = || others().map(|(address, _)| *address).collect();
         if self.members.len() < TELL_ALL_MOST {
@@ -138,7 +138,7 @@
 
     /// Tells a newcomer how new this box's knowledge is, unless many come at once.
     pub(super) fn welcome(&mut self, to: SocketAddr, now: Millis, actions: &mut Vec<Action>) {
-        let Holding { table, directory, ref evacuations, .. } = self.holding;
+        let KnownVersions { table, directory, ref evacuations, .. } = self.holding;
         if now >= self.welcomes.0 + SECOND {
             self.welcomes = (now, 0);
         }
--- a/crates/peers/src/peers/asking.rs
+++ b/crates/peers/src/peers/exchange.rs
@@ -82,9 +82,9 @@
         if last.is_none_or(|at| now >= at + pause) {
             self.wanted.insert(subject as u8, now);
             actions.push(match subject {
-                Subject::Directory => Action::AskDirectory(from),
-                Subject::Suspects => Action::ShareSuspects(from),
-                Subject::Notices => Action::ShareNotices(from),
+                Subject::Directory => Action::RequestDirectory(from),
+                Subject::Suspects => Action::SyncSuspects(from),
+                Subject::Notices => Action::SyncNotices(from),
                 Subject::Table | Subject::Members => Action::Send(from, Message::Want(subject)),
             });
         }
@@ -95,7 +95,7 @@
             Subject::Table => Action::SendTable(to),
             // Asked for with what the asker has, in messages of their own.
             Subject::Directory | Subject::Suspects | Subject::Notices => return,
-            Subject::Members => Action::Send(to, Message::Members(Roster::of(self.list()))),
+            Subject::Members => Action::Send(to, Message::Members(Roster::new(self.members()))),
         });
     }
 
--- a/crates/peers/src/peers/watching.rs
+++ b/crates/peers/src/peers/watching.rs
@@ -2,7 +2,7 @@
 
 use super::Peers;
 use crate::member::Member;
-use crate::{Action, Millis, Watch};
+use crate::{Action, Millis, WatchRole};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
@@ -36,13 +36,13 @@
 impl Peers {
     /// What this box watches the publisher as.
     #[must_use]
-    pub fn watch(&self, now: Millis) -> Watch {
+    pub fn watch_role(&self, now: Millis) -> WatchRole {
         let mut before =
             self.mates().filter(|(address, m)| self.goes_before(address, m) && self.heard_watching(m, now));
         match (self.watching, before.next()) {
-            (false, _) => Watch::Off,
-            (true, None) => Watch::First,
-            (true, Some(_)) => Watch::Second,
+            (false, _) => WatchRole::Off,
+            (true, None) => WatchRole::Primary,
+            (true, Some(_)) => WatchRole::Secondary,
         }
     }
 
@@ -56,7 +56,7 @@
             if before >= self.enough() {
                 self.watching = false;
                 self.lacking = None;
-                actions.push(Action::Watch(false));
+                actions.push(Action::SetWatching(false));
             }
             return;
         }
@@ -70,7 +70,7 @@
             self.watching = true;
             self.lacking = None;
             self.tell_all();
-            actions.push(Action::Watch(true));
+            actions.push(Action::SetWatching(true));
         }
     }
 
--- a/crates/peers/src/roster.rs
+++ b/crates/peers/src/roster.rs
@@ -12,7 +12,7 @@
 impl Roster {
     /// The roster of these boxes.
     #[must_use]
-    pub fn of(boxes: impl IntoIterator<Item = (SocketAddr, Profile)>) -> Self {
+    pub fn new(boxes: impl IntoIterator<Item = (SocketAddr, Profile)>) -> Self {
         let mut halls: BTreeMap<String, Vec<(SocketAddr, u32)>> = BTreeMap::new();
         for (address, profile) in boxes {
             halls.entry(profile.hall).or_default().push((address, profile.capacity));
@@ -21,7 +21,7 @@
     }
 
     /// The boxes.
-    pub fn boxes(self) -> impl Iterator<Item = (SocketAddr, Profile)> {
+    pub fn into_boxes(self) -> impl Iterator<Item = (SocketAddr, Profile)> {
         self.0.into_iter().flat_map(|(hall, boxes)| {
             let profile = move |(address, capacity)| (address, Profile { hall: hall.clone(), capacity });
             boxes.into_iter().map(profile)
--- a/crates/peers/tests/world.rs
+++ b/crates/peers/tests/world.rs
@@ -1,6 +1,6 @@
 //! Boxes in three halls under a randomised network: few watch, and all hear of news in time.
 
-use peers::{Action, Holding, Message, Peers, Profile, Watch};
+use peers::{Action, KnownVersions, Message, Peers, Profile, WatchRole};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use routing::{Directory, Evacuations, Position};
@@ -18,7 +18,7 @@
 
 struct Box {
     peers: Peers,
-    holding: Holding,
+    holding: KnownVersions,
     /// When its watch began; news of the publisher reach it some ms later.
     watching: bool,
     frozen: bool,
@@ -72,11 +72,11 @@
     format!("hall-{}", address.to_string().split('.').nth(1).expect("a hall"))
 }
 
-fn suspects(holding: &mut Holding) -> &mut u64 {
+fn suspects(holding: &mut KnownVersions) -> &mut u64 {
     &mut holding.suspects
 }
 
-fn notices(holding: &mut Holding) -> &mut u64 {
+fn notices(holding: &mut KnownVersions) -> &mut u64 {
     &mut holding.notices
 }
 
@@ -87,7 +87,7 @@
         let boxes = all.map(|me| {
             let profile = Profile { hall: hall_of(&me), capacity: 250 };
             let peers = Peers::new(me, profile, &seeds);
-            (me, Box { peers, holding: Holding::default(), watching: false, frozen: false, reached: true })
+            (me, Box { peers, holding: KnownVersions::default(), watching: false, frozen: false, reached: true })
         });
         Self {
             boxes: boxes.collect(),
@@ -135,8 +135,8 @@
             if one.holding.directory < self.published {
                 self.calls += 1;
                 let mut known = one.holding.evacuations.clone();
-                known.take(evacuations(self.published));
-                one.holding = Holding {
+                known.merge(evacuations(self.published));
+                one.holding = KnownVersions {
                     table: self.version,
                     table_until: self.published,
                     directory: self.published,
@@ -144,7 +144,7 @@
                     suspects: one.holding.suspects,
                     notices: one.holding.notices,
                 };
-                one.peers.hold(one.holding.clone());
+                one.peers.set_known_versions(one.holding.clone());
             }
         }
     }
@@ -176,7 +176,7 @@
             if one.frozen {
                 continue;
             }
-            one.peers.reach(one.watching && one.reached);
+            one.peers.set_publisher_reachable(one.watching && one.reached);
             let actions = one.peers.tick(self.now);
             self.carry_out(me, actions);
         }
@@ -196,7 +196,7 @@
                     let version = one.holding.table.to_string().into_bytes();
                     self.post(me, to, Message::Table(version));
                 }
-                Action::AskDirectory(to) => {
+                Action::RequestDirectory(to) => {
                     let list = Directory { position: one.holding.directory, ..Directory::default() };
                     self.post(me, to, Message::Lacking(list.digests()));
                 }
@@ -206,9 +206,9 @@
                         self.post(me, to, Message::Excerpt(text(position)));
                     }
                 }
-                Action::ShareSuspects(to) => self.share(me, to, suspects),
-                Action::ShareNotices(to) => self.share(me, to, notices),
-                Action::Watch(watching) => one.watching = watching,
+                Action::SyncSuspects(to) => self.share(me, to, suspects),
+                Action::SyncNotices(to) => self.share(me, to, notices),
+                Action::SetWatching(watching) => one.watching = watching,
                 Action::Table(bytes) => {
                     let version: u64 = String::from_utf8(bytes).expect("text").parse().expect("a version");
                     one.holding.table = one.holding.table.max(version);
@@ -216,16 +216,16 @@
                 Action::Excerpt(bytes) => {
                     one.holding.directory = one.holding.directory.max(position(bytes));
                 }
-                Action::Evacuations(newer) => drop(one.holding.evacuations.take(newer)),
+                Action::Evacuations(newer) => drop(one.holding.evacuations.merge(newer)),
                 Action::Changes(_, until) => one.holding.directory = one.holding.directory.max(until),
             }
             let one = self.boxes.get_mut(&me).expect("a box");
-            one.peers.hold(one.holding.clone());
+            one.peers.set_known_versions(one.holding.clone());
         }
     }
 
     /// Both know afterwards what either knew; here the digest is all that there is to know, and grows.
-    fn share(&mut self, one: SocketAddr, other: SocketAddr, digest: fn(&mut Holding) -> &mut u64) {
+    fn share(&mut self, one: SocketAddr, other: SocketAddr, digest: fn(&mut KnownVersions) -> &mut u64) {
         let known = [one, other].map(|address| self.boxes.get_mut(&address).map_or(0, |b| *digest(&mut b.holding)));
         for address in [one, other] {
             if let Some(one) = self.boxes.get_mut(&address).filter(|b| !b.frozen) {
@@ -259,7 +259,7 @@
         let mut world = World::new(1, halls, each);
         world.run(10_000);
         assert_eq!(world.watchers(), most, "{halls} halls of {each}");
-        assert!(world.boxes.values().all(|b| b.peers.boxes() == halls * each));
+        assert!(world.boxes.values().all(|b| b.peers.box_count() == halls * each));
     }
 }
 
@@ -289,7 +289,7 @@
     reaches_every_box(notices);
 }
 
-fn reaches_every_box(digest: fn(&mut Holding) -> &mut u64) {
+fn reaches_every_box(digest: fn(&mut KnownVersions) -> &mut u64) {
     for seed in 0..30 {
         let mut world = World::new(seed, 3, 1 + (seed as usize % 9));
         world.run(9_000);
@@ -299,7 +299,7 @@
         for (known, address) in [(7, knows), (0, comes)] {
             let one = world.boxes.get_mut(&address).expect("a box");
             *digest(&mut one.holding) = known;
-            one.peers.hold(one.holding.clone());
+            one.peers.set_known_versions(one.holding.clone());
             world.run(CONTACT);
             let known = |one: &mut Box| *digest(&mut one.holding) == 7;
             let behind: Vec<_> = world.boxes.iter_mut().filter_map(|(a, b)| (!known(b)).then_some(*a)).collect();
@@ -422,7 +422,7 @@
     let mut sent = BTreeMap::new();
     let mut queue = vec![(None, knows)];
     while let Some((from, me)) = queue.pop() {
-        let to = world.boxes[&me].peers.tell(from, world.now);
+        let to = world.boxes[&me].peers.forward_targets(from, world.now);
         *sent.entry(me).or_insert(0) += to.len();
         let news = to.into_iter().filter(|to| !world.cut.contains(&hall_of(to)) || hall_of(to) == hall_of(&me));
         queue.extend(news.filter(|to| told.insert(*to)).map(|to| (Some(me), to)).collect::<Vec<_>>());
@@ -443,7 +443,7 @@
         let (most, all) = tell_all(&world, *knows);
         // A watcher tells its hall and the watchers elsewhere; each box of a hall hears both of its watchers.
         assert!(most <= 20 + 10 && all <= 2 * 100 + 2 * 10 + 10, "{most} by one box, {all} by all");
-        let own = world.boxes[knows].peers.tell(None, world.now).len();
+        let own = world.boxes[knows].peers.forward_targets(None, world.now).len();
         assert!(watches(&world, knows) || own == 2, "{own} by the one that heard it");
     }
     world.cut.insert("hall-3".to_owned());
@@ -461,17 +461,22 @@
 fn a_hall_relies_on_one_watcher_first_and_on_the_other_once_that_one_is_not_heard() {
     let mut world = World::new(6, 3, 6);
     world.run(10_000);
-    let as_what = |world: &World, watch: Watch| -> Vec<SocketAddr> {
-        world.boxes.iter().filter(|(_, b)| !b.frozen && b.peers.watch(world.now) == watch).map(|(a, _)| *a).collect()
+    let as_what = |world: &World, watch: WatchRole| -> Vec<SocketAddr> {
+        world
+            .boxes
+            .iter()
+            .filter(|(_, b)| !b.frozen && b.peers.watch_role(world.now) == watch)
+            .map(|(a, _)| *a)
+            .collect()
     };
-    let (first, second) = (as_what(&world, Watch::First), as_what(&world, Watch::Second));
+    let (first, second) = (as_what(&world, WatchRole::Primary), as_what(&world, WatchRole::Secondary));
     assert_eq!((first.len(), second.len()), (3, 3));
     assert!(first.iter().zip(&second).all(|(first, second)| hall_of(first) == hall_of(second)));
     // One stands still, the publisher turns another away.
     world.boxes.get_mut(&first[0]).expect("a box").frozen = true;
     world.boxes.get_mut(&first[1]).expect("a box").reached = false;
     world.run(1_500);
-    let now_first = as_what(&world, Watch::First);
+    let now_first = as_what(&world, WatchRole::Primary);
     assert!(now_first.contains(&second[0]) && now_first.contains(&second[1]), "{now_first:?}");
     assert!(!now_first.contains(&second[2]));
 }
@@ -503,5 +508,5 @@
     let me = address(0, 1);
     let mut peers = Peers::new(me, Profile { hall: "hall-0".to_owned(), capacity: 1 }, &[me]);
     assert!(peers.handle(me, Message::Leave, 0).is_empty());
-    assert_eq!(peers.boxes(), 1);
+    assert_eq!(peers.box_count(), 1);
 }
--- a/crates/placement/src/ask.rs
+++ b/crates/placement/src/ask.rs
@@ -1,7 +1,7 @@
 //! Questions and answers of a placement.
 
 use crate::{Load, Millis, Prompt, Quotas, ServerStatus, Speed, Work};
-use routing::{Homes, Server};
+use routing::{AllowedRegions, Server};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     /// Ids of servers for which no leave was given.
     pub denied: &'a [String],
     /// Regions in which it may run, by its route and by its customer; both bind.
-    pub allowed_regions: [Option<&'a Homes>; 2],
+    pub allowed_regions: [Option<&'a AllowedRegions>; 2],
     /// What owners said for this request, by server id.
     pub statuses: &'a [(String, ServerStatus)],
     /// Now.
@@ -37,7 +37,7 @@
     /// True when it may run in this region.
     #[must_use]
     pub fn allows_region(&self, region: Option<&str>) -> bool {
-        self.allowed_regions.iter().flatten().all(|homes| homes.hold(region))
+        self.allowed_regions.iter().flatten().all(|homes| homes.contains(region))
     }
 
     /// What the owner of this server said for this request.
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -4,7 +4,7 @@
 use crate::turns::{index, Each};
 use crate::warmth::Breaks;
 use crate::{CachedParts, Ending, Health, Limit, Load, Millis, Quota, Quotas, ServerStatus, Speed};
-use routing::{Cold, Evacuations, Regions, Server};
+use routing::{ColdStart, Evacuations, HallRegions, Server};
 use std::sync::Arc;
 
 /// How long what an owner said of a server's load is better than what this box has there itself.
@@ -41,7 +41,7 @@
     /// Region of its hall, where that is known.
     pub(crate) region: Option<String>,
     /// What its service says of cold servers.
-    pub(crate) cold: Option<Cold>,
+    pub(crate) cold: Option<ColdStart>,
     /// Until when it is cold by its entry, or by what its hall went through; not in the future where it isn't.
     pub(crate) cold_until: Millis,
     /// What this box's sends show of starts.
@@ -96,8 +96,8 @@
     }
 
     /// Takes which halls are evacuated, and the regions of halls.
-    pub(crate) fn take_halls(&mut self, evacuations: &Evacuations, regions: &Regions, now: Millis) {
-        self.evacuate(evacuations.evacuates(&self.server.hall), now);
+    pub(crate) fn take_halls(&mut self, evacuations: &Evacuations, regions: &HallRegions, now: Millis) {
+        self.evacuate(evacuations.is_evacuated(&self.server.hall), now);
         let region = regions.get(&self.server.hall);
         if self.region.as_ref() != region {
             self.region = region.cloned();
@@ -108,7 +108,7 @@
     fn evacuate(&mut self, evacuated: bool, now: Millis) {
         let over = std::mem::replace(&mut self.evacuated, evacuated) && !evacuated;
         if let Some(cold) = self.cold.as_ref().filter(|_| over) {
-            self.cold_until = self.cold_until.max(now + cold.time.as_millis() as Millis);
+            self.cold_until = self.cold_until.max(now + cold.duration.as_millis() as Millis);
         }
     }
 
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -8,7 +8,7 @@
 };
 use imbl::ordmap::DiffItem;
 use imbl::OrdMap;
-use routing::{Directory, Evacuations, Regions, Server, Table};
+use routing::{Directory, Evacuations, HallRegions, Server, Table};
 use std::collections::hash_map::Entry;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -49,7 +49,7 @@
     /// What all boxes may send to a cold server.
     allowance: ColdAllowance,
     /// Regions of halls.
-    regions: Regions,
+    regions: HallRegions,
     /// Differs from box to box.
     seed: u64,
 }
@@ -68,7 +68,7 @@
             notices: Notices::default(),
             boxes: BOXES_AT_START,
             allowance: ColdAllowance::default(),
-            regions: Regions::new(),
+            regions: HallRegions::new(),
             seed: 0,
         }
     }
@@ -87,7 +87,7 @@
 
     /// The same with these regions of halls.
     #[must_use]
-    pub fn with_regions(self, regions: Regions) -> Self {
+    pub fn with_regions(self, regions: HallRegions) -> Self {
         Self { regions, ..self }
     }
 
@@ -101,8 +101,8 @@
             Self::configure(pool, name, table, &self.allowance);
         }
         self.take_servers(table, &directory.servers, evacuations, now);
-        if self.evacuated != evacuations.evacuated() {
-            self.evacuated = evacuations.evacuated();
+        if self.evacuated != evacuations.evacuated_halls() {
+            self.evacuated = evacuations.evacuated_halls();
             let members = self.pools.values_mut().flat_map(Pool::members_mut);
             members.for_each(|member| member.take_halls(evacuations, &self.regions, now));
         }
@@ -112,9 +112,9 @@
     /// Takes what the configuration says of a pool.
     fn configure(pool: &mut Pool, name: &str, table: &Table, allowance: &ColdAllowance) {
         let service = table.services.get(name);
-        pool.set_gap(table.shortest_gap(name).map_or(0.0, |gap| gap.as_secs_f64() * 1e3));
+        pool.set_gap(table.min_gap_target(name).map_or(0.0, |gap| gap.as_secs_f64() * 1e3));
         pool.set_engine(service.and_then(|service| service.engine.clone()));
-        pool.set_cold(service.and_then(|service| service.cold), allowance);
+        pool.set_cold(service.and_then(|service| service.cold_start), allowance);
     }
 
     /// Takes the listed servers; records of others are dropped.
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -13,7 +13,7 @@
     AdmissionState, Choice, ColdAllowance, Ending, Millis, PlacementRequest, Prefill, Prompt, Quota, Quotas, Refusal,
     ServerStatus, Speed, Work,
 };
-use routing::{Cold, Engine, Server};
+use routing::{ColdStart, Engine, Server};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -76,7 +76,7 @@
     /// Which of them are preferred for long prompts.
     split: Split,
     /// What its servers bear while they are cold.
-    cold: Option<Cold>,
+    cold: Option<ColdStart>,
     /// Most requests that a server of it is to get while it is cold, and while another can have them at other times too: it may
     /// have turned cold, and news of that are seconds old. None where its service says nothing of cold servers.
     bears: Option<Quota>,
@@ -106,7 +106,7 @@
     }
 
     /// Takes what its servers bear while they are cold.
-    pub(crate) fn set_cold(&mut self, cold: Option<Cold>, allowance: &ColdAllowance) {
+    pub(crate) fn set_cold(&mut self, cold: Option<ColdStart>, allowance: &ColdAllowance) {
         if self.cold != cold {
             self.members.values_mut().for_each(|member| member.cold = cold);
         }
--- a/crates/placement/src/warmth.rs
+++ b/crates/placement/src/warmth.rs
@@ -5,7 +5,7 @@
 //! its hall's evacuation.
 
 use crate::{Ending, Millis, Quota};
-use routing::Cold;
+use routing::ColdStart;
 use serde::{Deserialize, Serialize};
 
 /// The span over which arrivals at a cold server are counted: a second, and as long as a request may be under way between its
@@ -34,8 +34,8 @@
 impl ColdAllowance {
     /// Most requests that a cold server is to get: below the bound for bursts, and no more than the bound without its slack where
     /// they go on.
-    pub(crate) fn quota(&self, cold: &Cold) -> Quota {
-        let lasting = cold.per_s * self.ratio;
+    pub(crate) fn quota(&self, cold: &ColdStart) -> Quota {
+        let lasting = cold.requests_per_s * self.ratio;
         let burst = lasting + self.slack - UNCOUNTED;
         Quota { max_requests: burst.min(lasting * WINDOW as f64 / 1e3).max(0.0) as u32, window: WINDOW }
     }
@@ -84,8 +84,8 @@
 
 impl Disconnect {
     /// Until when a server is cold that breaks off as told at `at`, by this; 0 when it says nothing.
-    pub(crate) fn cold_until(self, cold: &Cold, at: Millis) -> Millis {
-        let time = cold.time.as_millis() as Millis;
+    pub(crate) fn cold_until(self, cold: &ColdStart, at: Millis) -> Millis {
+        let time = cold.duration.as_millis() as Millis;
         match self {
             Self::None => 0,
             Self::Open => at + time,
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -10,7 +10,7 @@
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::{Cold, Server, Table};
+use routing::{ColdStart, Server, Table};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 fn update(placement: &mut Placement, servers: Vec<Server>, evacuated: &[&str], now: u64) {
-    let cold = Some(Cold { time: Duration::from_secs(3), per_s: PER_S });
+    let cold = Some(ColdStart { duration: Duration::from_secs(3), requests_per_s: PER_S });
     common::update(placement, &Table::new(1, Vec::new(), vec![service(64, 6, cold)]), servers, evacuated, now);
 }
 
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -3,7 +3,9 @@
 #![allow(dead_code)]
 
 use placement::{Placement, Snapshot};
-use routing::{Change, Cold, Directory, Engine, Evacuations, Kind, Position, Route, Server, Service, Share, Table};
+use routing::{
+    Change, ColdStart, Directory, Engine, Evacuations, Kind, Position, Route, Server, Service, Share, Table,
+};
 use std::time::Duration;
 
 pub const MODEL: &str = "model";
@@ -30,20 +32,21 @@
         prefix: "/".to_owned(),
         kind: Kind::Stream { resumable: true },
         timeout: Duration::from_secs(12),
-        aim: Duration::from_millis(1_500),
-        gap_aim: gap,
+        latency_target: Duration::from_millis(1_500),
+        gap_target: gap,
         priority: 0,
         shares: vec![Share { service: MODEL.to_owned(), weight: 1 }],
-        attempts: 2,
-        open: false,
-        homes: None,
+        max_attempts: 2,
+        no_auth: false,
+        allowed_regions: None,
     }
 }
 
 /// The service of engines of so many places whose events hold `stride` tokens.
-pub fn service(slots: u32, stride: u32, cold: Option<Cold>) -> Service {
-    let engine = Engine { slots, memory_tokens: 500_000, token_bytes: 18_432, link_mbps: 100_000.0, stride };
-    Service { name: MODEL.to_owned(), connections: 100, engine: Some(engine), cold }
+pub fn service(slots: u32, stride: u32, cold: Option<ColdStart>) -> Service {
+    let engine =
+        Engine { slots, memory_tokens: 500_000, token_bytes: 18_432, link_mbps: 100_000.0, tokens_per_event: stride };
+    Service { name: MODEL.to_owned(), max_connections: 100, engine: Some(engine), cold_start: cold }
 }
 
 /// Puts servers in force, these halls being evacuated.
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -4,7 +4,7 @@
 
 use common::{route, server, service, MODEL};
 use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget};
-use routing::{Homes, Regions, Server, Table};
+use routing::{AllowedRegions, HallRegions, Server, Table};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 fn placement(servers: Vec<Server>) -> Placement {
     let halls = (0..5).map(|hall| (format!("hall-{hall}"), "near".to_owned()));
-    let regions: Regions = halls.chain([(FAR.to_owned(), "far".to_owned())]).collect();
+    let regions: HallRegions = halls.chain([(FAR.to_owned(), "far".to_owned())]).collect();
     let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000)).with_regions(regions);
     let table = Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(64, 8, None)]);
     common::update(&mut placement, &table, servers, &[], 0);
@@ -32,7 +32,7 @@
 }
 
 /// The server that a request is sent to whose prompt shares a part, and the first that would be asked for it.
-fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&Homes>) -> (String, String) {
+fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&AllowedRegions>) -> (String, String) {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
     let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
     let ask = PlacementRequest {
@@ -108,7 +108,7 @@
 #[test]
 fn the_few_servers_that_may_have_a_request_are_found_among_all() {
     let mut one = placement(servers());
-    let homes = Homes::of(vec!["far".to_owned()]).expect("a region");
+    let homes = AllowedRegions::new(vec!["far".to_owned()]).expect("a region");
     for part in 0..10 {
         let (chosen, asked) = choose(&mut one, part, 1_000 + part, Some(&homes));
         for id in [&chosen, &asked] {
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -9,7 +9,7 @@
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing::{Cold, Server, Table};
+use routing::{ColdStart, Server, Table};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
     1.5 * per_s * (WINDOW as f64 / 1e3) + 5.0
 }
 
-fn table(cold: Option<Cold>) -> Table {
+fn table(cold: Option<ColdStart>) -> Table {
     Table::new(1, Vec::new(), vec![service(64, 6, cold)])
 }
 
@@ -507,7 +507,7 @@
 
 #[test]
 fn a_limit_is_of_one_life_and_holds_whatever_else_does() {
-    let cold = Some(Cold { time: Duration::from_secs(10), per_s: 5.0 });
+    let cold = Some(ColdStart { duration: Duration::from_secs(10), requests_per_s: 5.0 });
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = || Server { cold_ms: 10_000, ..server(0, "hall") };
     update(&mut placement, &table(cold), vec![cold_server()], &[], 0);
--- a/crates/placement/tests/notices.rs
+++ b/crates/placement/tests/notices.rs
@@ -4,12 +4,12 @@
 
 use common::{server, service, update, MODEL};
 use placement::{Choice, Ending, Load, Part, Placement, PlacementRequest, Prompt, Refusal, RetryBudget, ServerStatus};
-use routing::{Cold, Server, Table};
+use routing::{ColdStart, Server, Table};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-fn table(cold: Option<Cold>) -> Table {
+fn table(cold: Option<ColdStart>) -> Table {
     Table::new(1, Vec::new(), vec![service(64, 6, cold)])
 }
 
@@ -183,7 +183,7 @@
 
 #[test]
 fn a_cold_server_that_rests_is_not_what_callers_wait_for() {
-    let cold = Some(Cold { time: Duration::from_secs(10), per_s: 5.0 });
+    let cold = Some(ColdStart { duration: Duration::from_secs(10), requests_per_s: 5.0 });
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = Server { cold_ms: 10_000, ..server(0, "hall") };
     update(&mut placement, &table(cold), vec![cold_server], &[], 0);
--- a/crates/relay/src/choosing.rs
+++ b/crates/relay/src/choosing.rs
@@ -98,15 +98,15 @@
         PlacementRequest {
             service: &self.service,
             prompt: self.call.prompt.as_ref(),
-            target: self.route.aim,
-            gap_limit: self.route.gap_aim,
+            target: self.route.latency_target,
+            gap_limit: self.route.gap_target,
             urgency: self.urgency(),
             bytes: self.body.len(),
             tried: &self.tried,
             denied,
             allowed_regions: [
-                self.route.homes.as_ref(),
-                self.customer.as_ref().and_then(|customer| customer.homes.as_ref()),
+                self.route.allowed_regions.as_ref(),
+                self.customer.as_ref().and_then(|customer| customer.allowed_regions.as_ref()),
             ],
             statuses: opinions,
             now: self.shared.now(),
@@ -117,7 +117,7 @@
     pub(crate) async fn consult(&self) -> Vec<(String, ServerStatus)> {
         let Some(prompt) = &self.call.prompt else { return Vec::new() };
         let planned = self.shared.placement().servers_to_query(&self.ask(&[], &[]), OWNERS_ASKED);
-        let gap_ms = self.route.gap_aim.map_or(0, |gap| gap.as_millis() as u32);
+        let gap_ms = self.route.gap_target.map_or(0, |gap| gap.as_millis() as u32);
         let asked: Vec<Asked> =
             planned.iter().filter_map(|server| Asked::new(&self.shared, server, prompt, gap_ms)).collect();
         let until = Instant::now() + OPINION_MOST;
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn too_late(&mut self) -> Response<Body> {
-        if let Some(server) = self.tried.last().filter(|_| !self.route.kind.streams()) {
+        if let Some(server) = self.tried.last().filter(|_| !self.route.kind.is_stream()) {
             // A plain server that says nothing for that long is broken; an engine may be busy.
             let now = self.shared.now();
             self.shared.placement().record_ending(&self.service, server, Ending::Broken, now);
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -128,7 +128,7 @@
     /// Sends, and reads the answer unless it is a stream.
     async fn get(&mut self, choice: &Choice) -> Got {
         match self.send(choice, self.call.last_event).await {
-            Sent::Answer(answer) if self.route.kind.streams() && answer.parts.status.is_success() => {
+            Sent::Answer(answer) if self.route.kind.is_stream() && answer.parts.status.is_success() => {
                 Got::Stream(answer)
             }
             Sent::Answer(answer) => match answer.collect(&self.connections).await {
@@ -142,8 +142,8 @@
     /// How long a server may be silent before another is asked. Only where there is one and it may be done; elsewhere
     /// silence is no reason to end a request sooner.
     fn patience(&self, choice: &Choice) -> Option<Duration> {
-        let another = self.route.kind == Kind::Idempotent && self.sends + 1 < self.route.attempts;
-        let patience = self.route.aim * SILENT_AIMS;
+        let another = self.route.kind == Kind::Idempotent && self.sends + 1 < self.route.max_attempts;
+        let patience = self.route.latency_target * SILENT_AIMS;
         let left = self.left();
         (another && choice.candidates > 1 && patience < left).then_some(patience)
     }
@@ -151,7 +151,7 @@
     /// Sends to the chosen server, with what time is left.
     pub(crate) async fn send(&mut self, choice: &Choice, last_event: Option<u64>) -> Sent {
         let server = Arc::clone(&choice.server);
-        if self.may_have_run && !self.route.kind.repeatable() {
+        if self.may_have_run && !self.route.kind.is_repeatable() {
             telemetry::emit(Event::SecondSendBroken, format_args!("id={} trail=\"{}\"", self.call.id, self.trail));
             return Sent::Broken("not sent a second time".to_owned());
         }
@@ -180,7 +180,7 @@
         if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
             claim.ended(Ending::Failed);
             self.may_have_run = true;
-            if self.route.kind.repeatable() && self.may_send_again() {
+            if self.route.kind.is_repeatable() && self.may_send_again() {
                 return None;
             }
         } else {
@@ -229,7 +229,7 @@
         }
         self.sends += 1;
         self.may_have_run |= ending == Ending::Broken;
-        let allowed = !self.may_have_run || self.route.kind.repeatable();
+        let allowed = !self.may_have_run || self.route.kind.is_repeatable();
         if allowed && self.may_send_again() {
             Next::Again
         } else {
@@ -239,7 +239,7 @@
 
     /// True when another send is within the route's attempts, the time and the shared budget.
     pub(crate) fn may_send_again(&mut self) -> bool {
-        if self.sends >= self.route.attempts || !self.time_left() {
+        if self.sends >= self.route.max_attempts || !self.time_left() {
             return false;
         }
         let now = self.shared.now();
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/front.rs
@@ -115,7 +115,7 @@
         loop {
             tokio::time::sleep(PRUNE_EVERY).await;
             let view = self.shared.view();
-            let lives = view.directory.lives();
+            let lives = view.directory.instances();
             self.connections.prune(|life| lives.contains(life));
         }
     }
@@ -175,7 +175,7 @@
         let Some(table) = &view.table else {
             return answer::refused("no configuration yet", START_TIME);
         };
-        let body = match read_body(body, table.limits.body_most).await {
+        let body = match read_body(body, table.limits.max_body_bytes).await {
             Ok(body) => body,
             Err((status, why)) => return answer::plain(status, why),
         };
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -158,7 +158,7 @@
         self.events.discard_partial();
         let last = self.events.last_id().or(exchange.call.last_event);
         let _ = write!(exchange.trail, "=broke after {last:?} ({why})");
-        if exchange.route.kind.repeatable() && exchange.may_send_again() {
+        if exchange.route.kind.is_repeatable() && exchange.may_send_again() {
             let deadline = exchange.deadline;
             let resumed = tokio::select! {
                 resumed = tokio::time::timeout_at(deadline, exchange.resume(last)) => resumed.ok().flatten(),
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -15,9 +15,9 @@
 impl Timing {
     /// What made a whole stream late, by the aims of its route; none when it was in time.
     pub(crate) fn late(&self, route: &Route) -> Option<&'static str> {
-        if self.first.is_some_and(|first| first > route.aim) {
+        if self.first.is_some_and(|first| first > route.latency_target) {
             return Some("first");
         }
-        route.gap_aim.is_some_and(|aim| self.pause > aim).then_some("pause")
+        route.gap_target.is_some_and(|aim| self.pause > aim).then_some("pause")
     }
 }
--- a/crates/routing/src/customer.rs
+++ b/crates/routing/src/customer.rs
@@ -1,6 +1,6 @@
 //! Who sends requests.
 
-use crate::Homes;
+use crate::AllowedRegions;
 
 /// A customer, found by one of its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -10,5 +10,5 @@
     /// Rank of its requests, 0 first; none when only the route's counts.
     pub priority: Option<u8>,
     /// Regions in which its requests may run; none where any will do. A route's own bind as well.
-    pub homes: Option<Homes>,
+    pub allowed_regions: Option<AllowedRegions>,
 }
--- a/crates/routing/src/directory.rs
+++ b/crates/routing/src/directory.rs
@@ -1,6 +1,6 @@
 //! The servers that may be used.
 
-use crate::excerpt::{Entry, Sums};
+use crate::excerpt::{Entry, PartDigests};
 use crate::{Position, Server};
 use imbl::OrdMap;
 use serde::{Deserialize, Serialize};
@@ -42,9 +42,9 @@
     /// Names of entries that say of no server that it may be used. None of them is in `servers`.
     pub foreign: BTreeSet<String>,
     /// Names of those whose entries lapsed while the publisher was away. Each is in `servers`, and not draining.
-    pub lapsed: BTreeSet<String>,
-    /// Sums over all entries above, kept with each change.
-    pub sums: Sums,
+    pub in_grace: BTreeSet<String>,
+    /// PartDigests over all entries above, kept with each change.
+    pub part_digests: PartDigests,
 }
 
 impl Directory {
@@ -69,7 +69,7 @@
     /// All else is told, also what is known here: a list that was read in pages may be ahead of its position, and another
     /// box at that position is not.
     #[must_use]
-    pub fn news_of(&self, changes: Vec<Change>) -> Vec<Change> {
+    pub fn changes_to_forward(&self, changes: Vec<Change>) -> Vec<Change> {
         // What is known here says nothing of a server once an earlier one of these changes has made it another.
         let mut touched = HashSet::new();
         let mut news = |change: &Change| {
@@ -88,7 +88,7 @@
         let Some(old) = self.servers.get(&server.name) else { return false };
         let warmer = 0 < server.cold_ms && server.cold_ms < old.cold_ms;
         warmer
-            && !self.lapsed.contains(&server.name)
+            && !self.in_grace.contains(&server.name)
             && Server { cold_ms: server.cold_ms, ..Server::clone(old) } == *server
     }
 
@@ -99,7 +99,7 @@
     }
 
     /// Takes in what a sample says, as long as this is one as well. True when servers are different now.
-    pub fn extend(&mut self, sample: Self) -> bool {
+    pub fn merge_sample(&mut self, sample: Self) -> bool {
         debug_assert!(!self.position.is_known(), "a whole list isn't extended");
         let servers = sample.servers.values().map(|server| Change::Present(Server::clone(server)));
         let foreign = sample.foreign.into_iter().map(Change::Foreign);
@@ -107,7 +107,7 @@
     }
 
     /// Keeps what `former` has and this, read after the publisher was away, lacks.
-    pub fn lapse_missing(&mut self, former: &Self) {
+    pub fn retain_missing(&mut self, former: &Self) {
         for (name, server) in &former.servers {
             let listed = self.servers.contains_key(name) || self.foreign.contains(name);
             if !server.draining && !listed {
@@ -119,11 +119,11 @@
 
     /// The changes that make this list of `former`.
     #[must_use]
-    pub fn since(&self, former: &Self) -> Vec<Change> {
+    pub fn changes_since(&self, former: &Self) -> Vec<Change> {
         let old = |name: &String| former.servers.get(name);
         let present = self.servers.iter().filter(|(name, server)| old(name) != Some(server));
         let put = present.map(|(_, server)| Change::Present(Server::clone(server)));
-        let lapsed = self.lapsed.difference(&former.lapsed).map(|name| Change::Lapsed(name.clone()));
+        let lapsed = self.in_grace.difference(&former.in_grace).map(|name| Change::Lapsed(name.clone()));
         let foreign = self.foreign.difference(&former.foreign).map(|name| Change::Foreign(name.clone()));
         let listed = |name: &&String| !self.servers.contains_key(*name) && !self.foreign.contains(*name);
         let gone = former.servers.keys().chain(&former.foreign).filter(listed);
@@ -132,37 +132,37 @@
 
     /// The ids of lives that `former` hasn't, other than those that lapsed.
     #[must_use]
-    pub fn lives_beyond(&self, former: &Self) -> Vec<String> {
-        let known = former.lives();
+    pub fn new_instances(&self, former: &Self) -> Vec<String> {
+        let known = former.instances();
         let new = |(name, server): &(&String, &Arc<Server>)| {
-            !known.contains(server.id.as_str()) && !self.lapsed.contains(*name)
+            !known.contains(server.id.as_str()) && !self.in_grace.contains(*name)
         };
         self.servers.iter().filter(new).map(|(_, server)| server.id.clone()).collect()
     }
 
     /// The ids of all lives that are listed.
     #[must_use]
-    pub fn lives(&self) -> HashSet<&str> {
+    pub fn instances(&self) -> HashSet<&str> {
         self.servers.values().map(|server| server.id.as_str()).collect()
     }
 
     /// Takes a lapsed server for gone. False when it isn't lapsed.
     pub fn expire(&mut self, name: &str) -> bool {
-        self.lapsed.contains(name) && self.remove(name)
+        self.in_grace.contains(name) && self.remove(name)
     }
 
     fn remove(&mut self, name: &str) -> bool {
         self.forget_notes(name);
         let removed = self.servers.remove(name);
         if let Some(server) = &removed {
-            self.sums.remove(&Entry::Server(server));
+            self.part_digests.remove(&Entry::Server(server));
         }
         removed.is_some()
     }
 
     fn reject(&mut self, name: String) -> bool {
         let changed = self.remove(&name);
-        self.sums.add(&Entry::Foreign(&name));
+        self.part_digests.add(&Entry::Foreign(&name));
         self.foreign.insert(name);
         changed
     }
@@ -188,25 +188,25 @@
 
     /// Lists a server in place of what is listed under its name.
     pub(crate) fn list(&mut self, server: Arc<Server>) {
-        self.sums.add(&Entry::Server(&server));
+        self.part_digests.add(&Entry::Server(&server));
         if let Some(old) = self.servers.insert(server.name.clone(), server) {
-            self.sums.remove(&Entry::Server(&old));
+            self.part_digests.remove(&Entry::Server(&old));
         }
     }
 
     /// An entry is neither foreign nor lapsed any more.
     fn forget_notes(&mut self, name: &str) {
         if self.foreign.remove(name) {
-            self.sums.remove(&Entry::Foreign(name));
+            self.part_digests.remove(&Entry::Foreign(name));
         }
-        if self.lapsed.remove(name) {
-            self.sums.remove(&Entry::Lapsed(name));
+        if self.in_grace.remove(name) {
+            self.part_digests.remove(&Entry::Lapsed(name));
         }
     }
 
     pub(crate) fn note_lapsed(&mut self, name: &str) {
-        if self.lapsed.insert(name.to_owned()) {
-            self.sums.add(&Entry::Lapsed(name));
+        if self.in_grace.insert(name.to_owned()) {
+            self.part_digests.add(&Entry::Lapsed(name));
         }
     }
 }
--- a/crates/routing/src/evacuations.rs
+++ b/crates/routing/src/evacuations.rs
@@ -28,22 +28,22 @@
     /// True while a hall is evacuated: as published, or as it was known. The publisher's word alone can't tell an evacuation that was
     /// ended after its copy from one that was ordered while it was away, so that either counts.
     #[must_use]
-    pub fn evacuates(&self, hall: &str) -> bool {
+    pub fn is_evacuated(&self, hall: &str) -> bool {
         self.halls.contains(hall) || self.held.contains(hall)
     }
 
     /// All evacuated halls.
     #[must_use]
-    pub fn evacuated(&self) -> BTreeSet<String> {
+    pub fn evacuated_halls(&self) -> BTreeSet<String> {
         self.halls.union(&self.held).cloned().collect()
     }
 
     /// Takes what is known of a later position, or held besides at the same. True when other halls are evacuated now.
-    pub fn take(&mut self, newer: Self) -> bool {
+    pub fn merge(&mut self, newer: Self) -> bool {
         if newer.position < self.position {
             return false;
         }
-        let before = self.evacuated();
+        let before = self.evacuated_halls();
         if newer.position.restored_since(self.position) {
             self.held.clone_from(&before);
             self.written.clear();
@@ -55,7 +55,7 @@
         self.held.extend(newer.held);
         self.written.extend(newer.written);
         self.settle();
-        self.evacuated() != before
+        self.evacuated_halls() != before
     }
 
     /// What the operator has written of, or is published, need not be held.
@@ -65,11 +65,11 @@
 
     /// Takes which evacuations began (true) or ended up to a later position of the same era. True when other halls are
     /// evacuated now.
-    pub fn change(&mut self, changes: Vec<(String, bool)>, position: Position) -> bool {
+    pub fn apply(&mut self, changes: Vec<(String, bool)>, position: Position) -> bool {
         if position <= self.position {
             return false;
         }
-        let before = self.evacuated();
+        let before = self.evacuated_halls();
         self.position = position;
         for (hall, lasts) in changes {
             self.written.insert(hall.clone());
@@ -80,13 +80,13 @@
             }
         }
         self.settle();
-        self.evacuated() != before
+        self.evacuated_halls() != before
     }
 
     /// Gives up what was held. True when other halls are evacuated now.
-    pub fn release(&mut self) -> bool {
-        let before = self.evacuated();
+    pub fn drop_held(&mut self) -> bool {
+        let before = self.evacuated_halls();
         self.held.clear();
-        self.evacuated() != before
+        self.evacuated_halls() != before
     }
 }
--- a/crates/routing/src/excerpt.rs
+++ b/crates/routing/src/excerpt.rs
@@ -70,15 +70,15 @@
 
 /// For each part of a list the sum of its entries' digests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sums([u32; PARTS]);
+pub struct PartDigests([u32; PARTS]);
 
-impl Default for Sums {
+impl Default for PartDigests {
     fn default() -> Self {
         Self([0; PARTS])
     }
 }
 
-impl Sums {
+impl PartDigests {
     pub(crate) fn add(&mut self, entry: &Entry<'_>) {
         let sum = &mut self.0[usize::from(part(entry.name()))];
         *sum = sum.wrapping_add(entry.digest());
@@ -94,7 +94,7 @@
     /// What it says, in brief.
     #[must_use]
     pub fn digests(&self) -> Digests {
-        Digests { position: self.position, parts: self.sums.0.to_vec() }
+        Digests { position: self.position, parts: self.part_digests.0.to_vec() }
     }
 
     /// What the list with these digests lacks of this one; none where that isn't older.
@@ -103,7 +103,8 @@
         if theirs.position >= self.position {
             return None;
         }
-        let differs = |index: &u8| theirs.parts.get(usize::from(*index)) != self.sums.0.get(usize::from(*index));
+        let differs =
+            |index: &u8| theirs.parts.get(usize::from(*index)) != self.part_digests.0.get(usize::from(*index));
         let parts: BTreeSet<u8> = (0..PARTS as u8).filter(differs).collect();
         let within = |name: &&String| parts.contains(&part(name));
         Some(Excerpt {
@@ -111,14 +112,14 @@
             position: self.position,
             servers: self.servers.iter().filter(|(name, _)| within(name)).map(|(_, s)| Server::clone(s)).collect(),
             foreign: self.foreign.iter().filter(within).cloned().collect(),
-            lapsed: self.lapsed.iter().filter(within).cloned().collect(),
+            lapsed: self.in_grace.iter().filter(within).cloned().collect(),
             parts,
         })
     }
 
     /// This list with an excerpt put in; none where it was made for another position of it.
     #[must_use]
-    pub fn with(&self, excerpt: Excerpt) -> Option<Self> {
+    pub fn with_excerpt(&self, excerpt: Excerpt) -> Option<Self> {
         if excerpt.base != self.position {
             return None;
         }
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -6,22 +6,22 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Largest head of a request in bytes.
-    pub head_most: usize,
+    pub max_head_bytes: usize,
     /// Largest body of a request in bytes.
-    pub body_most: usize,
+    pub max_body_bytes: usize,
     /// Longest time for a request's head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long an idle connection is kept.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head_most: 16 * 1024,
-            body_most: 4 << 20,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 4 << 20,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
--- a/crates/routing/src/publisher.rs
+++ b/crates/routing/src/publisher.rs
@@ -46,29 +46,29 @@
 
 /// Why the publisher gave nothing usable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum PublisherError {
     /// It did not answer in time, or turned the call away.
     Unreachable(String),
     /// It answers, and has no configuration yet.
-    Absent,
+    NoConfiguration,
     /// It doesn't have the history since the position asked for, or came back from a copy meanwhile; a full read is needed.
-    Forgotten,
+    HistoryUnavailable,
     /// It answered something that makes no sense.
-    Garbled(String),
+    Malformed(String),
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for PublisherError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "unreachable: {why}"),
-            Self::Absent => f.write_str("no configuration yet"),
-            Self::Forgotten => f.write_str("history forgotten"),
-            Self::Garbled(why) => write!(f, "garbled: {why}"),
+            Self::NoConfiguration => f.write_str("no configuration yet"),
+            Self::HistoryUnavailable => f.write_str("history forgotten"),
+            Self::Malformed(why) => write!(f, "garbled: {why}"),
         }
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for PublisherError {}
 
 /// Publishes the configuration and the servers; can only be read.
 #[async_trait(?Send)]
@@ -76,26 +76,26 @@
     /// What operators have ordered.
     ///
     /// # Errors
-    /// [`Trouble`] when nothing usable came.
-    async fn orders(&self, freshness: Freshness) -> Result<Orders, Trouble>;
+    /// [`PublisherError`] when nothing usable came.
+    async fn orders(&self, freshness: Freshness) -> Result<Orders, PublisherError>;
 
     /// All servers.
     ///
     /// # Errors
-    /// [`Trouble`] when nothing usable came.
-    async fn directory(&self, freshness: Freshness) -> Result<Directory, Trouble>;
+    /// [`PublisherError`] when nothing usable came.
+    async fn directory(&self, freshness: Freshness) -> Result<Directory, PublisherError>;
 
     /// Some of the servers, by few calls: others for each `draw`, and at no position. Where there are few, all of them at theirs.
     ///
     /// # Errors
-    /// [`Trouble`] when nothing usable came.
-    async fn sample(&self, freshness: Freshness, draw: u64) -> Result<Directory, Trouble>;
+    /// [`PublisherError`] when nothing usable came.
+    async fn sample(&self, freshness: Freshness, draw: u64) -> Result<Directory, PublisherError>;
 
     /// Waits up to `wait` for news of `subject` after `since`.
     ///
     /// # Errors
-    /// [`Trouble`] when nothing usable came; [`Trouble::Forgotten`] asks for a full read.
-    async fn watch(&self, subject: Subject, since: Position, wait: Duration) -> Result<Update, Trouble>;
+    /// [`PublisherError`] when nothing usable came; [`PublisherError::HistoryUnavailable`] asks for a full read.
+    async fn watch(&self, subject: Subject, since: Position, wait: Duration) -> Result<Update, PublisherError>;
 
     /// Reads a configuration as published.
     ///
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -1,6 +1,6 @@
 //! One route.
 
-use crate::{Customer, Homes, Kind};
+use crate::{AllowedRegions, Customer, Kind};
 use std::time::Duration;
 
 /// Lowest urgency that an engine knows.
@@ -32,19 +32,19 @@
     /// Longest time that a request is held.
     pub timeout: Duration,
     /// Aim for the answer; for streams, for the first event.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// Longest pause between events of a stream that is still in time.
-    pub gap_aim: Option<Duration>,
+    pub gap_target: Option<Duration>,
     /// Rank, 0 first.
     pub priority: u8,
     /// Services that share the requests; never empty.
     pub shares: Vec<Share>,
     /// Most servers that one attempt of a caller may be sent to; at least 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// True when no key is asked for.
-    pub open: bool,
+    pub no_auth: bool,
     /// Regions in which its requests may run; none where any will do. A customer's own bind as well.
-    pub homes: Option<Homes>,
+    pub allowed_regions: Option<AllowedRegions>,
 }
 
 impl Route {
--- a/crates/routing/src/service.rs
+++ b/crates/routing/src/service.rs
@@ -14,16 +14,16 @@
     /// Speed of the links between engines in Mbit/s.
     pub link_mbps: f64,
     /// Tokens in one event of a stream.
-    pub stride: u32,
+    pub tokens_per_event: u32,
 }
 
 /// What a server bears that has just started, or has turned cold again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// How long it stays cold.
-    pub time: Duration,
+    pub duration: Duration,
     /// Requests a second that it bears meanwhile; above 0.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// A group of servers of which each can answer the same requests.
@@ -32,9 +32,9 @@
     /// Name, as in routes and server entries.
     pub name: String,
     /// Most connections that one server accepts from all callers together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Present when its servers are model engines.
     pub engine: Option<Engine>,
     /// What its servers bear while they are cold; none where a cold server bears what others do.
-    pub cold: Option<Cold>,
+    pub cold_start: Option<ColdStart>,
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -77,10 +77,10 @@
 
     /// The shortest pause between events that answers of a service bear, by its routes; none where they bear any.
     #[must_use]
-    pub fn shortest_gap(&self, service: &str) -> Option<Duration> {
+    pub fn min_gap_target(&self, service: &str) -> Option<Duration> {
         let routes = self.routes.values().flatten();
         let its = routes.filter(|route| route.shares.iter().any(|share| share.service == service));
-        its.filter_map(|route| route.gap_aim).min()
+        its.filter_map(|route| route.gap_target).min()
     }
 
     /// The route of a request: the longest prefix of its path among the routes of its host.
@@ -98,7 +98,7 @@
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         let customer = key.and_then(|key| self.customers.get(key)).cloned();
-        if customer.is_none() && self.keyed && !route.open {
+        if customer.is_none() && self.keyed && !route.no_auth {
             return Access::Denied;
         }
         Access::Granted(customer)
--- a/crates/routing/tests/directory.rs
+++ b/crates/routing/tests/directory.rs
@@ -43,7 +43,7 @@
     assert!(directory.expire("b"));
     assert!(!directory.expire("b"));
     assert_eq!(directory.servers.keys().collect::<Vec<_>>(), ["a"]);
-    assert!(directory.lapsed.is_empty());
+    assert!(directory.in_grace.is_empty());
 }
 
 #[test]
@@ -52,11 +52,11 @@
     former.apply(vec![server("a", false), server("b", true)], at(5));
     let mut read = Directory::default();
     read.apply(vec![server("z", false)], at(9));
-    read.lapse_missing(&former);
+    read.retain_missing(&former);
     assert_eq!(read.servers.keys().collect::<Vec<_>>(), ["a", "z"], "the draining one is gone");
-    assert_eq!(read.lapsed.iter().collect::<Vec<_>>(), ["a"]);
+    assert_eq!(read.in_grace.iter().collect::<Vec<_>>(), ["a"]);
     read.apply(vec![Change::Gone("a".to_owned())], at(10));
-    assert_eq!((read.servers.len(), read.lapsed.len()), (1, 0));
+    assert_eq!((read.servers.len(), read.in_grace.len()), (1, 0));
 }
 
 #[test]
@@ -67,7 +67,7 @@
     assert_eq!(directory.servers.keys().collect::<Vec<_>>(), ["b"]);
     let mut read = Directory::default();
     read.apply(vec![Change::Foreign("b".to_owned())], at(7));
-    read.lapse_missing(&directory);
+    read.retain_missing(&directory);
     assert!(read.servers.is_empty(), "what is there in another's hand has not lapsed");
     assert!(read.apply(vec![server("b", false)], at(8)));
     assert!(read.foreign.is_empty());
@@ -81,9 +81,9 @@
     let mut newer = Directory::default();
     newer.apply(vec![server("a", false), server("b", true), server("y", false)], at(9));
     newer.apply(vec![Change::Foreign("c".to_owned())], at(9));
-    newer.lapse_missing(&former);
-    assert_eq!(newer.lapsed.iter().collect::<Vec<_>>(), ["d"]);
-    let changes = newer.since(&former);
+    newer.retain_missing(&former);
+    assert_eq!(newer.in_grace.iter().collect::<Vec<_>>(), ["d"]);
+    let changes = newer.changes_since(&former);
     assert_eq!(changes.len(), 5, "what is the same isn't told: {changes:?}");
     former.apply(changes, newer.position);
     assert_eq!(former, newer);
@@ -98,7 +98,7 @@
     let mut directory = Directory::default();
     directory.apply(vec![life("a@1")], at(5));
     assert!(directory.apply(vec![life("a@2")], at(6)));
-    assert_eq!(directory.lives().into_iter().collect::<Vec<_>>(), ["a@2"]);
+    assert_eq!(directory.instances().into_iter().collect::<Vec<_>>(), ["a@2"]);
 }
 
 #[test]
@@ -107,11 +107,11 @@
         Evacuations::new(at(revision), halls.iter().map(|hall| (*hall).to_owned()).collect())
     };
     let mut known = Evacuations::default();
-    assert!(known.take(halls(5, &["a", "b"])));
-    assert!(!known.take(halls(4, &[])));
-    assert!(!known.take(halls(7, &["a", "b"])), "the same halls");
-    assert!(known.take(halls(8, &["b"])));
-    assert!(!known.take(halls(7, &["a", "b"])));
+    assert!(known.merge(halls(5, &["a", "b"])));
+    assert!(!known.merge(halls(4, &[])));
+    assert!(!known.merge(halls(7, &["a", "b"])), "the same halls");
+    assert!(known.merge(halls(8, &["b"])));
+    assert!(!known.merge(halls(7, &["a", "b"])));
     assert_eq!(known, halls(8, &["b"]));
 }
 
@@ -129,10 +129,10 @@
         let mut newer = list(3_000, changed, 9);
         newer.apply(vec![Change::Foreign("odd".to_owned()), Change::Lapsed(format!("i-{:010x}", 2_999))], at(9));
         let excerpt = newer.excerpt(&older.digests()).expect("it is newer");
-        assert_eq!(older.with(excerpt.clone()).expect("made for it"), newer);
+        assert_eq!(older.with_excerpt(excerpt.clone()).expect("made for it"), newer);
         let mut moved_on = older.clone();
         moved_on.apply(Vec::new(), at(6));
-        assert_eq!(moved_on.with(excerpt), None, "made for what it was before");
+        assert_eq!(moved_on.with_excerpt(excerpt), None, "made for what it was before");
         assert_eq!(older.excerpt(&newer.digests()), None);
     }
 }
@@ -148,13 +148,13 @@
     {
         let mut directory = Directory::default();
         directory.apply(vec![cold(before)], at(5));
-        assert_eq!(directory.news_of(vec![cold(after)]).len(), usize::from(news), "{before} {after}");
+        assert_eq!(directory.changes_to_forward(vec![cold(after)]).len(), usize::from(news), "{before} {after}");
     }
     let mut directory = Directory::default();
     directory.apply(vec![cold(3_000)], at(5));
-    assert_eq!(directory.news_of(vec![server("a", true), Change::Gone("a".to_owned())]).len(), 2);
+    assert_eq!(directory.changes_to_forward(vec![server("a", true), Change::Gone("a".to_owned())]).len(), 2);
     directory.apply(vec![Change::Lapsed("a".to_owned())], at(6));
-    assert_eq!(directory.news_of(vec![cold(1_000)]).len(), 1, "it is back");
+    assert_eq!(directory.changes_to_forward(vec![cold(1_000)]).len(), 1, "it is back");
 }
 
 #[test]
@@ -166,7 +166,7 @@
     {
         let mut directory = Directory::default();
         directory.apply(heard, at(5));
-        let news = directory.news_of(told());
+        let news = directory.changes_to_forward(told());
         directory.apply(news, at(6));
         assert!(directory.servers["a"].draining, "a leaving server is taken for one that stays");
         assert!(!directory.servers["b"].draining);
@@ -180,7 +180,7 @@
     ahead.apply(vec![server("a", false), server("b", true)], at(5));
     let mut other = Directory::default();
     other.apply(vec![server("a", false), server("b", false)], at(5));
-    other.apply(ahead.news_of(vec![server("b", true), server("c", false)]), at(7));
+    other.apply(ahead.changes_to_forward(vec![server("b", true), server("c", false)]), at(7));
     assert!(other.servers["b"].draining);
 }
 
@@ -201,51 +201,51 @@
     copy.position = Position::new(1, 9);
     assert!(former.excerpt(&copy.digests()).is_none(), "the copy is newer");
     let excerpt = copy.excerpt(&former.digests()).expect("it is newer");
-    assert_eq!(former.with(excerpt.clone()).expect("made for it"), copy);
+    assert_eq!(former.with_excerpt(excerpt.clone()).expect("made for it"), copy);
     // Made for revision 9 of the former era, and not for that of the later one.
-    assert!(copy.with(excerpt).is_none());
+    assert!(copy.with_excerpt(excerpt).is_none());
     former.apply(Vec::new(), at(10));
-    assert_eq!(former.lives_beyond(&copy).len(), 2);
-    assert!(copy.lives_beyond(&former).is_empty());
+    assert_eq!(former.new_instances(&copy).len(), 2);
+    assert!(copy.new_instances(&former).is_empty());
 }
 
 #[test]
 fn evacuations_hold_through_a_restored_copy_until_they_are_written_again() {
     let halls = |position, names: &[&str]| Evacuations::new(position, names.iter().map(|n| (*n).to_owned()).collect());
     let copy = |revision| Position::new(1, revision);
-    let names = |of: &Evacuations| of.evacuated().into_iter().collect::<Vec<_>>().join(" ");
+    let names = |of: &Evacuations| of.evacuated_halls().into_iter().collect::<Vec<_>>().join(" ");
     // "a" was evacuated after the copy, "b" given back after it, "c" is as it was.
     let mut known = Evacuations::default();
-    known.take(halls(at(50), &["a", "c"]));
-    assert!(known.take(halls(copy(40), &["b", "c"])));
+    known.merge(halls(at(50), &["a", "c"]));
+    assert!(known.merge(halls(copy(40), &["b", "c"])));
     assert_eq!(names(&known), "a b c");
-    assert!(!known.take(halls(at(51), &[])), "what was said before the drill is over");
+    assert!(!known.merge(halls(at(51), &[])), "what was said before the drill is over");
     // Another box that heard less holds nothing; the two agree by what the first holds.
     let mut other = Evacuations::default();
-    other.take(halls(copy(40), &["b", "c"]));
-    assert!(other.take(known.clone()));
+    other.merge(halls(copy(40), &["b", "c"]));
+    assert!(other.merge(known.clone()));
     assert_eq!(other, known);
     let mut late = other.clone();
     // The operator writes again: "a" is evacuated, and given back later; "b" is given back.
-    assert!(known.change(vec![("a".to_owned(), true), ("b".to_owned(), false)], copy(42)));
+    assert!(known.apply(vec![("a".to_owned(), true), ("b".to_owned(), false)], copy(42)));
     assert_eq!((names(&known).as_str(), known.held.len()), ("a c", 0));
-    assert!(known.change(vec![("a".to_owned(), false)], copy(43)));
+    assert!(known.apply(vec![("a".to_owned(), false)], copy(43)));
     assert_eq!(names(&known), "c");
     // Who hears it from others holds nothing against what was written, and is not made to by one that still does.
-    assert!(other.take(known.clone()));
+    assert!(other.merge(known.clone()));
     assert_eq!(names(&other), "c");
     let mut stubborn = halls(copy(43), &["c"]);
     stubborn.held = late.held.clone();
-    assert!(!other.take(stubborn));
+    assert!(!other.merge(stubborn));
     // Where the operator never writes again, the publisher's word counts after a while.
-    assert!(late.release());
+    assert!(late.drop_held());
     assert_eq!(names(&late), "b c");
     // A second drill within the first: what holds goes on holding.
     let mut twice = Evacuations::default();
-    twice.take(halls(at(50), &["a"]));
-    twice.take(halls(copy(40), &[]));
-    assert!(!twice.take(halls(Position::new(2, 39), &[])));
-    assert!(twice.evacuates("a"));
+    twice.merge(halls(at(50), &["a"]));
+    twice.merge(halls(copy(40), &[]));
+    assert!(!twice.merge(halls(Position::new(2, 39), &[])));
+    assert!(twice.is_evacuated("a"));
 }
 
 #[test]
@@ -253,17 +253,17 @@
     let halls = |position, names: &[&str]| Evacuations::new(position, names.iter().map(|n| (*n).to_owned()).collect());
     // Nobody here knew of it before, and the copy's first list has it.
     let mut known = Evacuations::default();
-    known.take(halls(at(17), &[]));
-    assert!(known.take(halls(Position::new(1, 30), &["b"])));
-    assert!(known.evacuates("b"));
+    known.merge(halls(at(17), &[]));
+    assert!(known.merge(halls(Position::new(1, 30), &["b"])));
+    assert!(known.is_evacuated("b"));
     // Nor one that was given back after the copy, and is evacuated anew.
     let mut anew = Evacuations::default();
-    anew.take(halls(at(50), &[]));
-    anew.take(halls(Position::new(1, 40), &["a"]));
+    anew.merge(halls(at(50), &[]));
+    anew.merge(halls(Position::new(1, 40), &["a"]));
     let other = anew.clone();
     for mut one in [anew, other] {
-        one.change(vec![("a".to_owned(), true)], Position::new(1, 45));
-        assert!(one.evacuates("a"));
+        one.apply(vec![("a".to_owned(), true)], Position::new(1, 45));
+        assert!(one.is_evacuated("a"));
     }
 }
 
@@ -287,7 +287,7 @@
         let mut anew = Directory::default();
         anew.apply(list.servers.values().map(|server| Change::Present(Server::clone(server))).collect(), at(round));
         let foreign = list.foreign.iter().cloned().map(Change::Foreign);
-        let lapsed = list.lapsed.iter().cloned().map(Change::Lapsed);
+        let lapsed = list.in_grace.iter().cloned().map(Change::Lapsed);
         anew.apply(foreign.chain(lapsed).collect(), at(round));
         assert_eq!(list, anew);
         assert_eq!(list.digests(), anew.digests());
@@ -300,13 +300,13 @@
     assert!(!sample.is_usable());
     let mut drawn = Directory::default();
     drawn.apply(vec![server("a", false), server("gone", false)], Position::NONE);
-    assert!(sample.extend(drawn.clone()));
-    assert!(!sample.extend(drawn), "nothing new");
+    assert!(sample.merge_sample(drawn.clone()));
+    assert!(!sample.merge_sample(drawn), "nothing new");
     assert!(sample.is_usable() && !sample.position.is_known());
     let mut whole = Directory::default();
     whole.apply(vec![server("a", false), server("b", true)], at(9));
     let excerpt = whole.excerpt(&Directory::default().digests()).expect("all of it");
-    assert_eq!(Directory::default().with(excerpt), Some(whole));
+    assert_eq!(Directory::default().with_excerpt(excerpt), Some(whole));
     let mut empty = Directory::default();
     empty.apply(Vec::new(), at(3));
     assert!(empty.is_usable(), "known to have no server");
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -10,13 +10,13 @@
         prefix: prefix.to_owned(),
         kind: Kind::Idempotent,
         timeout: Duration::from_secs(1),
-        aim: Duration::from_millis(150),
-        gap_aim: None,
+        latency_target: Duration::from_millis(150),
+        gap_target: None,
         priority: 0,
         shares: vec![Share { service: "api".to_owned(), weight: 1 }],
-        attempts: 1,
-        open: false,
-        homes: None,
+        max_attempts: 1,
+        no_auth: false,
+        allowed_regions: None,
     }
 }
 
@@ -57,10 +57,10 @@
 #[test]
 fn a_key_is_asked_for_only_where_there_are_customers_and_the_route_is_not_open() {
     let closed = route("closed", "a.example", "/");
-    let open = Route { open: true, ..route("open", "a.example", "/o/") };
+    let open = Route { no_auth: true, ..route("open", "a.example", "/o/") };
     let without = Table::new(1, vec![closed.clone()], Vec::new());
     assert_eq!(without.access(&closed, None), Access::Granted(None));
-    let customer = Customer { name: "lender".to_owned(), priority: Some(1), homes: None };
+    let customer = Customer { name: "lender".to_owned(), priority: Some(1), allowed_regions: None };
     let with = without.with_customers(vec![(customer.clone(), vec!["k1".to_owned(), "k2".to_owned()])]);
     assert_eq!(with.access(&closed, None), Access::Denied);
     assert_eq!(with.access(&closed, Some("k3")), Access::Denied);
@@ -71,7 +71,7 @@
 #[test]
 fn no_customer_makes_a_routes_requests_less_urgent_than_those_of_a_lower_rank() {
     let of_rank = |priority| Route { priority, ..route("r", "a.example", "/") };
-    let customer = |priority| Customer { name: "c".to_owned(), priority, homes: None };
+    let customer = |priority| Customer { name: "c".to_owned(), priority, allowed_regions: None };
     for rank in 0..=2 {
         let urgencies = |rank| {
             let route = of_rank(rank);
