--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/answer.rs
@@ -30,7 +30,7 @@
 }
 
 /// Headers that concern one connection only, and never cross this box.
-const HOP: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -43,7 +43,7 @@
 ];
 
 /// Takes out the headers that concern one connection only, and those that `connection` names.
-pub(crate) fn strip_hop(headers: &mut http::HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut http::HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -51,7 +51,7 @@
         .flat_map(|v| v.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .filter(|name| !name.is_empty())
         .collect();
-    for name in named.iter().map(String::as_str).chain(HOP) {
+    for name in named.iter().map(String::as_str).chain(HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/relay/src/choosing.rs
+++ b/crates/relay/src/choose.rs
@@ -1,9 +1,9 @@
 //! Which server a request goes to, and whether it goes to any.
 
-use crate::attempt::Claim;
-use crate::consult::{self, Asked};
-use crate::crash::Broken;
+use crate::attempt::SlotGuard;
+use crate::crash::LostRequest;
 use crate::exchange::Exchange;
+use crate::owner_requests::{self, PendingOpinion};
 use http::uri::PathAndQuery;
 use http::{header, HeaderValue};
 use placement::{Choice, Fingerprint, Millis, PermitReply, PlacementRequest, Prompt, Refusal, ServerStatus, Verdict};
@@ -13,22 +13,22 @@
 
 /// How many servers' owners are asked for one request: eight that likely keep its parts, homes and those beyond
 /// them, and a cheap one; where it shares none, cheap ones only.
-const OWNERS_ASKED: usize = 9;
+const MAX_OPINIONS: usize = 9;
 
 /// Longest wait for owners. They are a few milliseconds away; a slow one must not make requests late.
-const OPINION_MOST: Duration = Duration::from_millis(25);
+const OPINION_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// Longest wait for whether the server of a send that broke off has ended, before the next: some ways there and back. Without
 /// it a request ends a fourth server, as the next send is faster than the news.
-const LOOK_MOST: Duration = Duration::from_millis(25);
+const CRASH_PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// Longest time from leave to the send: the span in which the owner counts arrivals is longer than
 /// a second by twice this, the rest being for the way. By the clock that counts while the machine is suspended: the owner's
 /// second does, too.
-const LEAVE_MOST: Millis = 100;
+const PERMIT_TTL_MS: Millis = 100;
 
 /// Why a request is not sent.
-pub(crate) enum Withheld {
+pub(crate) enum NotSent {
     /// No server may be tried.
     Refused(Refusal),
     /// Its time is over.
@@ -40,7 +40,7 @@
     },
 }
 
-impl From<Refusal> for Withheld {
+impl From<Refusal> for NotSent {
     fn from(refusal: Refusal) -> Self {
         Self::Refused(refusal)
     }
@@ -48,22 +48,22 @@
 
 impl Exchange {
     /// Chooses a server, and claims a place there.
-    pub(crate) async fn choose(&mut self) -> Result<(Choice, Claim), Withheld> {
-        let opinions = self.consult().await;
-        if let Some(mut looking) = self.looking.take() {
+    pub(crate) async fn choose(&mut self) -> Result<(Choice, SlotGuard), NotSent> {
+        let opinions = self.request_opinions().await;
+        if let Some(mut probe) = self.crash_probe.take() {
             // Closed or late: what is known by then is gone by.
-            let _ = tokio::time::timeout(LOOK_MOST, looking.changed()).await;
+            let _ = tokio::time::timeout(CRASH_PROBE_TIMEOUT, probe.changed()).await;
         }
         let mut denied = Vec::new();
         loop {
-            let choice = self.shared.placement().choose(&self.ask(&opinions, &denied))?;
-            let leave_until = self.shared.now() + LEAVE_MOST;
+            let choice = self.shared.placement().choose(&self.placement_request(&opinions, &denied))?;
+            let permit_expires = self.shared.now() + PERMIT_TTL_MS;
             let Some(quotas) = choice.permit_quotas else {
-                return self.claim(choice, None);
+                return self.claim_slot(choice, None);
             };
-            let (urgency, until) = (self.urgency(), Instant::now() + OPINION_MOST);
-            match consult::leave(&self.shared, &choice.server, quotas, urgency, until).await {
-                PermitReply::Granted => return self.claim(choice, Some(leave_until)),
+            let (urgency, until) = (self.urgency(), Instant::now() + OPINION_TIMEOUT);
+            match owner_requests::request_permit(&self.shared, &choice.server, quotas, urgency, until).await {
+                PermitReply::Granted => return self.claim_slot(choice, Some(permit_expires)),
                 PermitReply::Denied { retry_ms: again } => {
                     let until = self.shared.now().saturating_add(again);
                     self.shared.placement().record_denial(&self.service, &choice.server.id, urgency, until);
@@ -74,23 +74,27 @@
     }
 
     /// Takes a place at the chosen server, unless servers ended under the request meanwhile, here or elsewhere.
-    pub(crate) fn claim(&mut self, choice: Choice, leave_until: Option<Millis>) -> Result<(Choice, Claim), Withheld> {
+    pub(crate) fn claim_slot(
+        &mut self,
+        choice: Choice,
+        permit_expires: Option<Millis>,
+    ) -> Result<(Choice, SlotGuard), NotSent> {
         if self.left().is_zero() {
             // The machine was suspended: its timers don't know yet.
-            return Err(Withheld::Late);
+            return Err(NotSent::Late);
         }
         match self.verdict() {
             Verdict::Free => {}
-            Verdict::Trial => self.shared.begin_trial(self.fingerprint()),
-            Verdict::Held { retry_ms: back_ms } => return Err(Withheld::Held { back_ms }),
+            Verdict::Trial => self.shared.begin_probe(self.fingerprint()),
+            Verdict::Held { retry_ms: back_ms } => return Err(NotSent::Held { back_ms }),
         }
-        self.leave_until = leave_until;
+        self.permit_expires = permit_expires;
         self.log_choice(&choice);
-        let claim = Claim::new(&self.shared, &self.service, &choice, self.call.prompt.as_ref());
-        Ok((choice, claim))
+        let slot = SlotGuard::new(&self.shared, &self.service, &choice, self.call.prompt.as_ref());
+        Ok((choice, slot))
     }
 
-    pub(crate) fn ask<'a>(
+    pub(crate) fn placement_request<'a>(
         &'a self,
         opinions: &'a [(String, ServerStatus)],
         denied: &'a [String],
@@ -114,16 +118,16 @@
     }
 
     /// Asks the owners of the likeliest servers; nobody for requests that are no prompts.
-    pub(crate) async fn consult(&self) -> Vec<(String, ServerStatus)> {
+    pub(crate) async fn request_opinions(&self) -> Vec<(String, ServerStatus)> {
         let Some(prompt) = &self.call.prompt else { return Vec::new() };
-        let planned = self.shared.placement().servers_to_query(&self.ask(&[], &[]), OWNERS_ASKED);
+        let planned = self.shared.placement().servers_to_query(&self.placement_request(&[], &[]), MAX_OPINIONS);
         let gap_ms = self.route.gap_target.map_or(0, |gap| gap.as_millis() as u32);
-        let asked: Vec<Asked> =
-            planned.iter().filter_map(|server| Asked::new(&self.shared, server, prompt, gap_ms)).collect();
-        let until = Instant::now() + OPINION_MOST;
+        let pending: Vec<PendingOpinion> =
+            planned.iter().filter_map(|server| PendingOpinion::request(&self.shared, server, prompt, gap_ms)).collect();
+        let until = Instant::now() + OPINION_TIMEOUT;
         let mut opinions = Vec::new();
-        for asked in asked {
-            opinions.extend(asked.wait(&self.shared, &self.service, until).await);
+        for request in pending {
+            opinions.extend(request.wait(&self.shared, &self.service, until).await);
         }
         opinions
     }
@@ -149,9 +153,10 @@
     }
 
     /// The answer that was claimed broke off: its connection has ended, or its server has.
-    pub(crate) fn broke(&mut self, claim: &Claim) {
-        let broken = Broken { request: self.fingerprint(), sent: claim.sent, at: self.shared.now() };
-        self.looking = Some(self.crashes.broke(&self.shared, &self.connections, &claim.server, broken));
+    pub(crate) fn on_connection_lost(&mut self, slot: &SlotGuard) {
+        let lost = LostRequest { request: self.fingerprint(), sent: slot.sent, at: self.shared.now() };
+        self.crash_probe =
+            Some(self.crash_detector.on_connection_lost(&self.shared, &self.connections, &slot.server, lost));
     }
 
     pub(crate) fn log_choice(&self, choice: &Choice) {
--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -16,23 +16,23 @@
 /// Servers whose connections broke while they had requests, of one traffic thread: a server that takes new connections has
 /// only reset one, a server whose address refuses them has ended.
 #[derive(Clone, Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashDetector {
     /// By server life that is being looked at.
-    looking: Rc<RefCell<HashMap<String, Look>>>,
+    probes: Rc<RefCell<HashMap<String, Probe>>>,
 }
 
 /// Finds out what became of a server.
 #[derive(Default)]
-struct Look {
+struct Probe {
     /// The requests whose answers broke off there.
-    requests: Vec<Broken>,
+    requests: Vec<LostRequest>,
     /// Dropped when it is known.
-    known: watch::Sender<()>,
+    done: watch::Sender<()>,
 }
 
 /// A request whose answer broke off.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Broken {
+pub(crate) struct LostRequest {
     pub(crate) request: Fingerprint,
     /// When it was sent to the server.
     pub(crate) sent: Millis,
@@ -40,38 +40,38 @@
     pub(crate) at: Millis,
 }
 
-impl Crashes {
+impl CrashDetector {
     /// A connection to `server` broke. Looks once for all that break together. What is returned closes when it is known whether
     /// the server has ended.
-    pub(crate) fn broke(
+    pub(crate) fn on_connection_lost(
         &self,
         shared: &Arc<Shared>,
         connections: &Connections,
         server: &Arc<Server>,
-        broken: Broken,
+        lost: LostRequest,
     ) -> watch::Receiver<()> {
-        let mut looking = self.looking.borrow_mut();
-        if !looking.contains_key(&server.id) {
-            let look = self.clone().look(Arc::clone(shared), connections.clone(), Arc::clone(server));
-            tokio::task::spawn_local(look);
+        let mut probes = self.probes.borrow_mut();
+        if !probes.contains_key(&server.id) {
+            let probe = self.clone().probe(Arc::clone(shared), connections.clone(), Arc::clone(server));
+            tokio::task::spawn_local(probe);
         }
-        let look = looking.entry(server.id.clone()).or_default();
-        look.requests.push(broken);
-        look.known.subscribe()
+        let probe = probes.entry(server.id.clone()).or_default();
+        probe.requests.push(lost);
+        probe.done.subscribe()
     }
 
-    async fn look(self, shared: Arc<Shared>, connections: Connections, server: Arc<Server>) {
-        let reached = connections.reach(&server.id, server.address).await;
+    async fn probe(self, shared: Arc<Shared>, connections: Connections, server: Arc<Server>) {
+        let reached = connections.probe(&server.id, server.address).await;
         // Its other end is closed when this returns.
-        let Look { requests, known: _known } = self.looking.borrow_mut().remove(&server.id).unwrap_or_default();
+        let Probe { requests, done: _done } = self.probes.borrow_mut().remove(&server.id).unwrap_or_default();
         let refused = matches!(&reached, Err(why) if why.kind() == ErrorKind::ConnectionRefused);
         let mut list = String::new();
-        for Broken { request, .. } in &requests {
+        for LostRequest { request, .. } in &requests {
             // Writing to memory can't fail.
             let _ = write!(list, "{}{request}", if list.is_empty() { "" } else { "," });
         }
         if refused {
-            shared.ended(&server.id, &requests);
+            shared.on_server_terminated(&server.id, &requests);
         }
         let found = match &reached {
             Ok(()) => "reached".to_owned(),
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -1,7 +1,7 @@
 //! How a request ends when no server's answer is passed on, and what is noted of each end.
 
 use crate::answer;
-use crate::choosing::Withheld;
+use crate::choose::NotSent;
 use crate::exchange::Exchange;
 use crate::outcome::Outcome;
 use crate::Body;
@@ -13,109 +13,112 @@
 use telemetry::Event;
 
 /// When a refused caller is asked to come back: a crashed server's place is taken by others within that.
-const COME_BACK: Duration = Duration::from_millis(400);
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// Shortest time after which a caller is asked back where all places are taken: as long as an answer of seconds takes, so
 /// that others have ended. Up to twice the time, by chance, so that those who were refused don't come back together.
-const CROWD_LEAST: Duration = Duration::from_secs(1);
+const MIN_CROWDED_DELAY: Duration = Duration::from_secs(1);
 
 /// The same where all servers are cold: some of them are warm again within that, or their owners give leave.
-const COLD_LEAST: Duration = Duration::from_millis(600);
+const MIN_COLD_DELAY: Duration = Duration::from_millis(600);
 
 /// The same where all servers name limits: what they take goes to whoever asks first after that, so that callers are spread over
 /// about a second.
-const LIMIT_LEAST: Duration = Duration::from_millis(600);
+const MIN_LIMITED_DELAY: Duration = Duration::from_millis(600);
 
 /// By how much longer than the servers' rest some callers stay away, so that they don't come back in the same instant.
-const REST_SPREAD: f64 = 1.2;
+const BACKOFF_SPREAD_FACTOR: f64 = 1.2;
 
 impl Exchange {
-    pub(crate) fn not_sent(&mut self, why: &Withheld) -> Response<Body> {
+    pub(crate) fn not_sent(&mut self, why: &NotSent) -> Response<Body> {
         if self.may_have_run {
-            return self.unknown("no other server");
+            return self.fail_unknown("no other server");
         }
         match *why {
-            Withheld::Refused(Refusal::NoServer) => self.refuse("no server"),
-            Withheld::Refused(Refusal::Cold) => {
-                let after = COLD_LEAST.mul_f64(rand::rng().random_range(1.0..2.0));
-                self.refuse_until("all servers are cold", after)
+            NotSent::Refused(Refusal::NoServer) => self.refuse("no server"),
+            NotSent::Refused(Refusal::Cold) => {
+                let after = MIN_COLD_DELAY.mul_f64(rand::rng().random_range(1.0..2.0));
+                self.refuse_with_delay("all servers are cold", after)
             }
-            Withheld::Refused(Refusal::Limited { retry_ms: back_ms }) => {
+            NotSent::Refused(Refusal::Limited { retry_ms: back_ms }) => {
                 let _ = write!(self.trail, "all have what they take, {back_ms} ms");
-                let wait = Duration::from_millis(back_ms).max(LIMIT_LEAST);
-                self.refuse_until(
+                let wait = Duration::from_millis(back_ms).max(MIN_LIMITED_DELAY);
+                self.refuse_with_delay(
                     "all servers have as much as they take",
                     wait.mul_f64(rand::rng().random_range(1.0..2.0)),
                 )
             }
-            Withheld::Refused(Refusal::BackingOff { retry_ms: back_ms }) => {
+            NotSent::Refused(Refusal::BackingOff { retry_ms: back_ms }) => {
                 let _ = write!(self.trail, "all rest, {back_ms} ms");
-                let wait = Duration::from_millis(back_ms).max(COME_BACK);
-                self.refuse_until("all servers rest", wait.mul_f64(rand::rng().random_range(1.0..REST_SPREAD)))
+                let wait = Duration::from_millis(back_ms).max(RETRY_DELAY);
+                self.refuse_with_delay(
+                    "all servers rest",
+                    wait.mul_f64(rand::rng().random_range(1.0..BACKOFF_SPREAD_FACTOR)),
+                )
             }
-            Withheld::Late => self.refuse("its time is over"),
-            Withheld::Held { back_ms } => {
+            NotSent::Late => self.refuse("its time is over"),
+            NotSent::Held { back_ms } => {
                 self.trail.push_str("held");
-                self.refuse_until("servers ended under this request", Duration::from_millis(back_ms))
+                self.refuse_with_delay("servers ended under this request", Duration::from_millis(back_ms))
             }
-            Withheld::Refused(Refusal::Overloaded { wait_ms }) => {
+            NotSent::Refused(Refusal::Overloaded { wait_ms }) => {
                 let _ = write!(self.trail, "crowded, {wait_ms:.0} ms to a place");
-                let wait = Duration::from_secs_f64(wait_ms / 1e3) + CROWD_LEAST;
-                self.refuse_until("all places are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
+                let wait = Duration::from_secs_f64(wait_ms / 1e3) + MIN_CROWDED_DELAY;
+                self.refuse_with_delay("all places are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
             }
         }
     }
 
     pub(crate) fn refuse(&mut self, why: &'static str) -> Response<Body> {
-        self.refuse_until(why, COME_BACK)
+        self.refuse_with_delay(why, RETRY_DELAY)
     }
 
     /// Refuses, and says when to come back.
-    pub(crate) fn refuse_until(&mut self, why: &'static str, after: Duration) -> Response<Body> {
+    pub(crate) fn refuse_with_delay(&mut self, why: &'static str, after: Duration) -> Response<Body> {
         if self.may_have_run {
             telemetry::emit(Event::RefusalBroken, format_args!("id={} trail=\"{}\"", self.call.id, self.trail));
-            return self.unknown(why);
+            return self.fail_unknown(why);
         }
-        self.conclude(Outcome::Refused);
+        self.finish(Outcome::Refused);
         answer::refused(why, after)
     }
 
-    pub(crate) fn unknown(&mut self, why: &'static str) -> Response<Body> {
-        self.conclude(Outcome::Unknown);
+    pub(crate) fn fail_unknown(&mut self, why: &'static str) -> Response<Body> {
+        self.finish(Outcome::Unknown);
         answer::plain(StatusCode::BAD_GATEWAY, why)
     }
 
-    pub(crate) fn too_late(&mut self) -> Response<Body> {
+    pub(crate) fn on_deadline(&mut self) -> Response<Body> {
         if let Some(server) = self.tried.last().filter(|_| !self.route.kind.is_stream()) {
             // A plain server that says nothing for that long is broken; an engine may be busy.
             let now = self.shared.now();
             self.shared.placement().record_ending(&self.service, server, Ending::Broken, now);
         }
-        if !self.may_have_run && !self.under_way.get() {
+        if !self.may_have_run && !self.in_flight.get() {
             return self.refuse("no server could be reached in time");
         }
-        self.conclude(Outcome::Late);
+        self.finish(Outcome::Late);
         answer::plain(StatusCode::GATEWAY_TIMEOUT, "its time is over")
     }
 
     /// Logs and counts the end of the request.
-    pub(crate) fn conclude(&mut self, outcome: Outcome) {
-        if std::mem::replace(&mut self.concluded, true) {
+    pub(crate) fn finish(&mut self, outcome: Outcome) {
+        if std::mem::replace(&mut self.finished, true) {
             telemetry::emit(
                 Event::SecondOutcomeBroken,
                 format_args!("id={} outcome={}", self.call.id, outcome.as_str()),
             );
             return;
         }
-        let took = self.began.elapsed();
+        let elapsed = self.started.elapsed();
         metrics::counter!("cleatshelf_requests_total", "outcome" => outcome.as_str(), "route" => self.route.name.clone())
             .increment(1);
         metrics::histogram!("cleatshelf_request_seconds", "route" => self.route.name.clone())
-            .record(took.as_secs_f64());
+            .record(elapsed.as_secs_f64());
         if outcome == Outcome::Answered && !self.shared.quarantine().is_empty() {
             self.shared.record_survival(self.fingerprint());
         }
-        let late = if outcome == Outcome::Answered { self.timing.late(&self.route) } else { None };
+        let late = if outcome == Outcome::Answered { self.timing.late_reason(&self.route) } else { None };
         if let Some(why) = late {
             metrics::counter!("cleatshelf_streams_late_total", "why" => why, "route" => self.route.name.clone())
                 .increment(1);
@@ -129,7 +132,7 @@
                 self.fingerprint(),
                 outcome.as_str(),
                 self.route.name,
-                took.as_millis(),
+                elapsed.as_millis(),
                 self.timing.first.map_or(0, |first| first.as_millis()),
                 self.timing.pause.as_millis(),
                 self.sends,
--- a/crates/relay/src/event_splitter.rs
+++ b/crates/relay/src/event_splitter.rs
@@ -3,13 +3,13 @@
 use bytes::{Bytes, BytesMut};
 
 /// Most bytes of one event; a server that sends more is broken.
-pub(crate) const EVENT_MOST: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Cuts a stream's bytes into whole events and knows the last one's number.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
     /// Bytes after the last whole event.
-    rest: BytesMut,
+    partial: BytesMut,
     /// Number of the last whole event.
     last: Option<u64>,
 }
@@ -17,9 +17,9 @@
 impl EventSplitter {
     /// Takes in bytes and gives back those up to the end of the last whole event.
     pub fn feed(&mut self, bytes: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = end_of_last(&self.rest) else { return Bytes::new() };
-        let whole = self.rest.split_to(end).freeze();
+        self.partial.extend_from_slice(bytes);
+        let Some(end) = end_of_last(&self.partial) else { return Bytes::new() };
+        let whole = self.partial.split_to(end).freeze();
         if let Some(id) = find_last_id(&whole) {
             self.last = Some(id);
         }
@@ -35,18 +35,18 @@
     /// True when nothing of an unfinished event is held.
     #[must_use]
     pub fn is_complete(&self) -> bool {
-        self.rest.is_empty()
+        self.partial.is_empty()
     }
 
     /// True when an unfinished event has grown beyond all bounds.
     #[must_use]
     pub fn is_oversized(&self) -> bool {
-        self.rest.len() > EVENT_MOST
+        self.partial.len() > MAX_EVENT_BYTES
     }
 
     /// Drops an unfinished event, whose server will not finish it.
     pub fn discard_partial(&mut self) {
-        self.rest.clear();
+        self.partial.clear();
     }
 }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,10 +1,10 @@
 //! One request, from its head to its outcome.
 
-use crate::answer::{self, strip_hop};
-use crate::attempt::{self, Answer, Claim, Message, Sent};
-use crate::choosing::Withheld;
+use crate::answer::{self, strip_hop_by_hop};
+use crate::attempt::{self, Answer, OutgoingRequest, SendOutcome, SlotGuard};
+use crate::choose::NotSent;
 use crate::connections::Connections;
-use crate::crash::Crashes;
+use crate::crash::CrashDetector;
 use crate::header_codec::{Call, Dispatch};
 use crate::outcome::Outcome;
 use crate::shared::Shared;
@@ -23,20 +23,20 @@
 use tokio::time::Instant;
 
 /// Most servers that are tried without a connection for one request. They don't count as sends.
-const UNREACHED_MOST: usize = 6;
+const MAX_UNREACHED_SERVERS: usize = 6;
 
 /// Less time than this is not worth a send: the way to a server and back, and its shortest work.
-const TIME_LEAST: Duration = Duration::from_millis(8);
+const MIN_SEND_TIME: Duration = Duration::from_millis(8);
 
 /// How many aims long a server of repeatable requests may be silent before another is asked: the longest work on the
 /// users' sheets takes one and a half.
-const SILENT_AIMS: u32 = 3;
+const SILENCE_TARGET_FACTOR: u32 = 3;
 
 /// A request that may pass, and what became of its sends.
 pub(crate) struct Exchange {
     pub(crate) shared: Arc<Shared>,
     pub(crate) connections: Connections,
-    pub(crate) crashes: Crashes,
+    pub(crate) crash_detector: CrashDetector,
     pub(crate) call: Call,
     pub(crate) route: Arc<Route>,
     pub(crate) customer: Option<Arc<Customer>>,
@@ -46,27 +46,27 @@
     /// When its time is over, for the caller or for the route, whichever is first.
     pub(crate) deadline: Instant,
     /// The same by the clock that counts while the machine is suspended: what servers are told, and whether it is sent again.
-    pub(crate) ends: Millis,
-    pub(crate) began: Instant,
+    pub(crate) expires: Millis,
+    pub(crate) started: Instant,
     /// What it is known by when it comes again; made when it is first asked for.
     pub(crate) fingerprint: OnceCell<Fingerprint>,
     /// Ids of servers that it was sent to, or that could not be reached.
     pub(crate) tried: Vec<String>,
     /// Closes when it is known whether the server of the last send, which broke off, has ended.
-    pub(crate) looking: Option<watch::Receiver<()>>,
+    pub(crate) crash_probe: Option<watch::Receiver<()>>,
     /// Sends that reached a server.
     pub(crate) sends: u32,
     /// Sends that found no server.
     pub(crate) unreached: usize,
     /// Until when the send that was last claimed may leave this box; none where the server isn't cold.
-    pub(crate) leave_until: Option<Millis>,
+    pub(crate) permit_expires: Option<Millis>,
     /// True when a send that has ended may have run.
     pub(crate) may_have_run: bool,
     /// True while the last send may run or have run. Stands beside `may_have_run`, since a send that is dropped when the
     /// time is over can't say how it ended.
-    pub(crate) under_way: Cell<bool>,
+    pub(crate) in_flight: Cell<bool>,
     /// True once its one outcome is known.
-    pub(crate) concluded: bool,
+    pub(crate) finished: bool,
     /// When its events came, if it is a stream.
     pub(crate) timing: Timing,
     /// What was decided, for the log.
@@ -74,15 +74,15 @@
 }
 
 /// What a send brought.
-enum Got {
+enum Fetched {
     Stream(Box<Answer>),
     Whole(Box<http::response::Parts>, Bytes),
-    Nothing(Sent),
+    Nothing(SendOutcome),
 }
 
 /// What follows a send that brought no answer.
-enum Next {
-    Again,
+enum NextStep {
+    Retry,
     GiveUp,
 }
 
@@ -90,72 +90,72 @@
     /// Sends the request until there is an outcome, or the beginning of a stream.
     pub(crate) async fn run(&mut self) -> Reply {
         if let Verdict::Held { retry_ms: back_ms } = self.verdict() {
-            return Reply::Whole(self.not_sent(&Withheld::Held { back_ms }));
+            return Reply::Whole(self.not_sent(&NotSent::Held { back_ms }));
         }
         let now = self.shared.now();
         self.shared.placement().record_request(&self.service, now);
         loop {
-            match tokio::time::timeout_at(self.deadline, self.step()).await {
+            match tokio::time::timeout_at(self.deadline, self.attempt()).await {
                 Ok(Some(reply)) => return reply,
                 Ok(None) => {}
-                Err(_) => return Reply::Whole(self.too_late()),
+                Err(_) => return Reply::Whole(self.on_deadline()),
             }
         }
     }
 
     /// One send. None asks for another.
-    async fn step(&mut self) -> Option<Reply> {
-        let (choice, mut claim) = match self.choose().await {
+    async fn attempt(&mut self) -> Option<Reply> {
+        let (choice, mut slot) = match self.choose().await {
             Ok(chosen) => chosen,
             Err(why) => return Some(Reply::Whole(self.not_sent(&why))),
         };
-        let got = match self.patience(&choice) {
-            Some(patience) => tokio::time::timeout(patience, self.get(&choice))
+        let fetched = match self.silence_timeout(&choice) {
+            Some(timeout) => tokio::time::timeout(timeout, self.send_and_read(&choice))
                 .await
-                .unwrap_or_else(|_| Got::Nothing(Sent::Broken("silent".to_owned()))),
-            None => self.get(&choice).await,
+                .unwrap_or_else(|_| Fetched::Nothing(SendOutcome::Broken("silent".to_owned()))),
+            None => self.send_and_read(&choice).await,
         };
-        match got {
-            Got::Stream(answer) => Some(Reply::Stream(answer, claim)),
-            Got::Whole(parts, bytes) => {
-                claim.read();
-                self.whole(*parts, bytes, claim)
+        match fetched {
+            Fetched::Stream(answer) => Some(Reply::Stream(answer, slot)),
+            Fetched::Whole(parts, bytes) => {
+                slot.on_prefill_done();
+                self.on_whole_answer(*parts, bytes, slot)
             }
-            Got::Nothing(sent) => self.after(sent, claim),
+            Fetched::Nothing(sent) => self.on_failed_send(sent, slot),
         }
     }
 
     /// Sends, and reads the answer unless it is a stream.
-    async fn get(&mut self, choice: &Choice) -> Got {
+    async fn send_and_read(&mut self, choice: &Choice) -> Fetched {
         match self.send(choice, self.call.last_event).await {
-            Sent::Answer(answer) if self.route.kind.is_stream() && answer.parts.status.is_success() => {
-                Got::Stream(answer)
+            SendOutcome::Answer(answer) if self.route.kind.is_stream() && answer.parts.status.is_success() => {
+                Fetched::Stream(answer)
             }
-            Sent::Answer(answer) => match answer.collect(&self.connections).await {
-                Ok((parts, bytes)) => Got::Whole(Box::new(parts), bytes),
-                Err(why) => Got::Nothing(Sent::Broken(why)),
+            SendOutcome::Answer(answer) => match answer.collect(&self.connections).await {
+                Ok((parts, bytes)) => Fetched::Whole(Box::new(parts), bytes),
+                Err(why) => Fetched::Nothing(SendOutcome::Broken(why)),
             },
-            sent => Got::Nothing(sent),
+            sent => Fetched::Nothing(sent),
         }
     }
 
     /// How long a server may be silent before another is asked. Only where there is one and it may be done; elsewhere
     /// silence is no reason to end a request sooner.
-    fn patience(&self, choice: &Choice) -> Option<Duration> {
+    fn silence_timeout(&self, choice: &Choice) -> Option<Duration> {
         let another = self.route.kind == Kind::Idempotent && self.sends + 1 < self.route.max_attempts;
-        let patience = self.route.latency_target * SILENT_AIMS;
+        let timeout = self.route.latency_target * SILENCE_TARGET_FACTOR;
         let left = self.left();
-        (another && choice.candidates > 1 && patience < left).then_some(patience)
+        (another && choice.candidates > 1 && timeout < left).then_some(timeout)
     }
 
     /// Sends to the chosen server, with what time is left.
-    pub(crate) async fn send(&mut self, choice: &Choice, last_event: Option<u64>) -> Sent {
+    pub(crate) async fn send(&mut self, choice: &Choice, last_event: Option<u64>) -> SendOutcome {
         let server = Arc::clone(&choice.server);
         if self.may_have_run && !self.route.kind.is_repeatable() {
             telemetry::emit(Event::SecondSendBroken, format_args!("id={} trail=\"{}\"", self.call.id, self.trail));
-            return Sent::Broken("not sent a second time".to_owned());
+            return SendOutcome::Broken("not sent a second time".to_owned());
         }
-        let at = self.began.elapsed().as_millis();
+        let at = self.started.elapsed().as_millis();
         let _ = write!(self.trail, " +{at}:{}@{}", server.id, server.address);
         self.tried.push(server.id.clone());
         let dispatch = Dispatch {
@@ -166,74 +166,79 @@
             fetch: choice.fetch,
             last_event,
         };
-        let leave_until = self.leave_until;
+        let permit_expires = self.permit_expires;
         let service = &self.service;
-        let message = Message { id: &self.call.id, parts: &self.parts, body: &self.body, service, leave_until };
-        attempt::send(&self.shared, &self.connections, &server, &message, &dispatch, &self.under_way).await
+        let message =
+            OutgoingRequest { id: &self.call.id, parts: &self.parts, body: &self.body, service, permit_expires };
+        attempt::send(&self.shared, &self.connections, &server, &message, &dispatch, &self.in_flight).await
     }
 
     /// A whole answer: passed on, unless it is a failure that another server may mend.
-    fn whole(&mut self, parts: http::response::Parts, bytes: Bytes, claim: Claim) -> Option<Reply> {
+    fn on_whole_answer(&mut self, parts: http::response::Parts, bytes: Bytes, slot: SlotGuard) -> Option<Reply> {
         self.sends += 1;
         let status = parts.status;
         let _ = write!(self.trail, "={}", status.as_u16());
         if status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS {
-            claim.ended(Ending::Failed);
+            slot.finish(Ending::Failed);
             self.may_have_run = true;
             if self.route.kind.is_repeatable() && self.may_send_again() {
                 return None;
             }
         } else {
-            claim.ended(Ending::Good);
+            slot.finish(Ending::Good);
         }
-        Some(Reply::Whole(self.pass_on(parts, bytes)))
+        Some(Reply::Whole(self.forward_answer(parts, bytes)))
     }
 
-    fn pass_on(&mut self, mut parts: http::response::Parts, bytes: Bytes) -> Response<Body> {
+    fn forward_answer(&mut self, mut parts: http::response::Parts, bytes: Bytes) -> Response<Body> {
         let promise = [408, 421, 429, 503];
         if promise.contains(&parts.status.as_u16()) {
             // Such a status says to callers that the request has not run, and this server doesn't say so.
-            return self.unknown("the server failed");
+            return self.fail_unknown("the server failed");
         }
-        strip_hop(&mut parts.headers);
+        strip_hop_by_hop(&mut parts.headers);
         let outcome = if parts.status.is_success() { Outcome::Answered } else { Outcome::Unknown };
-        self.conclude(outcome);
+        self.finish(outcome);
         Response::from_parts(parts, answer::body(bytes))
     }
 
     /// A send without an answer: again, or the end.
-    fn after(&mut self, sent: Sent, claim: Claim) -> Option<Reply> {
-        match self.judge(sent, claim) {
-            Next::Again => None,
-            Next::GiveUp if self.may_have_run => Some(Reply::Whole(self.unknown("no answer"))),
-            Next::GiveUp => Some(Reply::Whole(self.refuse("no server took the request"))),
+    fn on_failed_send(&mut self, sent: SendOutcome, slot: SlotGuard) -> Option<Reply> {
+        match self.record_failed_send(sent, slot) {
+            NextStep::Retry => None,
+            NextStep::GiveUp if self.may_have_run => Some(Reply::Whole(self.fail_unknown("no answer"))),
+            NextStep::GiveUp => Some(Reply::Whole(self.refuse("no server took the request"))),
         }
     }
 
-    fn judge(&mut self, sent: Sent, claim: Claim) -> Next {
+    fn record_failed_send(&mut self, sent: SendOutcome, slot: SlotGuard) -> NextStep {
         let (ending, why) = match sent {
-            Sent::Unreached(why) => (Ending::Unreached, why),
-            Sent::NotRun(why) => (Ending::NotRun, why),
-            Sent::Broken(why) => (Ending::Broken, why),
-            Sent::Withdrawn(why) => (Ending::Left, why.to_owned()),
-            Sent::Answer(_) => (Ending::Broken, "an answer out of place".to_owned()),
+            SendOutcome::Unreached(why) => (Ending::Unreached, why),
+            SendOutcome::NotRun(why) => (Ending::NotRun, why),
+            SendOutcome::Broken(why) => (Ending::Broken, why),
+            SendOutcome::Withdrawn(why) => (Ending::Left, why.to_owned()),
+            SendOutcome::Answer(_) => (Ending::Broken, "an answer out of place".to_owned()),
         };
         let _ = write!(self.trail, "={ending:?}({why})");
         if ending == Ending::Broken {
-            self.broke(&claim);
+            self.on_connection_lost(&slot);
         }
-        claim.ended(ending);
+        slot.finish(ending);
         if matches!(ending, Ending::Unreached | Ending::Left) {
             self.unreached += 1;
-            return if self.unreached <= UNREACHED_MOST && self.time_left() { Next::Again } else { Next::GiveUp };
+            return if self.unreached <= MAX_UNREACHED_SERVERS && self.time_left() {
+                NextStep::Retry
+            } else {
+                NextStep::GiveUp
+            };
         }
         self.sends += 1;
         self.may_have_run |= ending == Ending::Broken;
         let allowed = !self.may_have_run || self.route.kind.is_repeatable();
         if allowed && self.may_send_again() {
-            Next::Again
+            NextStep::Retry
         } else {
-            Next::GiveUp
+            NextStep::GiveUp
         }
     }
 
@@ -251,22 +256,22 @@
     }
 
     fn time_left(&self) -> bool {
-        self.left() > TIME_LEAST
+        self.left() > MIN_SEND_TIME
     }
 
     /// What is left of its time.
     pub(crate) fn left(&self) -> Duration {
-        Duration::from_millis(self.ends.saturating_sub(self.shared.now()))
+        Duration::from_millis(self.expires.saturating_sub(self.shared.now()))
     }
 
     /// A further send of a stream that broke: its answer, if a server goes on with it.
-    pub(crate) async fn resume(&mut self, last_event: Option<u64>) -> Option<(Answer, Claim)> {
+    pub(crate) async fn resume(&mut self, last_event: Option<u64>) -> Option<(Answer, SlotGuard)> {
         loop {
-            let (choice, claim) = self.choose().await.ok()?;
+            let (choice, slot) = self.choose().await.ok()?;
             match self.send(&choice, last_event).await {
-                Sent::Answer(answer) if answer.parts.status.is_success() => return Some((*answer, claim)),
+                SendOutcome::Answer(answer) if answer.parts.status.is_success() => return Some((*answer, slot)),
                 sent => {
-                    if let Next::GiveUp = self.judge(sent, claim) {
+                    if let NextStep::GiveUp = self.record_failed_send(sent, slot) {
                         return None;
                     }
                 }
@@ -280,5 +285,5 @@
     /// All of it.
     Whole(Response<Body>),
     /// The beginning of a stream, which is still to be passed on.
-    Stream(Box<Answer>, Claim),
+    Stream(Box<Answer>, SlotGuard),
 }
--- a/crates/relay/src/front.rs
+++ b/crates/relay/src/frontend.rs
@@ -1,11 +1,11 @@
 //! Callers' connections.
 
-use crate::answer::{self, strip_hop};
+use crate::answer::{self, strip_hop_by_hop};
 use crate::connections::Connections;
-use crate::crash::Crashes;
+use crate::crash::CrashDetector;
 use crate::exchange::{Exchange, Reply};
 use crate::liveness::enable_dead_peer_detection;
-use crate::pump::Pump;
+use crate::stream_forwarder::StreamForwarder;
 use crate::timing::Timing;
 use crate::{Body, Shared};
 use bytes::Bytes;
@@ -28,41 +28,41 @@
 
 /// How long a caller's connection may rest. Longer than any idle time that a configuration sets, since callers
 /// may go by an older one than this box; unused connections cost a descriptor and some kilobytes.
-const IDLE_MOST: Duration = Duration::from_secs(120);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Longest wait for the rest of a request's body.
-const BODY_MOST: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Buffer of a caller's connection in bytes; also bounds a request's head.
-const BUFFER: usize = 64 * 1024;
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
 /// How long after a stop began connections are closed between requests: by then the balancer has asked
 /// twice and sends no new ones.
-const TAKE_ON: Duration = Duration::from_millis(2_500);
+const DRAIN_DELAY: Duration = Duration::from_millis(2_500);
 
 /// How often unused connections to servers are looked through.
-const PRUNE_EVERY: Duration = Duration::from_secs(2);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// When a caller is asked to come back that met a box without a configuration: starts take about a second.
-const START_TIME: Duration = Duration::from_millis(500);
+const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Takes callers' connections, on one traffic thread.
 pub struct Frontend {
     shared: Arc<Shared>,
     connections: Connections,
-    crashes: Crashes,
+    crash_detector: CrashDetector,
     /// Most connections of callers at once.
-    connections_most: usize,
+    max_connections: usize,
     open: Rc<Cell<usize>>,
     /// Draws for routes with several services.
-    draws: Rc<RefCell<Draws>>,
+    draws: Rc<RefCell<DrawSequence>>,
 }
 
 /// Draws in 0..1 that come near their shares after few draws: each differs from the last by the golden ratio.
 #[derive(Debug)]
-struct Draws(f64);
+struct DrawSequence(f64);
 
-impl Draws {
+impl DrawSequence {
     fn next(&mut self) -> f64 {
         self.0 = (self.0 + 0.618_033_988_749_895) % 1.0;
         self.0
@@ -72,14 +72,14 @@
 impl Frontend {
     /// A front with these bounds.
     #[must_use]
-    pub fn new(shared: Arc<Shared>, connections_most: usize) -> Self {
+    pub fn new(shared: Arc<Shared>, max_connections: usize) -> Self {
         Self {
             connections: Connections::new(shared.clock()),
             shared,
-            crashes: Crashes::default(),
-            connections_most,
+            crash_detector: CrashDetector::default(),
+            max_connections,
             open: Rc::default(),
-            draws: Rc::new(RefCell::new(Draws(0.3))),
+            draws: Rc::new(RefCell::new(DrawSequence(0.3))),
         }
     }
 
@@ -89,14 +89,14 @@
         tokio::task::spawn_local(Rc::clone(&this).prune());
         let (close, closing) = watch::channel(false);
         // Made once: its time must not begin again with each connection.
-        let mut stopped = std::pin::pin!(stopped(&mut stop));
+        let mut stopped = std::pin::pin!(wait_for_drain(&mut stop));
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 () = stopped.as_mut() => break,
             };
             match accepted {
-                Ok((stream, _)) => this.take(stream, &closing),
+                Ok((stream, _)) => this.accept(stream, &closing),
                 Err(why) => {
                     log::warn!(target: "cleatshelf", "accept: {why}");
                     tokio::time::sleep(Duration::from_millis(20)).await;
@@ -113,15 +113,15 @@
 
     async fn prune(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(PRUNE_EVERY).await;
+            tokio::time::sleep(PRUNE_INTERVAL).await;
             let view = self.shared.view();
-            let lives = view.directory.instances();
-            self.connections.prune(|life| lives.contains(life));
+            let live_instances = view.directory.instances();
+            self.connections.prune(|instance| live_instances.contains(instance));
         }
     }
 
-    fn take(self: &Rc<Self>, stream: TcpStream, closing: &watch::Receiver<bool>) {
-        if self.open.get() >= self.connections_most {
+    fn accept(self: &Rc<Self>, stream: TcpStream, closing: &watch::Receiver<bool>) {
+        if self.open.get() >= self.max_connections {
             metrics::counter!("cleatshelf_connections_refused_total").increment(1);
             return;
         }
@@ -142,8 +142,8 @@
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(IDLE_MOST)
-            .max_buf_size(BUFFER)
+            .header_read_timeout(IDLE_TIMEOUT)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
         let served = tokio::select! {
@@ -160,8 +160,8 @@
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
         let running = Running::new(&self.shared);
-        let began = Instant::now();
-        let mut response = self.exchange(request, began).await;
+        let started = Instant::now();
+        let mut response = self.exchange(request, started).await;
         drop(running);
         if self.shared.is_stopping() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -169,26 +169,26 @@
         response
     }
 
-    async fn exchange(&self, request: Request<Incoming>, began: Instant) -> Response<Body> {
+    async fn exchange(&self, request: Request<Incoming>, started: Instant) -> Response<Body> {
         let (mut parts, body) = request.into_parts();
         let view = self.shared.view();
         let Some(table) = &view.table else {
-            return answer::refused("no configuration yet", START_TIME);
+            return answer::refused("no configuration yet", START_RETRY_DELAY);
         };
         let body = match read_body(body, table.limits.max_body_bytes).await {
             Ok(body) => body,
             Err((status, why)) => return answer::plain(status, why),
         };
-        strip_hop(&mut parts.headers);
+        strip_hop_by_hop(&mut parts.headers);
         // Between head and body a newer configuration may have come.
         let view = self.shared.view();
         let Some(table) = view.table.as_ref().map(Arc::clone) else {
-            return answer::refused("no configuration yet", START_TIME);
+            return answer::refused("no configuration yet", START_RETRY_DELAY);
         };
-        match self.admit(&table, parts, body, began) {
+        match self.admit(&table, parts, body, started) {
             Ok(mut exchange) => match exchange.run().await {
                 Reply::Whole(response) => response,
-                Reply::Stream(answer, claim) => Pump::start(exchange, *answer, claim),
+                Reply::Stream(answer, slot) => StreamForwarder::start(exchange, *answer, slot),
             },
             Err(response) => *response,
         }
@@ -199,7 +199,7 @@
         table: &Table,
         parts: request::Parts,
         body: Bytes,
-        began: Instant,
+        started: Instant,
     ) -> Result<Exchange, Box<Response<Body>>> {
         let call = self.shared.header_codec.read_call(&parts.headers).map_err(|why| {
             telemetry::emit(Event::RequestRejected, format_args!("why=\"{why}\""));
@@ -231,25 +231,25 @@
         Ok(Exchange {
             shared: Arc::clone(&self.shared),
             connections: self.connections.clone(),
-            crashes: self.crashes.clone(),
+            crash_detector: self.crash_detector.clone(),
             call,
             route: Arc::clone(route),
             customer,
             service,
             parts,
             body,
-            deadline: began + time,
-            ends: self.shared.now() + time.saturating_sub(began.elapsed()).as_millis() as u64,
-            began,
+            deadline: started + time,
+            expires: self.shared.now() + time.saturating_sub(started.elapsed()).as_millis() as u64,
+            started,
             fingerprint: OnceCell::new(),
             tried: Vec::new(),
-            looking: None,
+            crash_probe: None,
             sends: 0,
             unreached: 0,
-            leave_until: None,
+            permit_expires: None,
             may_have_run: false,
-            under_way: Cell::default(),
-            concluded: false,
+            in_flight: Cell::default(),
+            finished: false,
             timing: Timing::default(),
             trail: String::new(),
         })
@@ -257,14 +257,14 @@
 }
 
 /// Waits until a stop has begun and new connections need no longer be taken.
-async fn stopped(stop: &mut watch::Receiver<bool>) {
+async fn wait_for_drain(stop: &mut watch::Receiver<bool>) {
     // An error means that whoever could stop this box has gone, and so the box is ending.
     let _ = stop.wait_for(|stop| *stop).await;
-    tokio::time::sleep(TAKE_ON).await;
+    tokio::time::sleep(DRAIN_DELAY).await;
 }
 
-async fn read_body(body: Incoming, most: usize) -> Result<Bytes, (StatusCode, &'static str)> {
-    let read = tokio::time::timeout(BODY_MOST, Limited::new(body, most).collect()).await;
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, (StatusCode, &'static str)> {
+    let read = tokio::time::timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
     match read {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(why)) if why.is::<http_body_util::LengthLimitError>() => {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -10,35 +10,35 @@
 
 mod answer;
 mod attempt;
-mod channel;
-mod choosing;
+mod choose;
 mod connect_timeout;
 mod connections;
-mod consult;
 mod crash;
 mod ending;
 mod event_splitter;
 mod exchange;
-mod front;
+mod frontend;
 mod header_codec;
 mod liveness;
-mod noticed;
 mod outcome;
+mod owner_requests;
 mod peer_client;
-mod pump;
-mod ready;
+mod readiness;
+mod resettable_stream;
+mod server_hints;
 mod shared;
+mod stream_forwarder;
 mod suspects;
 mod timing;
 
 pub use connect_timeout::ConnectTimeout;
 pub use event_splitter::EventSplitter;
-pub use front::Frontend;
+pub use frontend::Frontend;
 pub use header_codec::{Call, Dispatch, HeaderCodec, Notice, UnknownHeader, Verdict};
 pub use liveness::enable_dead_peer_detection;
 pub use outcome::Outcome;
 pub use peer_client::PeerClient;
-pub use ready::ReadinessServer;
+pub use readiness::ReadinessServer;
 pub use shared::{Dependencies, Shared, View};
 
 /// The body of an answer to a caller.
--- a/crates/relay/src/consult.rs
+++ b/crates/relay/src/owner_requests.rs
@@ -9,14 +9,14 @@
 use tokio::time::Instant;
 
 /// A question that is on its way.
-pub(crate) struct Asked {
+pub(crate) struct PendingOpinion {
     server: Arc<Server>,
     answer: oneshot::Receiver<ServerStatus>,
 }
 
-impl Asked {
+impl PendingOpinion {
     /// Asks the owner of `server`; none when nobody can be asked.
-    pub(crate) fn new(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
+    pub(crate) fn request(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
         let question = StatusQuery { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
         let answer = shared.peer_client.request_opinion(server, question)?;
@@ -35,7 +35,7 @@
 }
 
 /// Asks for leave to send one request to a server that takes few. Without an answer there is none.
-pub(crate) async fn leave(
+pub(crate) async fn request_permit(
     shared: &Shared,
     server: &Server,
     quotas: Quotas,
@@ -44,7 +44,7 @@
 ) -> PermitReply {
     let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
     let permit = PermitRequest { number, server: server.id.clone(), quotas, urgency };
-    let nobody = PermitReply::Denied { retry_ms: 0 };
-    let Some(answer) = shared.peer_client.request_permit(server, permit) else { return nobody };
-    tokio::time::timeout_at(until, answer).await.ok().and_then(Result::ok).unwrap_or(nobody)
+    let denied = PermitReply::Denied { retry_ms: 0 };
+    let Some(answer) = shared.peer_client.request_permit(server, permit) else { return denied };
+    tokio::time::timeout_at(until, answer).await.ok().and_then(Result::ok).unwrap_or(denied)
 }
--- a/crates/relay/src/ready.rs
+++ b/crates/relay/src/readiness.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 
 /// How long a connection may take for a question, or rest.
-const IDLE_MOST: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Answers the balancer's question on its own address.
 pub struct ReadinessServer {
@@ -38,7 +38,7 @@
                 });
                 let served = hyper::server::conn::http1::Builder::new()
                     .timer(TokioTimer::new())
-                    .header_read_timeout(IDLE_MOST)
+                    .header_read_timeout(IDLE_TIMEOUT)
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
                 if let Err(why) = served {
--- a/crates/relay/src/channel.rs
+++ b/crates/relay/src/resettable_stream.rs
@@ -15,18 +15,18 @@
 ///
 /// A connection that is merely closed still delivers what waits in it, seconds later where a link was cut: the server
 /// would begin a request that nobody waits for any more.
-pub(crate) struct Channel {
+pub(crate) struct ResettableStream {
     stream: TcpStream,
     busy: Rc<Cell<bool>>,
 }
 
-impl Channel {
+impl ResettableStream {
     pub(crate) fn new(stream: TcpStream, busy: Rc<Cell<bool>>) -> TokioIo<Self> {
         TokioIo::new(Self { stream, busy })
     }
 }
 
-impl Drop for Channel {
+impl Drop for ResettableStream {
     fn drop(&mut self) {
         if self.busy.get() {
             if let Err(why) = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)) {
@@ -36,13 +36,13 @@
     }
 }
 
-impl AsyncRead for Channel {
+impl AsyncRead for ResettableStream {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Channel {
+impl AsyncWrite for ResettableStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -46,14 +46,14 @@
     pub(crate) secret: u64,
     clock: Arc<dyn Clock>,
     /// When this was made, by that clock.
-    began: Millis,
+    started: Millis,
     stopping: AtomicBool,
     /// Numbers of questions and leases, unique in this process.
     pub(crate) numbers: AtomicU64,
     /// Requests that are not ended.
     pub running: AtomicUsize,
     /// Headers of answers that operators were told of.
-    pub(crate) told: SeenNames,
+    pub(crate) reported_headers: SeenNames,
 }
 
 impl Shared {
@@ -68,19 +68,19 @@
             placement: Mutex::new(placement),
             quarantine: Mutex::default(),
             secret,
-            began: clock.now(),
+            started: clock.now(),
             clock,
             stopping: AtomicBool::new(false),
             numbers: AtomicU64::new(0),
             running: AtomicUsize::new(0),
-            told: SeenNames::default(),
+            reported_headers: SeenNames::default(),
         })
     }
 
     /// Now, counted from when this was made; goes on while the machine is suspended.
     #[must_use]
     pub fn now(&self) -> Millis {
-        self.clock.now().saturating_sub(self.began)
+        self.clock.now().saturating_sub(self.started)
     }
 
     /// The clock that this goes by.
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -1,6 +1,6 @@
 //! What this box and others make of requests under which servers ended.
 
-use crate::crash::Broken;
+use crate::crash::LostRequest;
 use crate::Shared;
 use placement::{Change, Fingerprint, LivenessEvidence, Quarantine, SuspectRecord, Termination, Verdict};
 use std::fmt::Write;
@@ -14,18 +14,18 @@
     }
 
     /// A server ended while these requests were there: tells the other boxes what is new to this one.
-    pub(crate) fn ended(&self, server: &str, requests: &[Broken]) {
+    pub(crate) fn on_server_terminated(&self, server: &str, requests: &[LostRequest]) {
         let now = self.now();
         let changes: Vec<Change> = {
             let mut quarantine = self.quarantine();
-            let end = |broken: &Broken| Termination {
+            let end = |lost: &LostRequest| Termination {
                 server: server.to_owned(),
-                sent: now.saturating_sub(broken.sent),
-                ago: now.saturating_sub(broken.at),
+                sent: now.saturating_sub(lost.sent),
+                ago: now.saturating_sub(lost.at),
             };
-            requests.iter().map(|broken| quarantine.record_termination(broken.request, end(broken), now)).collect()
+            requests.iter().map(|lost| quarantine.record_termination(lost.request, end(lost), now)).collect()
         };
-        self.tell(changes);
+        self.broadcast(changes);
     }
 
     /// A server ran this request and lives, or an operator lets it through: if it was suspected, all boxes hear that it is
@@ -34,16 +34,16 @@
         let now = self.now();
         let change = self.quarantine().record_survival(request, now);
         let suspected = change != Change::Unchanged;
-        self.tell(vec![change]);
+        self.broadcast(vec![change]);
         suspected
     }
 
     /// A server answers: if some box took it for ended, all hear that it lives.
-    pub(crate) fn answered(&self, server: &str) {
+    pub(crate) fn on_server_answered(&self, server: &str) {
         let now = self.now();
         let changes = self.quarantine().record_answer(server, now);
         if !changes.is_empty() {
-            changes.iter().for_each(note);
+            changes.iter().for_each(log_change);
             self.peer_client
                 .broadcast_suspects(Vec::new(), vec![LivenessEvidence { server: server.to_owned(), ago: 0 }]);
         }
@@ -55,21 +55,21 @@
         let now = self.now();
         let mut quarantine = self.quarantine();
         let mut changes = Vec::new();
-        let mut told = Vec::new();
+        let mut confirmed = Vec::new();
         for sign in signs {
             let disproved = quarantine.on_liveness_evidence(&sign, now);
             if !disproved.is_empty() {
-                told.push(sign);
+                confirmed.push(sign);
             }
             changes.extend(disproved);
         }
         changes.extend(records.iter().map(|record| quarantine.on_record(record, now)));
         let disproved = records.iter().flat_map(|record| quarantine.evidence_against(record, now)).collect();
         drop(quarantine);
-        changes.iter().for_each(note);
-        if !told.is_empty() {
+        changes.iter().for_each(log_change);
+        if !confirmed.is_empty() {
             // Those who believed this box's word must hear it too; those who know say nothing more.
-            self.peer_client.broadcast_suspects(Vec::new(), told);
+            self.peer_client.broadcast_suspects(Vec::new(), confirmed);
         }
         disproved
     }
@@ -87,15 +87,15 @@
     }
 
     /// A request that is held is being sent once after all.
-    pub(crate) fn begin_trial(&self, request: Fingerprint) {
+    pub(crate) fn begin_probe(&self, request: Fingerprint) {
         let change = self.quarantine().begin_trial(request, self.now());
         telemetry::emit(Event::RequestTried, format_args!("request={request}"));
-        self.tell(vec![change]);
+        self.broadcast(vec![change]);
     }
 
     /// Logs what has changed, and tells the other boxes.
-    fn tell(&self, changes: Vec<Change>) {
-        changes.iter().for_each(note);
+    fn broadcast(&self, changes: Vec<Change>) {
+        changes.iter().for_each(log_change);
         let records: Vec<SuspectRecord> = changes.into_iter().filter_map(Change::into_record).collect();
         if !records.is_empty() {
             self.peer_client.broadcast_suspects(records, Vec::new());
@@ -104,7 +104,7 @@
 }
 
 /// Logs that a request is held, or no longer is.
-fn note(change: &Change) {
+fn log_change(change: &Change) {
     let (event, record) = match change {
         Change::Held(record) => (Event::RequestHeld, record),
         Change::Lifted(record) => (Event::RequestLifted, record),
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -14,7 +14,7 @@
 
 impl Timing {
     /// What made a whole stream late, by the aims of its route; none when it was in time.
-    pub(crate) fn late(&self, route: &Route) -> Option<&'static str> {
+    pub(crate) fn late_reason(&self, route: &Route) -> Option<&'static str> {
         if self.first.is_some_and(|first| first > route.latency_target) {
             return Some("first");
         }
--- a/crates/relay/tests/liveness.rs
+++ b/crates/relay/tests/liveness.rs
@@ -5,13 +5,13 @@
 use tokio::net::{TcpListener, TcpStream};
 
 #[actix_rt::test]
-async fn a_connection_ends_within_three_seconds_of_silence() {
+async fn silent_peer_is_detected_within_three_seconds() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("an address")).await.expect("a connection");
     relay::enable_dead_peer_detection(&stream);
     let socket = SockRef::from(&stream);
-    let unanswered = socket.tcp_user_timeout().expect("an option").expect("a time");
+    let user_timeout = socket.tcp_user_timeout().expect("an option").expect("a time");
     assert!(socket.keepalive().expect("an option"), "also while it rests");
-    let asked_after = socket.tcp_keepalive_time().expect("an option");
-    assert!(unanswered + asked_after <= Duration::from_secs(3), "{unanswered:?} after {asked_after:?}");
+    let keepalive_time = socket.tcp_keepalive_time().expect("an option");
+    assert!(user_timeout + keepalive_time <= Duration::from_secs(3), "{user_timeout:?} after {keepalive_time:?}");
 }
