--- a/crates/cleatshelf/src/command.rs
+++ b/crates/cleatshelf/src/command.rs
@@ -13,25 +13,25 @@
 use std::sync::Arc;
 
 /// Exit status for faults in files or settings.
-const FAULTS: u8 = 2;
+const EXIT_FAULTS: u8 = 2;
 
 /// A router for language-model traffic with service levels and priorities.
 #[derive(FromArgs)]
 pub struct Command {
     #[argh(subcommand)]
-    what: What,
+    subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Subcommand {
     Serve(ServeArgs),
     Route(RouteArgs),
     Check(CheckArgs),
     Pack(PackArgs),
     Status(StatusArgs),
     Explain(ExplainArgs),
-    ApiKeyHasher(KeyArgs),
+    Key(KeyArgs),
     Version(VersionArgs),
 }
 
@@ -44,7 +44,7 @@
     settings: PathBuf,
 }
 
-/// run one box that routes by a platform's configuration
+/// run one box that routes according to a platform's configuration
 #[derive(FromArgs)]
 #[argh(subcommand, name = "route")]
 struct RouteArgs {
@@ -53,14 +53,14 @@
     settings: PathBuf,
 }
 
-/// check settings, operators' files or a packed release; prints every fault
+/// check settings, operators' files or a packed release, and print all faults
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct CheckArgs {
     /// a box's settings file
     #[argh(option)]
     settings: Option<PathBuf>,
-    /// the settings file of a box that routes by a platform's configuration
+    /// the settings file of a box that routes according to a platform's configuration
     #[argh(option)]
     router: Option<PathBuf>,
     /// a configuration as the platform publishes it
@@ -69,22 +69,22 @@
     /// a folder with classes.toml, customers.toml and upstreams.toml
     #[argh(option)]
     files: Option<PathBuf>,
-    /// a folder made by `pack`
+    /// a folder written by `pack`
     #[argh(option)]
     release: Option<PathBuf>,
-    /// a folder made by `pack` that is in force now
+    /// a folder written by `pack` with the release that is in force now
     #[argh(option)]
     against: Option<PathBuf>,
 }
 
-/// make a release of the operators' files, for your own tools to publish
+/// pack the operators' files into a release, to be published with your own tools
 #[derive(FromArgs)]
 #[argh(subcommand, name = "pack")]
 struct PackArgs {
     /// a folder with classes.toml, customers.toml and upstreams.toml
     #[argh(option)]
     files: PathBuf,
-    /// the release number, above the one in force
+    /// the release number, greater than that of the release in force
     #[argh(option)]
     number: u64,
     /// the folder to write
@@ -99,12 +99,12 @@
     /// the box's address for operators
     #[argh(positional)]
     address: SocketAddr,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// show what would happen to a request now
+/// show how a request would be handled now
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 struct ExplainArgs {
@@ -114,22 +114,22 @@
     /// the customer's name
     #[argh(option)]
     customer: String,
-    /// the class; the customer's default if left out
+    /// the class; defaults to the customer's default class
     #[argh(option)]
     class: Option<String>,
     /// the model or plain service
     #[argh(option)]
     serves: String,
-    /// as JSON
+    /// print JSON
     #[argh(switch)]
     json: bool,
 }
 
-/// print the hash under which an API key (read from standard input) stands in a customers file
+/// read an API key from standard input and print its hash for a customers file
 #[derive(FromArgs)]
 #[argh(subcommand, name = "key")]
 struct KeyArgs {
-    /// the classes file's key_salt
+    /// the key_salt of the classes file
     #[argh(option)]
     salt: String,
 }
@@ -139,18 +139,18 @@
 #[argh(subcommand, name = "version")]
 struct VersionArgs {}
 
-/// Runs a command; the exit status is 0, 1 for a failure, 2 for faults in files or settings.
+/// Runs a command. The exit status is 0 for success, 1 for a failure, 2 for faults in files or settings.
 #[must_use]
 pub fn run(command: Command) -> ExitCode {
-    let done = match command.what {
-        What::Serve(args) => run_box(&args.settings),
-        What::Route(args) => route(&args.settings, Arc::new(BootClock)),
-        What::Check(args) => check(&args),
-        What::Pack(args) => pack(&args),
-        What::Status(args) => status(&args),
-        What::Explain(args) => explain(&args),
-        What::ApiKeyHasher(args) => key(&args),
-        What::Version(_) => {
+    let result = match command.subcommand {
+        Subcommand::Serve(args) => run_box(&args.settings),
+        Subcommand::Route(args) => route(&args.settings, Arc::new(BootClock)),
+        Subcommand::Check(args) => check(&args),
+        Subcommand::Pack(args) => pack(&args),
+        Subcommand::Status(args) => status(&args),
+        Subcommand::Explain(args) => explain(&args),
+        Subcommand::Key(args) => key(&args),
+        Subcommand::Version(_) => {
             println!(
                 "cleatshelf {} (release format {}, wire {})",
                 env!("CARGO_PKG_VERSION"),
@@ -160,68 +160,69 @@
             Ok(ExitCode::SUCCESS)
         }
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("cleatshelf: {error:#}");
         ExitCode::FAILURE
     })
 }
 
-fn report(faults: &[Fault]) -> ExitCode {
+fn print_faults(faults: &[Fault]) -> ExitCode {
     for fault in faults {
         eprintln!("{fault}");
     }
     eprintln!("{} faults", faults.len());
-    ExitCode::from(FAULTS)
+    ExitCode::from(EXIT_FAULTS)
 }
 
-fn read(path: &Path) -> eyre::Result<String> {
+fn read_file(path: &Path) -> eyre::Result<String> {
     std::fs::read_to_string(path).wrap_err_with(|| format!("can't read {}", path.display()))
 }
 
 fn read_settings(path: &Path) -> eyre::Result<Result<Settings, Vec<Fault>>> {
-    let text = read(path)?;
+    let text = read_file(path)?;
     Ok(Settings::parse(&path.display().to_string(), &text))
 }
 
 fn run_box(path: &Path) -> eyre::Result<ExitCode> {
     let settings = match read_settings(path)? {
         Ok(settings) => settings,
-        Err(faults) => return Ok(report(&faults)),
+        Err(faults) => return Ok(print_faults(&faults)),
     };
-    start_logs();
-    ended(serve(settings))
+    init_logging();
+    exit_code(serve(settings))
 }
 
-/// Runs a box that routes by a platform's configuration, with the settings of this file and by this clock.
+/// Runs a box that routes according to a platform's configuration, with the settings file at `path` and `clock`.
 ///
 /// # Errors
-/// When its settings can't be read, or it can't listen.
+/// If its settings can't be read, or it can't listen.
 pub fn route(path: &Path, clock: Arc<dyn Clock>) -> eyre::Result<ExitCode> {
-    let settings = match router::Settings::parse(&path.display().to_string(), &read(path)?) {
+    let settings = match router::Settings::parse(&path.display().to_string(), &read_file(path)?) {
         Ok(settings) => settings,
-        Err(faults) => return Ok(report(&faults)),
+        Err(faults) => return Ok(print_faults(&faults)),
     };
-    let lines = telemetry::JsonLogger::start(std::io::stdout())?;
-    lines.clone().install();
-    ended(router::serve(settings, path.to_owned(), lines, clock))
+    let logger = telemetry::JsonLogger::start(std::io::stdout())?;
+    logger.clone().install();
+    exit_code(router::serve(settings, path.to_owned(), logger, clock))
 }
 
-fn start_logs() {
+fn init_logging() {
     let env = env_logger::Env::default().default_filter_or("info");
     env_logger::Builder::from_env(env).format_timestamp_millis().init();
 }
 
-fn ended(served: eyre::Result<bool>) -> eyre::Result<ExitCode> {
-    if let Err(why) = &served {
+/// Returns the exit status of a box; a box that aborted requests at its stop fails.
+fn exit_code(clean: eyre::Result<bool>) -> eyre::Result<ExitCode> {
+    if let Err(why) = &clean {
         telemetry::emit(telemetry::Event::StartFailed, format_args!("why=\"{why:#}\""));
     }
-    Ok(if served? { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if clean? { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
 // ----------------------------------------------------------------------------
 // Files and releases
 
-/// The operators' three files, as texts.
+/// The contents of the operators' three files.
 struct Files {
     classes: String,
     customers: String,
@@ -230,14 +231,14 @@
 
 fn read_files(folder: &Path) -> eyre::Result<Files> {
     Ok(Files {
-        classes: read(&folder.join("classes.toml"))?,
-        customers: read(&folder.join("customers.toml"))?,
-        upstreams: read(&folder.join("upstreams.toml"))?,
+        classes: read_file(&folder.join("classes.toml"))?,
+        customers: read_file(&folder.join("customers.toml"))?,
+        upstreams: read_file(&folder.join("upstreams.toml"))?,
     })
 }
 
 fn read_release(folder: &Path) -> eyre::Result<Result<Release, Vec<Fault>>> {
-    let text = read(&folder.join("manifest"))?;
+    let text = read_file(&folder.join("manifest"))?;
     let manifest = match Manifest::parse(&text) {
         Ok(manifest) => manifest,
         Err(faults) => return Ok(Err(faults)),
@@ -257,11 +258,12 @@
         faults.extend(read_settings(path)?.err().unwrap_or_default());
     }
     if let Some(path) = &args.router {
-        faults.extend(router::Settings::parse(&path.display().to_string(), &read(path)?).err().unwrap_or_default());
+        let settings = router::Settings::parse(&path.display().to_string(), &read_file(path)?);
+        faults.extend(settings.err().unwrap_or_default());
     }
     if let Some(path) = &args.configuration {
-        let read = platform::table(read(path)?.as_bytes());
-        faults.extend(read.err().map(|why| Fault::new(&path.display().to_string(), "", why)));
+        let table = platform::table(read_file(path)?.as_bytes());
+        faults.extend(table.err().map(|why| Fault::new(&path.display().to_string(), "", why)));
     }
     if let Some(folder) = &args.files {
         let files = read_files(folder)?;
@@ -272,15 +274,15 @@
     if let Some(folder) = &args.release {
         faults.extend(check_release(folder, args.against.as_deref())?);
     }
-    let given = [&args.settings, &args.router, &args.configuration, &args.files, &args.release];
-    if given.iter().all(|path| path.is_none()) {
-        eyre::bail!("nothing to check: give --settings, --router, --configuration, --files or --release");
+    let paths = [&args.settings, &args.router, &args.configuration, &args.files, &args.release];
+    if paths.iter().all(|path| path.is_none()) {
+        eyre::bail!("nothing to check: expected --settings, --router, --configuration, --files or --release");
     }
     if faults.is_empty() {
         println!("ok");
         return Ok(ExitCode::SUCCESS);
     }
-    Ok(report(&faults))
+    Ok(print_faults(&faults))
 }
 
 fn check_release(folder: &Path, against: Option<&Path>) -> eyre::Result<Vec<Fault>> {
@@ -303,14 +305,14 @@
     let packed = Release::pack(args.number, &files.classes, &files.customers, &files.upstreams);
     let release = match packed {
         Ok(release) => release,
-        Err(faults) => return Ok(report(&faults)),
+        Err(faults) => return Ok(print_faults(&faults)),
     };
     let parts = args.out.join("part");
-    std::fs::create_dir_all(&parts).wrap_err_with(|| format!("can't make {}", parts.display()))?;
+    std::fs::create_dir_all(&parts).wrap_err_with(|| format!("can't create {}", parts.display()))?;
     for (digest, bytes) in &release.parts {
         std::fs::write(parts.join(digest.to_string()), bytes)?;
     }
-    // The manifest last: publish in the same order, so that no reader finds a part missing.
+    // The manifest is written last, and must be published last, so that no reader finds a part missing.
     std::fs::write(args.out.join("manifest"), &release.text)?;
     println!("release {} {} with {} parts", args.number, release.id().digest, release.parts.len());
     Ok(ExitCode::SUCCESS)
@@ -324,9 +326,9 @@
 }
 
 // ----------------------------------------------------------------------------
-// Asking a box
+// Requests to a box
 
-fn ask(address: SocketAddr, path: &str) -> eyre::Result<(u16, Vec<u8>)> {
+fn get(address: SocketAddr, path: &str) -> eyre::Result<(u16, Vec<u8>)> {
     let url = format!("http://{address}{path}");
     actix::System::new().block_on(async move {
         let client = awc::Client::default();
@@ -337,7 +339,7 @@
 }
 
 fn status(args: &StatusArgs) -> eyre::Result<ExitCode> {
-    let (_, body) = ask(args.address, "/status")?;
+    let (_, body) = get(args.address, "/status")?;
     if args.json {
         println!("{}", String::from_utf8_lossy(&body));
     } else {
@@ -350,7 +352,7 @@
 fn explain(args: &ExplainArgs) -> eyre::Result<ExitCode> {
     let class = args.class.as_ref().map_or_else(String::new, |c| format!("&class={c}"));
     let (code, body) =
-        ask(args.address, &format!("/explain?customer={}&serves={}{class}", args.customer, args.serves))?;
+        get(args.address, &format!("/explain?customer={}&serves={}{class}", args.customer, args.serves))?;
     if args.json || code != 200 {
         println!("{}", String::from_utf8_lossy(&body));
         return Ok(if code == 200 { ExitCode::SUCCESS } else { ExitCode::FAILURE });
--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -5,7 +5,7 @@
 mod reading;
 mod telling;
 
-use crate::desk::Shared;
+use crate::control_handle::SharedSnapshot;
 use crate::status::{Explanation, PeerRow, RefusedRow, RouteRow, ShardRow, Status, UpstreamRow};
 use crate::{Envelope, Settings};
 use actix::{Actor, ActorFutureExt, AsyncContext, Context, Handler, Message, WrapFuture};
@@ -127,7 +127,7 @@
 pub struct Control {
     settings: Arc<Settings>,
     clock: Arc<dyn Clock>,
-    shared: Shared,
+    snapshot: SharedSnapshot,
     running: Arc<AtomicUsize>,
     source: Rc<dyn Source>,
     gauge: Rc<dyn LoadProbe>,
@@ -171,7 +171,7 @@
     /// The clock that counts through a freeze.
     pub clock: Arc<dyn Clock>,
     /// What traffic threads see.
-    pub shared: Shared,
+    pub snapshot: SharedSnapshot,
     /// Requests now in this box.
     pub running: Arc<AtomicUsize>,
     /// The bound socket for other boxes.
@@ -186,7 +186,7 @@
     /// Makes the control state and begins to listen for other boxes. To be called on its own thread.
     #[must_use]
     pub fn start_here(parts: Parts, context: &mut Context<Self>) -> Self {
-        let Parts { settings, clock, shared, running, boxes } = parts;
+        let Parts { settings, clock, snapshot, running, boxes } = parts;
         let now = Time(clock.now());
         let me = settings.me.clone();
         let seconds = unix().as_secs();
@@ -207,7 +207,7 @@
             allowance: CallBudget::new(CALLS_PER_SECOND, CALLS_AT_ONCE, now),
             settings,
             clock,
-            shared,
+            snapshot,
             running,
             probe,
             spread: ReleaseSync::default(),
@@ -239,7 +239,7 @@
     }
 
     fn update_snapshot(&self, change: impl FnOnce(&mut Snapshot)) {
-        let mut guard = self.shared.write().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut guard = self.snapshot.write().unwrap_or_else(std::sync::PoisonError::into_inner);
         change(Arc::make_mut(&mut guard));
     }
 
--- a/crates/cleatshelf/src/control/carry.rs
+++ b/crates/cleatshelf/src/control/carry.rs
@@ -125,7 +125,7 @@
 
     fn adopt(&mut self, release: &catalog::Release, catalog: catalog::Catalog, context: &mut Context<Self>) {
         let number = release.manifest.number;
-        let was = self.shared.read().map_or(0, |s| s.release);
+        let was = self.snapshot.read().map_or(0, |s| s.release);
         if number < was {
             self.note(Event::ReleaseOrderBroken, &format!("from={was} to={number}"));
             return;
--- a/crates/cleatshelf/src/control/telling.rs
+++ b/crates/cleatshelf/src/control/telling.rs
@@ -5,7 +5,7 @@
 impl Control {
     pub(super) fn status(&self) -> Status {
         let order = self.spread.order();
-        let snapshot = self.shared.read().map(|s| (s.ready, s.stopping)).unwrap_or_default();
+        let snapshot = self.snapshot.read().map(|s| (s.ready, s.stopping)).unwrap_or_default();
         Status {
             name: self.settings.me.name.clone(),
             hall: self.settings.me.hall.clone(),
@@ -43,7 +43,7 @@
     }
 
     pub(super) fn explain(&self, ask: &AskExplanation) -> Result<Explanation, String> {
-        let snapshot = self.shared.read().map(|s| Arc::clone(&s)).map_err(|e| e.to_string())?;
+        let snapshot = self.snapshot.read().map(|s| Arc::clone(&s)).map_err(|e| e.to_string())?;
         let customers = &snapshot.catalog.customers;
         let customer = customers.iter().find(|c| c.name == ask.customer);
         let customer = customer.ok_or_else(|| format!("there is no customer '{}'", ask.customer))?;
--- a/crates/cleatshelf/src/envelope.rs
+++ b/crates/cleatshelf/src/envelope.rs
@@ -1,12 +1,12 @@
-//! What travels between two boxes.
+//! Messages between boxes.
 
 use serde::{Deserialize, Serialize};
 
 /// A message between two boxes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Envelope {
-    /// For the decisions.
+    /// A message for the admission policy.
     Policy(policy::Message),
-    /// For the fleet.
+    /// A message for membership and releases.
     Fleet(fleet::Message),
 }
--- a/crates/cleatshelf/src/lib.rs
+++ b/crates/cleatshelf/src/lib.rs
@@ -1,11 +1,11 @@
-//! One box of cleatshelf, put together: settings, the control thread, the traffic threads, the command line.
+//! A complete box of cleatshelf: settings, the control thread, the traffic threads and the command line.
 //!
-//! The decisions are in `policy` and `fleet`; this crate gives them a clock, a network and threads.
-//! One thread runs [`Control`] with all state that boxes share; the others move callers' bytes.
+//! The decisions are made in `policy` and `fleet`; this crate provides their clock, network and threads.
+//! One thread runs [`Control`], which holds the state shared between boxes; the other threads proxy callers' traffic.
 
 mod command;
 mod control;
-mod desk;
+mod control_handle;
 mod envelope;
 mod operators;
 pub mod router;
@@ -15,7 +15,7 @@
 
 pub use command::{route, run, Command};
 pub use control::Control;
-pub use desk::ControlDesk;
+pub use control_handle::ActorControlHandle;
 pub use envelope::Envelope;
 pub use serve::serve;
 pub use settings::{Link, Settings};
--- a/crates/cleatshelf/src/main.rs
+++ b/crates/cleatshelf/src/main.rs
@@ -1,4 +1,4 @@
-//! The one binary.
+//! The `cleatshelf` binary.
 
 fn main() -> std::process::ExitCode {
     cleatshelf::run(argh::from_env())
--- a/crates/cleatshelf/src/operators.rs
+++ b/crates/cleatshelf/src/operators.rs
@@ -1,4 +1,4 @@
-//! HTTP towards operators: status, explanations, metrics.
+//! The HTTP interface for operators: status, explanations and metrics.
 
 use crate::control::{AskExplanation, AskStatus};
 use crate::Control;
@@ -9,17 +9,17 @@
 use serde_json::json;
 use telemetry::PrometheusRecorder;
 
-/// What the operators' handlers share.
+/// State shared by the handlers.
 #[derive(Clone)]
 pub struct Operators {
     /// The control actor.
     pub control: Addr<Control>,
-    /// The metrics.
-    pub scrape: PrometheusRecorder,
+    /// The metrics of the process.
+    pub recorder: PrometheusRecorder,
 }
 
 #[derive(Deserialize)]
-struct Wanted {
+struct ExplainQuery {
     customer: String,
     class: Option<String>,
     serves: String,
@@ -30,28 +30,28 @@
     config
         .route("/status", web::get().to(status))
         .route("/explain", web::get().to(explain))
-        .route("/metrics", web::get().to(scrape))
+        .route("/metrics", web::get().to(metrics))
         .route("/health", web::get().to(health));
 }
 
 async fn status(shared: Data<Operators>) -> HttpResponse {
     match shared.control.send(AskStatus).await {
         Ok(status) => HttpResponse::Ok().json(status),
-        Err(gone) => HttpResponse::InternalServerError().body(gone.to_string()),
+        Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
     }
 }
 
-async fn explain(shared: Data<Operators>, wanted: Query<Wanted>) -> HttpResponse {
-    let Wanted { customer, class, serves } = wanted.into_inner();
+async fn explain(shared: Data<Operators>, query: Query<ExplainQuery>) -> HttpResponse {
+    let ExplainQuery { customer, class, serves } = query.into_inner();
     match shared.control.send(AskExplanation { customer, class, serves }).await {
         Ok(Ok(explanation)) => HttpResponse::Ok().json(explanation),
         Ok(Err(reason)) => HttpResponse::NotFound().json(json!({"reason": reason})),
-        Err(gone) => HttpResponse::InternalServerError().body(gone.to_string()),
+        Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
     }
 }
 
-async fn scrape(shared: Data<Operators>) -> HttpResponse {
-    HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(shared.scrape.render())
+async fn metrics(shared: Data<Operators>) -> HttpResponse {
+    HttpResponse::Ok().content_type("text/plain; version=0.0.4").body(shared.recorder.render())
 }
 
 async fn health() -> HttpResponse {
--- a/crates/cleatshelf/src/router/knowledge.rs
+++ b/crates/cleatshelf/src/router/knowledge.rs
@@ -1,6 +1,6 @@
 //! What this box knows of the configuration and the servers, and where it got it from.
 
-use super::packing::{decode, encode, pack, unpack};
+use super::codec::{compress, decode, decompress, encode};
 use peers::{KnownVersions, Millis};
 use relay::{Shared, View};
 use routing::{Change, Digests, Directory, Evacuations, Excerpt, Position, Publisher, Subject, Table};
@@ -112,7 +112,7 @@
             Event::ReleaseInForce,
             format_args!("version={} routes={} from={origin:?}", table.version, table.len()),
         );
-        state.table = Some((Arc::new(table), Rc::new(pack(bytes))));
+        state.table = Some((Arc::new(table), Rc::new(compress(bytes))));
         state.table_until = Position::NONE;
         self.put_in_force(&state);
         self.tell(&mut state, News::Table);
@@ -127,7 +127,7 @@
 
     /// Takes a configuration as another box packed it.
     pub(super) fn offer_packed(&self, packed: &[u8]) {
-        match unpack(packed) {
+        match decompress(packed) {
             Ok(bytes) => drop(self.offer_table(&bytes, Origin::Peer)),
             Err(why) => telemetry::emit(Event::ReleaseRefused, format_args!("from=Peer why=\"{why}\"")),
         }
--- a/crates/cleatshelf/src/router/operators.rs
+++ b/crates/cleatshelf/src/router/operators.rs
@@ -1,4 +1,4 @@
-//! Metrics and the state of this box, for operators.
+//! The HTTP interface for operators: metrics, status and lifting of held requests.
 
 use super::knowledge::Knowledge;
 use http_body_util::Full;
@@ -17,16 +17,16 @@
 use telemetry::{JsonLogger, PrometheusRecorder};
 use tokio::net::TcpListener;
 
-/// What operators can ask, on the control thread.
+/// Serves operators on the control thread.
 pub(super) struct Operators {
-    pub(super) scrape: PrometheusRecorder,
+    pub(super) recorder: PrometheusRecorder,
     pub(super) shared: Arc<Shared>,
     pub(super) knowledge: Rc<Knowledge>,
-    pub(super) lines: JsonLogger,
+    pub(super) logger: JsonLogger,
 }
 
 impl Operators {
-    /// Answers for as long as the process runs.
+    /// Serves requests for as long as the process runs.
     pub(super) async fn run(self, listener: TcpListener) {
         let this = Rc::new(self);
         loop {
@@ -42,7 +42,7 @@
                 });
                 let connection = hyper::server::conn::http1::Builder::new();
                 if let Err(why) = connection.serve_connection(TokioIo::new(stream), service).await {
-                    log::debug!(target: "cleatshelf", "operator's connection: {why}");
+                    log::debug!(target: "cleatshelf", "operator connection failed: {why}");
                 }
             });
         }
@@ -54,19 +54,19 @@
             (&Method::GET, ["metrics"]) => Response::new(Full::from(self.metrics())),
             (&Method::GET, ["status"]) => Response::new(Full::from(self.status())),
             (&Method::POST, ["suspects", request, "lift"]) => self.lift(request),
-            _ => answer(StatusCode::NOT_FOUND, "not here"),
+            _ => respond(StatusCode::NOT_FOUND, "not found"),
         }
     }
 
-    /// Lets a held request through, at all boxes.
+    /// Releases a held request at all boxes.
     fn lift(&self, request: &str) -> Response<Full<Bytes>> {
         let Ok(number) = u64::from_str_radix(request, 16) else {
-            return answer(StatusCode::BAD_REQUEST, "not a request's 16 hexadecimal digits");
+            return respond(StatusCode::BAD_REQUEST, "expected a request fingerprint of 16 hexadecimal digits");
         };
         if self.shared.record_survival(Fingerprint(number)) {
-            answer(StatusCode::OK, "lifted")
+            respond(StatusCode::OK, "lifted")
         } else {
-            answer(StatusCode::NOT_FOUND, "not suspected")
+            respond(StatusCode::NOT_FOUND, "not suspected")
         }
     }
 
@@ -79,8 +79,8 @@
         metrics::gauge!("cleatshelf_view_age_seconds").set(self.knowledge.age().as_secs_f64());
         metrics::gauge!("cleatshelf_requests_running").set(self.shared.running.load(Ordering::Relaxed) as f64);
         metrics::gauge!("cleatshelf_requests_held").set(self.shared.quarantine().held().count() as f64);
-        metrics::gauge!("cleatshelf_log_lines_dropped").set(self.lines.dropped() as f64);
-        self.scrape.render()
+        metrics::gauge!("cleatshelf_log_lines_dropped").set(self.logger.dropped() as f64);
+        self.recorder.render()
     }
 
     fn status(&self) -> String {
@@ -109,8 +109,8 @@
     }
 }
 
-fn answer(status: StatusCode, why: &'static str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::from(why));
+fn respond(status: StatusCode, body: &'static str) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::from(body));
     *response.status_mut() = status;
     response
 }
--- a/crates/cleatshelf/src/router/peering.rs
+++ b/crates/cleatshelf/src/router/peering.rs
@@ -1,9 +1,9 @@
 //! Carries out what `peers` asks for: links to other boxes, and what they send.
 
 use super::advice::{self, Advice, To};
+use super::codec::encode;
 use super::follow::Troubles;
 use super::knowledge::{Knowledge, News, Origin};
-use super::packing::encode;
 use peers::{Action, Message, Millis, Peers, WatchRole};
 use placement::{LimitUpdate, LivenessEvidence};
 use relay::Shared;
@@ -295,7 +295,7 @@
     }
 }
 
-/// What a watcher tells its hall; others have nobody to tell, and pack nothing.
+/// What a watcher tells its hall; others have nobody to tell, and compress nothing.
 fn spread(peers: &Peers, news: &News) -> Vec<Action> {
     if !peers.is_watching() {
         return Vec::new();
--- a/crates/cleatshelf/src/router/reload.rs
+++ b/crates/cleatshelf/src/router/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the box runs.
+//! Reloading of the settings while the box runs.
 
 use super::peering::Peering;
 use super::Settings;
@@ -7,38 +7,38 @@
 use std::time::{Duration, SystemTime};
 use telemetry::Event;
 
-/// How often the file is looked at: it may change without a signal, and nothing in it is urgent.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the file is checked; it may change without a signal, and no change is urgent.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads the settings file again when it changes or a signal says so.
-pub(super) struct Reload {
+/// Reloads the settings file when it changes or on a signal.
+pub(super) struct Reloader {
     pub(super) path: PathBuf,
     pub(super) settings: Settings,
     pub(super) peering: Rc<Peering>,
 }
 
-impl Reload {
-    /// Looks at the file for as long as the process runs.
+impl Reloader {
+    /// Watches the file for as long as the process runs.
     pub(super) async fn run(mut self, hangup: Rc<tokio::sync::Notify>) {
-        let mut seen = self.changed_at();
+        let mut last_modified = self.modified_at();
         loop {
             let signalled = tokio::select! {
                 () = hangup.notified() => true,
-                () = actix_rt::time::sleep(LOOK_EVERY) => false,
+                () = actix_rt::time::sleep(CHECK_INTERVAL) => false,
             };
-            let changed = self.changed_at();
-            if signalled || changed != seen {
-                seen = changed;
-                self.read(if signalled { "signal" } else { "file" });
+            let modified = self.modified_at();
+            if signalled || modified != last_modified {
+                last_modified = modified;
+                self.reload(if signalled { "signal" } else { "file" });
             }
         }
     }
 
-    fn changed_at(&self) -> Option<SystemTime> {
+    fn modified_at(&self) -> Option<SystemTime> {
         std::fs::metadata(&self.path).and_then(|file| file.modified()).ok()
     }
 
-    fn read(&mut self, by: &str) {
+    fn reload(&mut self, by: &str) {
         let text = match std::fs::read_to_string(&self.path) {
             Ok(text) => text,
             Err(why) => {
@@ -47,7 +47,7 @@
             }
         };
         match Settings::parse(&self.path.display().to_string(), &text) {
-            Ok(settings) => self.take(settings, by),
+            Ok(settings) => self.apply(settings, by),
             Err(faults) => {
                 for fault in faults {
                     telemetry::emit(Event::SettingsRefused, format_args!("by={by} why=\"{fault}\""));
@@ -56,9 +56,9 @@
         }
     }
 
-    fn take(&mut self, settings: Settings, by: &str) {
-        let same = settings == self.settings;
-        telemetry::emit(Event::SettingsReloaded, format_args!("by={by} changed={}", !same));
+    fn apply(&mut self, settings: Settings, by: &str) {
+        let changed = settings != self.settings;
+        telemetry::emit(Event::SettingsReloaded, format_args!("by={by} changed={changed}"));
         self.peering.set_seeds(&settings.seeds);
         self.settings = settings;
     }
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -5,7 +5,7 @@
 use super::knowledge::Knowledge;
 use super::operators::Operators;
 use super::peering::{Parts, Peering};
-use super::reload::Reload;
+use super::reload::Reloader;
 use super::Settings;
 use clock::Clock;
 use eyre::WrapErr;
@@ -33,12 +33,12 @@
 ///
 /// # Errors
 /// When a listener can't be bound.
-pub fn serve(settings: Settings, path: PathBuf, lines: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
-    actix::System::new().block_on(run(settings, path, lines, clock))
+pub fn serve(settings: Settings, path: PathBuf, logger: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
+    actix::System::new().block_on(run(settings, path, logger, clock))
 }
 
-async fn run(settings: Settings, path: PathBuf, lines: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
-    let scrape = PrometheusRecorder::install()?;
+async fn run(settings: Settings, path: PathBuf, logger: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
+    let recorder = PrometheusRecorder::install()?;
     let window = settings.retry_window.as_millis() as u64;
     let budget = RetryBudget::new(settings.retry_ratio, settings.retry_slack, window);
     let placement = Placement::new(&settings.hall, budget)
@@ -59,10 +59,10 @@
     let traffic = actix::Arbiter::new();
     start_traffic(&settings, &shared, &traffic, stopped, done)?;
     let (peering, knowledge) = start_control(&settings, &shared, advice, sent)?;
-    let operators = Operators { scrape, shared: Arc::clone(&shared), knowledge, lines };
+    let operators = Operators { recorder, shared: Arc::clone(&shared), knowledge, logger };
     actix_rt::spawn(operators.run(tokio(bind(settings.operators)?)?));
     let hangup = Rc::new(tokio::sync::Notify::new());
-    let reload = Reload { path, settings: settings.clone(), peering: Rc::clone(&peering) };
+    let reload = Reloader { path, settings: settings.clone(), peering: Rc::clone(&peering) };
     actix_rt::spawn(reload.run(Rc::clone(&hangup)));
     telemetry::emit(Event::BoxStarted, format_args!("name={} hall={}", settings.name, settings.hall));
     wait_for_stop(&hangup).await?;
@@ -72,7 +72,7 @@
     let began = Instant::now();
     // The front holds the other end until it is done.
     let _ = stop.send(true);
-    let most = settings.stop_time.saturating_sub(STOP_MARGIN);
+    let most = settings.stop_timeout.saturating_sub(STOP_MARGIN);
     let clean = tokio::time::timeout(most, front_done.wait_for(|done| *done)).await.is_ok();
     let (event, cut) =
         if clean { (Event::StopClean, 0) } else { (Event::StopCut, shared.running.load(Ordering::Relaxed)) };
@@ -90,7 +90,7 @@
 ) -> eyre::Result<()> {
     let callers = bind(settings.callers)?;
     let ready = bind(settings.ready)?;
-    let connections_most = settings.files_most.saturating_sub(FILES_KEPT).max(FILES_KEPT / 4);
+    let connections_most = settings.max_files.saturating_sub(FILES_KEPT).max(FILES_KEPT / 4);
     let shared = Arc::clone(shared);
     traffic.spawn_fn(move || {
         let (Ok(callers), Ok(ready)) = (tokio(callers), tokio(ready)) else {
--- a/crates/cleatshelf/src/router/settings.rs
+++ b/crates/cleatshelf/src/router/settings.rs
@@ -1,59 +1,59 @@
-//! A router's settings, checked as a whole.
+//! The settings of a router box.
 
-use crate::settings::{address, check_link_key};
+use crate::settings::{check_link_key, read_address};
 use catalog::{Fault, TableReader};
 use placement::ColdAllowance;
 use routing::HallRegions;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of one router box.
+/// The settings of a router box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Name of this box, for logs.
     pub name: String,
-    /// Its data hall.
+    /// Hall of this box.
     pub hall: String,
-    /// Where callers come.
+    /// Listening address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this box is ready.
+    /// Listening address for the load balancer's readiness checks.
     pub ready: SocketAddr,
-    /// Where other boxes come.
+    /// Listening address for other boxes.
     pub boxes: SocketAddr,
-    /// Where operators ask for metrics.
+    /// Listening address for operators.
     pub operators: SocketAddr,
-    /// Where the configuration and the servers are published.
+    /// Address at which the configuration and the servers are published.
     pub publisher: SocketAddr,
-    /// Some boxes' addresses; may be out of date.
+    /// Addresses of some boxes; may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// The secret that all boxes share, at least 16 bytes.
     pub link_key: String,
-    /// Longest time that a planned stop may take.
-    pub stop_time: Duration,
-    /// Most files and connections that the process may hold.
-    pub files_most: usize,
-    /// How much this box can do for others: the lesser of its processor in thousandths of a core and its link in
-    /// tenths of Mbit/s.
+    /// Maximum duration of a planned stop.
+    pub stop_timeout: Duration,
+    /// Maximum number of files and connections that the process may hold.
+    pub max_files: usize,
+    /// Capacity of this box to serve other boxes: the lesser of its CPU share in thousandths of a core and its link
+    /// speed in tenths of Mbit/s.
     pub capacity: u32,
-    /// Second sends that all boxes may make for each request.
+    /// Retries that all boxes together may send per request.
     pub retry_ratio: f64,
-    /// Second sends that all boxes may make besides.
+    /// Retries that all boxes together may send in addition.
     pub retry_slack: f64,
-    /// Window over which second sends are counted.
+    /// Window over which retries are counted.
     pub retry_window: Duration,
-    /// What all boxes may send to a server that has just started, or turned cold.
+    /// Requests that all boxes together may send to a server that has just started or become cold.
     pub cold: ColdAllowance,
-    /// The region of each hall. A request that may run in some regions only is not sent to halls that aren't named.
+    /// The region of each hall. A request that is restricted to some regions is not sent to halls without a region.
     pub regions: HallRegions,
 }
 
-fn capacity(reader: &mut TableReader<'_>) -> u32 {
+fn read_capacity(reader: &mut TableReader<'_>) -> u32 {
     let processor = reader.number("processor_share", &(0.0..=1_000.0)) * 1_000.0;
     let link = reader.number("link_mbps", &(0.0..=1_000_000.0)) * 10.0;
     processor.min(link) as u32
 }
 
-fn cold(reader: &mut TableReader<'_>) -> ColdAllowance {
+fn read_cold_allowance(reader: &mut TableReader<'_>) -> ColdAllowance {
     let base = ColdAllowance::default();
     ColdAllowance {
         ratio: reader.number_opt("cold_ratio", &(0.0..=100.0)).unwrap_or(base.ratio),
@@ -61,44 +61,44 @@
     }
 }
 
-fn regions(reader: &mut TableReader<'_>) -> HallRegions {
+fn read_regions(reader: &mut TableReader<'_>) -> HallRegions {
     reader.tables("halls", |hall| (hall.name("name"), hall.name("region"))).into_iter().collect()
 }
 
-fn seeds(reader: &mut TableReader<'_>) -> Vec<SocketAddr> {
+fn read_seeds(reader: &mut TableReader<'_>) -> Vec<SocketAddr> {
     let texts = reader.strings("seeds");
-    let parsed: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
-    if parsed.len() != texts.len() {
-        reader.fault("seeds", "must be IP addresses with ports");
+    let addresses: Vec<SocketAddr> = texts.iter().filter_map(|text| text.parse().ok()).collect();
+    if addresses.len() != texts.len() {
+        reader.fault("seeds", "must be IP addresses with ports, such as 10.0.0.5:7000");
     }
-    parsed
+    addresses
 }
 
 impl Settings {
-    /// Reads settings from the text of `file`.
+    /// Parses the settings from the text of `file`.
     ///
     /// # Errors
-    /// Every fault at once, unknown keys included.
+    /// All faults, including unknown keys.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
         let mut reader = TableReader::parse(file, text);
         let settings = Self {
             name: reader.name("name"),
             hall: reader.name("hall"),
-            callers: address(&mut reader, "listen_callers"),
-            ready: address(&mut reader, "listen_ready"),
-            boxes: address(&mut reader, "listen_boxes"),
-            operators: address(&mut reader, "listen_operators"),
-            publisher: address(&mut reader, "publisher"),
-            seeds: seeds(&mut reader),
+            callers: read_address(&mut reader, "listen_callers"),
+            ready: read_address(&mut reader, "listen_ready"),
+            boxes: read_address(&mut reader, "listen_boxes"),
+            operators: read_address(&mut reader, "listen_operators"),
+            publisher: read_address(&mut reader, "publisher"),
+            seeds: read_seeds(&mut reader),
             link_key: reader.string("link_key"),
-            stop_time: Duration::from_secs_f64(reader.number("stop_seconds", &(1.0..=86_400.0))),
-            files_most: reader.integer("files_most", &(256..=1_000_000)) as usize,
-            capacity: capacity(&mut reader),
+            stop_timeout: Duration::from_secs_f64(reader.number("stop_seconds", &(1.0..=86_400.0))),
+            max_files: reader.integer("files_most", &(256..=1_000_000)) as usize,
+            capacity: read_capacity(&mut reader),
             retry_ratio: reader.number("retry_ratio", &(0.0..=10.0)),
             retry_slack: reader.number("retry_slack", &(0.0..=1_000_000.0)),
             retry_window: Duration::from_secs_f64(reader.number("retry_window_seconds", &(0.1..=3_600.0))),
-            cold: cold(&mut reader),
-            regions: regions(&mut reader),
+            cold: read_cold_allowance(&mut reader),
+            regions: read_regions(&mut reader),
         };
         check_link_key(&mut reader, &settings.link_key);
         let faults = reader.finish();
--- a/crates/cleatshelf/src/serve.rs
+++ b/crates/cleatshelf/src/serve.rs
@@ -1,7 +1,7 @@
-//! Runs one box: threads, listeners and the planned stop.
+//! Runs a box: threads, listeners and the planned stop.
 
 use crate::control::{Parts, Stop};
-use crate::desk::{ControlDesk, Shared};
+use crate::control_handle::{ActorControlHandle, SharedSnapshot};
 use crate::operators::{self, Operators};
 use crate::{Control, Settings};
 use actix::{Actor, Arbiter, Context};
@@ -20,44 +20,44 @@
 use telemetry::{Event, PrometheusRecorder};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Longest wait for a request's head.
-const HEAD_MOST: Duration = Duration::from_secs(5);
+/// Maximum wait for a request's head.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long an idle caller's connection is kept.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
+/// Time after which an idle connection of a caller is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Most connections of one traffic thread.
-const CONNECTIONS_MOST: usize = 8_192;
+/// Maximum number of connections of one traffic thread.
+const MAX_CONNECTIONS: usize = 8_192;
 
-/// Shortest planned stop, so that other boxes hear of it and take over.
-const STOP_LEAST: Duration = Duration::from_millis(800);
+/// Minimum duration of a planned stop, so that other boxes learn of it and take over.
+const MIN_STOP_DURATION: Duration = Duration::from_millis(800);
 
-/// How long, and how often, an address in use is tried again at the start.
-const BIND_MOST: Duration = Duration::from_secs(3);
-const BIND_AGAIN: Duration = Duration::from_millis(50);
+/// Time during which, and interval at which, binding an address in use is retried at the start.
+const BIND_TIMEOUT: Duration = Duration::from_secs(3);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long connections get to pass on the last bytes of finished requests.
-const FLUSH_SECONDS: u64 = 5;
+/// Time for connections to send the last bytes of finished requests.
+const FLUSH_TIMEOUT_S: u64 = 5;
 
-/// Runs a box until it is told to stop. True says that nothing was cut off.
+/// Runs a box until a signal stops it. Returns true if no request was aborted.
 ///
 /// # Errors
-/// When a listener can't be bound or the metrics can't be set up.
+/// If a listener can't be bound or the metrics can't be set up.
 pub fn serve(settings: Settings) -> eyre::Result<bool> {
     actix::System::new().block_on(run(Arc::new(settings)))
 }
 
 async fn run(settings: Arc<Settings>) -> eyre::Result<bool> {
-    let scrape = PrometheusRecorder::install()?;
+    let recorder = PrometheusRecorder::install()?;
     let clock: Arc<dyn Clock> = Arc::new(BootClock);
-    let shared = Shared::new(std::sync::RwLock::new(Arc::new(Snapshot::default())));
+    let snapshot = SharedSnapshot::new(std::sync::RwLock::new(Arc::new(Snapshot::default())));
     let running = Arc::new(AtomicUsize::new(0));
     let boxes = bind(settings.me.address)?;
     boxes.set_nonblocking(true)?;
     let parts = Parts {
         settings: Arc::clone(&settings),
         clock: Arc::clone(&clock),
-        shared: Arc::clone(&shared),
+        snapshot: Arc::clone(&snapshot),
         running: Arc::clone(&running),
         boxes,
     };
@@ -65,9 +65,9 @@
     let control = Control::start_in_arbiter(&arbiter.handle(), |context: &mut Context<Control>| {
         Control::start_here(parts, context)
     });
-    let desk = Arc::new(ControlDesk { control: control.clone(), shared, clock });
-    let callers = callers(&settings, desk, Arc::clone(&running))?;
-    let operators = operators(&settings, Operators { control: control.clone(), scrape })?;
+    let handle = Arc::new(ActorControlHandle { control: control.clone(), snapshot, clock });
+    let callers = serve_callers(&settings, handle, Arc::clone(&running))?;
+    let operators = serve_operators(&settings, Operators { control: control.clone(), recorder })?;
     let me = &settings.me;
     telemetry::emit(Event::BoxStarted, format_args!("name={} hall={} callers={}", me.name, me.hall, settings.callers));
     let clean = wait_for_stop(&settings, &control, &running).await?;
@@ -77,33 +77,37 @@
     Ok(clean)
 }
 
-/// Binds an address; one that is still in use, as by a former process that is just ending, is tried again.
+/// Binds an address. Retries while the address is in use, for example by a previous process that is just exiting.
 fn bind(address: std::net::SocketAddr) -> eyre::Result<TcpListener> {
     let began = Instant::now();
     loop {
         match TcpListener::bind(address) {
-            Err(why) if why.kind() == ErrorKind::AddrInUse && began.elapsed() < BIND_MOST => {
-                std::thread::sleep(BIND_AGAIN);
+            Err(why) if why.kind() == ErrorKind::AddrInUse && began.elapsed() < BIND_TIMEOUT => {
+                std::thread::sleep(BIND_RETRY_INTERVAL);
             }
-            bound => return bound.wrap_err_with(|| format!("can't listen on {address}")),
+            result => return result.wrap_err_with(|| format!("can't listen on {address}")),
         }
     }
 }
 
-fn callers(settings: &Settings, desk: Arc<ControlDesk>, running: Arc<AtomicUsize>) -> eyre::Result<ServerHandle> {
+fn serve_callers(
+    settings: &Settings,
+    control: Arc<ActorControlHandle>,
+    running: Arc<AtomicUsize>,
+) -> eyre::Result<ServerHandle> {
     let limits = Arc::new(settings.limits.clone());
-    let numbers = Arc::new(AtomicU64::new(1));
+    let next_answer = Arc::new(AtomicU64::new(1));
     let name: Arc<str> = settings.me.name.as_str().into();
     let make = move || {
         let http = Rc::new(upstream::HttpClient::default());
         let app = gateway::App {
-            control: Arc::<ControlDesk>::clone(&desk),
+            control: Arc::<ActorControlHandle>::clone(&control),
             engine: Rc::<upstream::HttpClient>::clone(&http),
             plain: http,
             limits: Arc::clone(&limits),
             name: Arc::clone(&name),
             running: Arc::clone(&running),
-            next_answer: Arc::clone(&numbers),
+            next_answer: Arc::clone(&next_answer),
         };
         App::new().app_data(Data::new(app)).configure(gateway::configure)
     };
@@ -114,10 +118,10 @@
             }
         })
         .workers(settings.traffic_threads)
-        .client_request_timeout(HEAD_MOST)
-        .keep_alive(KEEP_ALIVE)
-        .max_connections(CONNECTIONS_MOST)
-        .shutdown_timeout(FLUSH_SECONDS)
+        .client_request_timeout(REQUEST_HEAD_TIMEOUT)
+        .keep_alive(KEEP_ALIVE_TIMEOUT)
+        .max_connections(MAX_CONNECTIONS)
+        .shutdown_timeout(FLUSH_TIMEOUT_S)
         .disable_signals()
         .listen(bind(settings.callers)?)?
         .run();
@@ -126,7 +130,7 @@
     Ok(handle)
 }
 
-fn operators(settings: &Settings, shared: Operators) -> eyre::Result<ServerHandle> {
+fn serve_operators(settings: &Settings, shared: Operators) -> eyre::Result<ServerHandle> {
     let make = move || App::new().app_data(Data::new(shared.clone())).configure(operators::configure);
     let server = HttpServer::new(make).workers(1).disable_signals().listen(bind(settings.operators)?)?.run();
     let handle = server.handle();
@@ -148,7 +152,7 @@
     }
 }
 
-/// Waits for a signal, then for running requests. True says that nothing was cut off.
+/// Waits for a signal, then for running requests. Returns true if no request was aborted.
 async fn wait_for_stop(
     settings: &Settings,
     control: &actix::Addr<Control>,
@@ -160,19 +164,19 @@
     control.do_send(Stop);
     let began = Instant::now();
     loop {
-        let left = running.load(Ordering::Relaxed);
-        if left == 0 && began.elapsed() >= STOP_LEAST {
+        let remaining = running.load(Ordering::Relaxed);
+        if remaining == 0 && began.elapsed() >= MIN_STOP_DURATION {
             telemetry::emit(Event::StopClean, format_args!("ms={}", began.elapsed().as_millis()));
             return Ok(true);
         }
-        let again = tokio::select! {
+        let second_signal = tokio::select! {
             () = signals.next() => true,
             () = tokio::time::sleep(Duration::from_millis(20)) => false,
         };
-        if again || began.elapsed() >= settings.stop_time {
-            let why = if again { "second signal" } else { "time limit" };
-            telemetry::emit(Event::StopCut, format_args!("cut={left} why=\"{why}\""));
-            return Ok(left == 0);
+        if second_signal || began.elapsed() >= settings.stop_timeout {
+            let why = if second_signal { "second signal" } else { "time limit" };
+            telemetry::emit(Event::StopCut, format_args!("cut={remaining} why=\"{why}\""));
+            return Ok(remaining == 0);
         }
     }
 }
--- a/crates/cleatshelf/src/status.rs
+++ b/crates/cleatshelf/src/status.rs
@@ -1,140 +1,140 @@
-//! What a box tells its operators.
+//! The status reports of a box for operators.
 
 use serde::{Deserialize, Serialize};
 
-/// A box's state, as `cleatshelf status` shows it.
+/// The state of a box, as shown by `cleatshelf status`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Status {
-    /// The box.
+    /// Name of the box.
     pub name: String,
-    /// Its hall.
+    /// Hall of the box.
     pub hall: String,
-    /// It takes callers' requests.
+    /// True if the box accepts callers' requests.
     pub ready: bool,
-    /// A planned stop has begun.
+    /// True if a planned stop has begun.
     pub stopping: bool,
-    /// The release's number; 0 while there is none.
+    /// Number of the release in force; 0 if there is none.
     pub release: u64,
-    /// The release's digest.
+    /// Digest of the release in force.
     pub digest: String,
-    /// Refused releases and why.
+    /// Refused releases with the reasons.
     pub refused: Vec<RefusedRow>,
     /// Other boxes.
     pub peers: Vec<PeerRow>,
     /// Shards that this box owns.
     pub shards: Vec<ShardRow>,
-    /// Leases that this box holds for its callers.
+    /// Number of leases that this box holds for its callers.
     pub held: usize,
-    /// Requests that wait for a lease.
+    /// Number of requests that wait for a lease.
     pub pending: usize,
-    /// Requests now in this box.
+    /// Number of requests now in this box.
     pub running: usize,
-    /// It holds the platform's watch.
+    /// True if the box watches the platform.
     pub watcher: bool,
-    /// Calls made to the platform since start.
+    /// Calls made to the platform since the start.
     pub platform_calls: u64,
-    /// Bytes of frames sent to other boxes since start.
+    /// Bytes of frames sent to other boxes since the start.
     pub sent_bytes: u64,
-    /// Bytes of frames taken in from other boxes since start.
+    /// Bytes of frames received from other boxes since the start.
     pub received_bytes: u64,
-    /// Messages sent to other boxes since start.
+    /// Messages sent to other boxes since the start.
     pub sent_messages: u64,
-    /// Broken invariants since start; anything but 0 is a fault in cleatshelf.
+    /// Violated invariants since the start; any value but 0 indicates a bug in cleatshelf.
     pub broken: u64,
 }
 
 /// A refused release.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RefusedRow {
-    /// Its number; 0 if its manifest couldn't be read.
+    /// Number of the release; 0 if its manifest could not be parsed.
     pub number: u64,
-    /// Its digest.
+    /// Digest of the release.
     pub digest: String,
-    /// Every fault.
+    /// All faults of the release.
     pub reasons: Vec<String>,
 }
 
 /// Another box.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PeerRow {
-    /// Its name.
+    /// Name of the box.
     pub name: String,
-    /// Its hall.
+    /// Hall of the box.
     pub hall: String,
-    /// What is believed of it.
+    /// State of the box as seen by this one.
     pub state: String,
 }
 
 /// A shard that this box owns.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ShardRow {
-    /// Its short name.
+    /// Id of the shard.
     pub id: String,
-    /// Its hall.
+    /// Hall of the shard.
     pub hall: String,
     /// The model or service.
     pub serves: String,
-    /// Lessees are still being asked.
+    /// True while the leases of a former owner are still being recovered from lessees.
     pub recovering: bool,
-    /// Leases held.
+    /// Number of leases held.
     pub held: usize,
-    /// Waiting asks by class.
+    /// Number of waiting requests by class.
     pub waiting: Vec<(String, usize)>,
-    /// Its servers.
+    /// Servers of the shard.
     pub upstreams: Vec<UpstreamRow>,
 }
 
-/// A server as its owner sees it.
+/// The state of a server as seen by its owner.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct UpstreamRow {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Slots by the file.
+    /// Slots according to the operators' file.
     pub slots: u32,
-    /// Slots trusted now.
+    /// Slots that the owner grants at present.
     pub trusted: u32,
-    /// Leases on it.
+    /// Leases on the server.
     pub used: u32,
-    /// It is leaving.
+    /// True if the server is leaving.
     pub leaving: bool,
-    /// It gets probes only.
+    /// True if the server receives only probes.
     pub ejected: bool,
-    /// Milliseconds to the first token, a moving mean.
+    /// Moving average of the time to the first token, in milliseconds.
     pub first_ms: f64,
-    /// Milliseconds between tokens, a moving mean.
+    /// Moving average of the time between tokens, in milliseconds.
     pub between_ms: f64,
 }
 
-/// What would happen to a request now.
+/// How a request would be handled now.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Explanation {
-    /// The customer's class would be this.
+    /// Class of the request.
     pub class: String,
-    /// The class's rank.
+    /// Rank of the class.
     pub rank: u8,
-    /// The class's target in milliseconds.
+    /// Target of the class for the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Shards that would be asked: short name, hall, owner's name, expected wait if this box owns it.
+    /// Shards that would be asked for a lease, in order.
     pub route: Vec<RouteRow>,
-    /// In a sentence.
+    /// A sentence that describes the outcome.
     pub verdict: String,
 }
 
-/// One shard that would be asked.
+/// A shard that would be asked for a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RouteRow {
-    /// Its short name.
+    /// Id of the shard.
     pub shard: String,
-    /// Its hall.
+    /// Hall of the shard.
     pub hall: String,
-    /// Its owner's name.
+    /// Name of its owner.
     pub owner: String,
-    /// Expected wait in milliseconds, where this box is the owner.
+    /// Expected wait in milliseconds, if this box is the owner.
     pub wait_ms: Option<u64>,
 }
 
 impl Status {
-    /// As a table for people.
+    /// Formats the status as a table for the terminal.
     #[must_use]
     pub fn table(&self) -> String {
         let mut lines = vec![
--- a/crates/cleatshelf/tests/settings.rs
+++ b/crates/cleatshelf/tests/settings.rs
@@ -1,17 +1,17 @@
-//! Settings: every fault at once, unknown keys included.
+//! Validation of settings.
 
 use cleatshelf::Settings;
 
-const GOOD: &str = include_str!("../../../examples/lakes/box.toml");
+const EXAMPLE: &str = include_str!("../../../examples/lakes/box.toml");
 
 #[test]
-fn the_example_is_good() {
-    let settings = Settings::parse("box.toml", GOOD).expect("good settings");
+fn example_settings_are_valid() {
+    let settings = Settings::parse("box.toml", EXAMPLE).expect("valid settings");
     assert_eq!(settings.peers.len(), 8);
 }
 
 #[test]
-fn every_fault_is_told_at_once_with_file_key_and_reason() {
+fn all_faults_are_reported_with_file_key_and_reason() {
     let text = r#"
 name = "lansing 1"
 listen_callers = "localhost:7000"
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_secret_is_not_shown() {
-    let settings = Settings::parse("box.toml", GOOD).expect("good settings");
+fn debug_output_does_not_contain_the_link_key() {
+    let settings = Settings::parse("box.toml", EXAMPLE).expect("valid settings");
     assert!(!format!("{settings:?}").contains(&settings.link.key));
 }
