--- a/crates/cleatshelf/src/router/advice.rs
+++ b/crates/cleatshelf/src/router/advice.rs
@@ -244,7 +244,7 @@
 pub(super) struct Desk(pub(super) Arc<Advice>);
 
 impl PeerClient for Desk {
-    fn request_opinion(&self, server: &Server, question: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>> {
+    fn request_status(&self, server: &Server, question: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>> {
         let advice = &self.0;
         let now = advice.now();
         let mut state = advice.state();
--- a/crates/gateway/src/whole.rs
+++ b/crates/gateway/src/answer_assembler.rs
@@ -6,20 +6,20 @@
 
 /// An answer that is being put together.
 #[derive(Debug, Default)]
-pub struct Whole {
+pub struct AnswerAssembler {
     head: Map<String, Value>,
     choices: Vec<Value>,
     tokens: u64,
 }
 
-impl Whole {
+impl AnswerAssembler {
     /// Takes in one event; events that are no JSON object are left out.
-    pub fn take(&mut self, event: &Bytes) {
+    pub fn push(&mut self, event: &Bytes) {
         let Ok(Value::Object(mut chunk)) = serde_json::from_slice(EventSplitter::data(event)) else { return };
         if let Some(Value::Array(choices)) = chunk.remove("choices") {
             self.tokens += 1;
             for choice in choices {
-                self.take_choice(choice);
+                self.push_choice(choice);
             }
         }
         for (name, value) in chunk {
@@ -29,7 +29,7 @@
         }
     }
 
-    fn take_choice(&mut self, mut choice: Value) {
+    fn push_choice(&mut self, mut choice: Value) {
         if let Some(fields) = choice.as_object_mut() {
             if let Some(delta) = fields.remove("delta") {
                 fields.insert("message".into(), delta);
--- a/crates/gateway/src/app.rs
+++ b/crates/gateway/src/app.rs
@@ -29,9 +29,9 @@
 }
 
 /// One request's place among those that the box takes at once.
-pub struct Place(Arc<AtomicUsize>);
+pub struct RequestSlot(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for RequestSlot {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -39,14 +39,14 @@
 
 impl App {
     /// A place for one more request, if there is room.
-    pub(crate) fn place(&self) -> Option<Place> {
+    pub(crate) fn reserve_slot(&self) -> Option<RequestSlot> {
         let before = self.running.fetch_add(1, Ordering::Relaxed);
-        let place = Place(Arc::clone(&self.running));
-        (before < self.limits.max_requests).then_some(place)
+        let slot = RequestSlot(Arc::clone(&self.running));
+        (before < self.limits.max_requests).then_some(slot)
     }
 
     /// The problem of a box that has no room.
-    pub(crate) fn full(&self) -> Problem {
+    pub(crate) fn at_capacity(&self) -> Problem {
         let message = format!("this box already has {} requests", self.limits.max_requests);
         Problem::before_send(Code::NotReady, message).with_retry_ms(1_000)
     }
@@ -78,7 +78,7 @@
         .route("/services/{name}/{rest:.*}", web::route().to(plain))
         .route("/health", web::get().to(health))
         .route("/ready", web::get().to(ready))
-        .default_service(web::route().to(nowhere));
+        .default_service(web::route().to(not_found));
 }
 
 async fn chat(app: Data<App>, request: HttpRequest, payload: Payload) -> HttpResponse {
@@ -125,6 +125,6 @@
     }
 }
 
-async fn nowhere() -> HttpResponse {
+async fn not_found() -> HttpResponse {
     Problem::before_send(Code::NotFound, "there is nothing at this path").response()
 }
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -1,8 +1,8 @@
 //! `POST /v1/chat/completions` and `/v1/completions`.
 
+use crate::answer_assembler::AnswerAssembler;
 use crate::caller::Caller;
-use crate::drive::{Drive, Part};
-use crate::whole::Whole;
+use crate::request_driver::{AnswerPart, RequestDriver};
 use crate::{body, App, Code, Hangup, Outcome, Problem, Snapshot};
 use actix_web::web::{Bytes, Payload};
 use actix_web::{HttpRequest, HttpResponse};
@@ -12,37 +12,37 @@
 use upstream::{Call, Delivered, Endpoint};
 
 /// EventSplitter that may wait for a slow caller.
-const UNREAD_MOST: usize = 64;
+const MAX_UNREAD_EVENTS: usize = 64;
 
 /// Bytes of the prompt that name its beginning.
 const PREFIX_BYTES: usize = 1_024;
 
 /// Tokens expected when the caller sets no bound, and the most that are ever expected.
-const TOKENS_GUESS: u32 = 128;
-const TOKENS_GUESS_MOST: u64 = 4_096;
+const DEFAULT_EXPECTED_TOKENS: u32 = 128;
+const MAX_EXPECTED_TOKENS: u64 = 4_096;
 
 /// Serves one request.
 pub async fn serve(app: &App, request: &HttpRequest, payload: Payload, endpoint: Endpoint) -> HttpResponse {
-    let Some(place) = app.place() else { return app.full().response() };
+    let Some(slot) = app.reserve_slot() else { return app.at_capacity().response() };
     match prepare(app, request, payload, endpoint).await {
-        Ok((drive, streamed)) => {
-            let (out, parts) = mpsc::channel(UNREAD_MOST);
+        Ok((driver, streamed)) => {
+            let (out, parts) = mpsc::channel(MAX_UNREAD_EVENTS);
             // A task of its own: the answer goes on when the handler has returned its head.
-            let most = app.limits.request_timeout;
+            let timeout = app.limits.request_timeout;
             let hangup = request.conn_data::<Hangup>().cloned();
             actix_rt::spawn(async move {
                 tokio::select! {
-                    () = drive.run(out) => {}
+                    () = driver.run(out) => {}
                     () = Hangup::wait(hangup) => {}
                     // The caller sees an answer that broke off.
-                    () = tokio::time::sleep(most) => {}
+                    () = tokio::time::sleep(timeout) => {}
                 }
-                drop(place);
+                drop(slot);
             });
             answer(parts, streamed).await
         }
         Err(problem) => {
-            app.count_early(&problem);
+            app.record_early_problem(&problem);
             problem.response()
         }
     }
@@ -53,7 +53,7 @@
     request: &HttpRequest,
     payload: Payload,
     endpoint: Endpoint,
-) -> Result<(Drive, bool), Problem> {
+) -> Result<(RequestDriver, bool), Problem> {
     let arrived = app.control.now();
     let snapshot = app.ready_snapshot()?;
     let caller = Caller::identify(request.headers(), &snapshot, &app.limits)?;
@@ -73,7 +73,7 @@
         repeatable: caller.repeatable,
         delivered: Delivered::default(),
     };
-    let drive = Drive {
+    let driver = RequestDriver {
         control: std::sync::Arc::clone(&app.control),
         engine: std::rc::Rc::clone(&app.engine),
         limits: std::sync::Arc::clone(&app.limits),
@@ -85,7 +85,7 @@
         resumable,
         arrived,
     };
-    Ok((drive, streamed))
+    Ok((driver, streamed))
 }
 
 fn model_of(body: &Value, snapshot: &Snapshot) -> Result<String, Problem> {
@@ -119,7 +119,7 @@
 
 fn expected_tokens(body: &Value) -> u32 {
     let bound = body["max_completion_tokens"].as_u64().or_else(|| body["max_tokens"].as_u64());
-    bound.map_or(TOKENS_GUESS, |n| n.clamp(1, TOKENS_GUESS_MOST) as u32)
+    bound.map_or(DEFAULT_EXPECTED_TOKENS, |n| n.clamp(1, MAX_EXPECTED_TOKENS) as u32)
 }
 
 /// True when every engine of the model can go on with another one's answer.
@@ -128,11 +128,11 @@
     pools.flat_map(|(_, servers)| servers).all(|u| u.kind == UpstreamKind::Engine && u.resume)
 }
 
-async fn answer(mut parts: mpsc::Receiver<Part>, streamed: bool) -> HttpResponse {
+async fn answer(mut parts: mpsc::Receiver<AnswerPart>, streamed: bool) -> HttpResponse {
     let first = match parts.recv().await {
         Some(Ok(event)) => event,
         Some(Err(problem)) => return problem.response(),
-        None => return broken_off().response(),
+        None => return truncated().response(),
     };
     if streamed {
         let stream = futures_util::stream::unfold(Some((Some(first), parts)), next_part);
@@ -141,31 +141,31 @@
             .insert_header(("cache-control", "no-cache"))
             .streaming(stream);
     }
-    let mut whole = Whole::default();
+    let mut answer = AnswerAssembler::default();
     let mut event = first;
     while !upstream::EventSplitter::is_done(&event) {
-        whole.take(&event);
+        answer.push(&event);
         event = match parts.recv().await {
             Some(Ok(next)) => next,
             Some(Err(problem)) => return problem.response(),
-            None => return broken_off().response(),
+            None => return truncated().response(),
         };
     }
-    HttpResponse::Ok().json(whole.finish())
+    HttpResponse::Ok().json(answer.finish())
 }
 
 /// The task that drives the request ended without a word; that is never a whole answer.
-fn broken_off() -> Problem {
+fn truncated() -> Problem {
     Problem::after_send(Code::UpstreamFailed, "the request was cut off", policy::Ran::Unknown)
 }
 
-type Rest = Option<(Option<Bytes>, mpsc::Receiver<Part>)>;
+type StreamState = Option<(Option<Bytes>, mpsc::Receiver<AnswerPart>)>;
 
 /// The next bytes of a streamed answer. A problem is told, and then the connection is broken off,
 /// so that the answer never looks whole.
-async fn next_part(rest: Rest) -> Option<(Result<Bytes, std::io::Error>, Rest)> {
+async fn next_part(state: StreamState) -> Option<(Result<Bytes, std::io::Error>, StreamState)> {
     let cut = || std::io::Error::other("the answer broke off");
-    let (first, mut parts) = rest?;
+    let (first, mut parts) = state?;
     if let Some(first) = first {
         return Some((Ok(first), Some((None, parts))));
     }
@@ -185,7 +185,7 @@
 
 impl App {
     /// Counts a request that ended before it could be driven.
-    fn count_early(&self, problem: &Problem) {
+    fn record_early_problem(&self, problem: &Problem) {
         let outcome = problem.outcome();
         debug_assert_ne!(outcome, Outcome::Whole);
         let labels = [("class", "none".to_owned()), ("outcome", outcome.as_str().to_owned())];
--- a/crates/gateway/src/visit.rs
+++ b/crates/gateway/src/guards.rs
@@ -9,53 +9,53 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-static NEXT: AtomicU64 = AtomicU64::new(1);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-fn number() -> u64 {
-    NEXT.fetch_add(1, Ordering::Relaxed)
+fn next_number() -> u64 {
+    NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)
 }
 
 /// A request within its customer's limit.
-pub struct Visit {
+pub struct CustomerAdmission {
     control: Arc<dyn ControlHandle>,
     number: u64,
     /// Tokens passed on so far.
     pub tokens: u64,
 }
 
-impl Visit {
+impl CustomerAdmission {
     /// Enters, unless the customer's limit is reached.
     ///
     /// # Errors
     /// The refusal.
-    pub async fn enter(control: &Arc<dyn ControlHandle>, customer: CustomerId) -> Result<Self, Refusal> {
-        let visit = Self { control: Arc::clone(control), number: number(), tokens: 0 };
+    pub async fn admit(control: &Arc<dyn ControlHandle>, customer: CustomerId) -> Result<Self, Refusal> {
+        let admission = Self { control: Arc::clone(control), number: next_number(), tokens: 0 };
         let (reply, answer) = oneshot::channel();
-        control.submit(ControlRequest::Admit { number: visit.number, customer, reply });
+        control.submit(ControlRequest::Admit { number: admission.number, customer, reply });
         match answer.await {
-            Ok(true) => Ok(visit),
+            Ok(true) => Ok(admission),
             Ok(false) => Err(Refusal { reason: Reason::Limit, retry_ms: 1_000 }),
             Err(_) => Err(Refusal { reason: Reason::NotReady, retry_ms: 1_000 }),
         }
     }
 }
 
-impl Drop for Visit {
+impl Drop for CustomerAdmission {
     fn drop(&mut self) {
         self.control.submit(ControlRequest::Finish { number: self.number, tokens: self.tokens });
     }
 }
 
 /// A wish for a slot; given up when dropped before [`Wish::keep`].
-struct Wish {
+struct PendingAcquire {
     control: Arc<dyn ControlHandle>,
     number: u64,
-    kept: bool,
+    resolved: bool,
 }
 
-impl Drop for Wish {
+impl Drop for PendingAcquire {
     fn drop(&mut self) {
-        if !self.kept {
+        if !self.resolved {
             self.control.submit(ControlRequest::Abandon(self.number));
         }
     }
@@ -80,16 +80,17 @@
     /// # Errors
     /// The refusal.
     pub async fn acquire(control: &Arc<dyn ControlHandle>, acquire: Acquire) -> Result<(Self, Permit), Refusal> {
-        let mut wish = Wish { control: Arc::clone(control), number: number(), kept: false };
+        let mut pending = PendingAcquire { control: Arc::clone(control), number: next_number(), resolved: false };
         let (reply, answer) = oneshot::channel();
-        control.submit(ControlRequest::Acquire { number: wish.number, acquire, reply });
+        control.submit(ControlRequest::Acquire { number: pending.number, acquire, reply });
         let gone = Refusal { reason: Reason::NotReady, retry_ms: 1_000 };
         let answer = answer.await.unwrap_or(Err(gone));
         // From here on either the lease gives itself back, or there is nothing to give up.
-        wish.kept = true;
+        pending.resolved = true;
         let LeaseGrant { server, permit, recalled } = answer?;
         let report = Report::default();
-        let lease = Self { control: Arc::clone(control), number: wish.number, server, recalled, report, used: false };
+        let lease =
+            Self { control: Arc::clone(control), number: pending.number, server, recalled, report, used: false };
         Ok((lease, permit))
     }
 
@@ -111,20 +112,20 @@
 }
 
 /// A claim on a request key; the key is free again if the request certainly did not run.
-pub struct Claim {
+pub struct KeyClaim {
     control: Arc<dyn ControlHandle>,
     number: u64,
     /// The request may have run, so the key stays used.
     pub ran: bool,
 }
 
-impl Claim {
+impl KeyClaim {
     /// Claims a key.
     ///
     /// # Errors
     /// A [`Problem`] when the key was used before, or nobody can say.
-    pub async fn make(control: &Arc<dyn ControlHandle>, key: u64, age_ms: Option<u64>) -> Result<Self, Problem> {
-        let claim = Self { control: Arc::clone(control), number: number(), ran: false };
+    pub async fn acquire(control: &Arc<dyn ControlHandle>, key: u64, age_ms: Option<u64>) -> Result<Self, Problem> {
+        let claim = Self { control: Arc::clone(control), number: next_number(), ran: false };
         let (reply, answer) = oneshot::channel();
         control.submit(ControlRequest::Claim { number: claim.number, key, age_ms, reply });
         match answer.await {
@@ -142,7 +143,7 @@
     }
 }
 
-impl Drop for Claim {
+impl Drop for KeyClaim {
     fn drop(&mut self) {
         self.control.submit(ControlRequest::EndClaim(self.number, self.ran));
     }
--- a/crates/gateway/src/hangup.rs
+++ b/crates/gateway/src/hangup.rs
@@ -13,8 +13,8 @@
 /// When the socket is first looked at; each next look comes after twice the time, up to the longest.
 ///
 /// A look costs a wake-up, and a long answer that is being written notices its caller's end by itself.
-const LOOK_FIRST: Duration = Duration::from_millis(100);
-const LOOK_MOST: Duration = Duration::from_secs(2);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A second handle on a caller's socket, to look whether it was closed.
 #[derive(Clone, Debug)]
@@ -41,10 +41,10 @@
     /// Ends when the caller has hung up. Without a handle it never ends.
     pub async fn wait(handle: Option<Self>) {
         let Some(handle) = handle else { return std::future::pending().await };
-        let mut pause = LOOK_FIRST;
+        let mut interval = MIN_CHECK_INTERVAL;
         while !handle.is_gone() {
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LOOK_MOST);
+            tokio::time::sleep(interval).await;
+            interval = (interval * 2).min(MAX_CHECK_INTERVAL);
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,22 +4,22 @@
 //! upstream that the lease names, and its answer is passed on. Each request ends with one
 //! [`Outcome`]. This crate knows nothing of other boxes and decides nothing about order or servers.
 
+mod answer_assembler;
 mod app;
 mod body;
 mod caller;
 mod completion;
 mod control;
-mod drive;
+mod guards;
 mod hangup;
-mod journal;
 mod limits;
 mod outcome;
-mod pace;
 mod problem;
+mod request_driver;
+mod request_metrics;
 mod service;
 mod stage;
-mod visit;
-mod whole;
+mod token_timer;
 
 pub use app::{configure, App};
 pub use control::{ControlHandle, ControlRequest, LeaseGrant, Snapshot};
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    fn is_callers_fault(self) -> bool {
+    fn is_caller_error(self) -> bool {
         self.status().is_client_error() && self != Self::CustomerLimit
     }
 }
@@ -141,7 +141,7 @@
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self.ran {
-            Ran::No if self.code.is_callers_fault() => Outcome::Wrong,
+            Ran::No if self.code.is_caller_error() => Outcome::Wrong,
             Ran::No => Outcome::NotRun,
             Ran::Yes | Ran::Unknown => Outcome::Failed,
         }
@@ -152,7 +152,7 @@
     pub fn body(&self) -> Value {
         json!({"error": {
             "message": self.message,
-            "type": if self.code.is_callers_fault() { "invalid_request_error" } else { "server_error" },
+            "type": if self.code.is_caller_error() { "invalid_request_error" } else { "server_error" },
             "param": null,
             "code": self.code.as_str(),
             "ran": self.ran.as_str(),
--- a/crates/gateway/src/drive.rs
+++ b/crates/gateway/src/request_driver.rs
@@ -1,10 +1,10 @@
 //! Drives one model request from its first wish for a slot to its last token.
 
 use crate::caller::Caller;
-use crate::journal::Journal;
-use crate::pace::Pace;
+use crate::guards::{CustomerAdmission, KeyClaim, Lease};
+use crate::request_metrics::RequestMetrics;
 use crate::stage::Stage;
-use crate::visit::{Claim, Lease, Visit};
+use crate::token_timer::TokenTimer;
 use crate::{Code, ControlHandle, Limits, Outcome, Problem};
 use bytes::Bytes;
 use catalog::ServerId;
@@ -17,16 +17,16 @@
 use upstream::{Call, Delivered, Engine, EventSplitter, Failure, TokenStream};
 
 /// Tries of one request, the first included.
-const TRIES_MOST: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// A request recalled this often is no longer asked to step back.
-const RECALLS_MOST: u32 = 3;
+const MAX_RECALLS: u32 = 3;
 
 /// What the caller's side gets: whole events, or the one problem that ends it.
-pub type Part = Result<Bytes, Problem>;
+pub type AnswerPart = Result<Bytes, Problem>;
 
 /// One model request.
-pub struct Drive {
+pub struct RequestDriver {
     /// The control thread.
     pub control: Arc<dyn ControlHandle>,
     /// The way to engines.
@@ -50,9 +50,9 @@
 }
 
 /// Why a try ended without the whole answer.
-enum Stop {
+enum AttemptError {
     /// The caller is gone.
-    Gone,
+    CallerGone,
     /// The owner wants the slot back.
     Recalled(Sent),
     /// No byte of this try reached the engine.
@@ -64,37 +64,37 @@
 }
 
 /// What is passed on so far.
-struct Passing {
-    out: mpsc::Sender<Part>,
+struct Delivery {
+    out: mpsc::Sender<AnswerPart>,
     /// EventSplitter passed on, kept while the answer may have to be resumed.
     events: Vec<Bytes>,
-    keep: bool,
-    journal: Journal,
-    visit: Visit,
+    retain_events: bool,
+    metrics: RequestMetrics,
+    admission: CustomerAdmission,
 }
 
-impl Passing {
-    fn note(&mut self, event: &Bytes) {
-        self.journal.token();
-        self.visit.tokens += 1;
-        if self.keep {
+impl Delivery {
+    fn record(&mut self, event: &Bytes) {
+        self.metrics.record_token();
+        self.admission.tokens += 1;
+        if self.retain_events {
             self.events.push(event.clone());
         }
     }
 }
 
-impl Drive {
+impl RequestDriver {
     /// Runs the request to its end; everything the caller gets goes to `out`.
-    pub async fn run(mut self, out: mpsc::Sender<Part>) {
-        let journal = Journal::open(&self.caller.class.name, &self.caller.label);
-        let gone = out.clone();
-        let whole = tokio::select! {
-            ended = self.attempt(out.clone(), journal) => ended,
-            () = gone.closed() => return,
+    pub async fn run(mut self, out: mpsc::Sender<AnswerPart>) {
+        let metrics = RequestMetrics::new(&self.caller.class.name, &self.caller.label);
+        let caller = out.clone();
+        let result = tokio::select! {
+            result = self.run_request(out.clone(), metrics) => result,
+            () = caller.closed() => return,
         };
-        let Err((problem, journal)) = whole else { return };
-        journal.close(problem.outcome());
-        metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
+        let Err((problem, metrics)) = result else { return };
+        metrics.finish(problem.outcome());
+        ::metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
         if problem.ran == Ran::Unknown && problem.code != Code::KeyUsed {
             let detail = format_args!("class={} code={}", self.caller.class.name, problem.code.as_str());
             telemetry::emit(Event::OutcomeUnknown, detail);
@@ -103,50 +103,54 @@
         let _ = out.send(Err(problem)).await;
     }
 
-    async fn attempt(&mut self, out: mpsc::Sender<Part>, journal: Journal) -> Result<(), (Problem, Journal)> {
+    async fn run_request(
+        &mut self,
+        out: mpsc::Sender<AnswerPart>,
+        metrics: RequestMetrics,
+    ) -> Result<(), (Problem, RequestMetrics)> {
         let unsent = Unsent::new(self.caller.repeatable);
         let mut claim = match self.claim().await {
             Ok(claim) => claim,
-            Err(problem) => return Err((problem, journal)),
+            Err(problem) => return Err((problem, metrics)),
         };
-        let visit = match Visit::enter(&self.control, self.caller.customer).await {
-            Ok(visit) => visit,
-            Err(refusal) => return Err((Problem::refused(refusal, unsent.refuse()), journal)),
+        let admission = match CustomerAdmission::admit(&self.control, self.caller.customer).await {
+            Ok(admission) => admission,
+            Err(refusal) => return Err((Problem::refused(refusal, unsent.refuse()), metrics)),
         };
-        let keep = self.caller.repeatable;
-        let mut passing = Passing { out, events: Vec::new(), keep, journal, visit };
-        let ended = self.tries(Stage::Unsent(unsent), &mut passing, &mut claim).await;
-        match ended {
+        let retain_events = self.caller.repeatable;
+        let mut delivery = Delivery { out, events: Vec::new(), retain_events, metrics, admission };
+        let result = self.attempt_until_complete(Stage::Unsent(unsent), &mut delivery, &mut claim).await;
+        match result {
             Ok(()) => {
-                passing.journal.close(Outcome::Whole);
+                delivery.metrics.finish(Outcome::Whole);
                 Ok(())
             }
-            Err(Some(problem)) => Err((problem, passing.journal)),
+            Err(Some(problem)) => Err((problem, delivery.metrics)),
             // The caller is gone; the journal counts that when it is dropped.
             Err(None) => Ok(()),
         }
     }
 
-    async fn claim(&self) -> Result<Option<Claim>, Problem> {
+    async fn claim(&self) -> Result<Option<KeyClaim>, Problem> {
         match self.caller.key.filter(|_| !self.caller.repeatable) {
-            Some(key) => Claim::make(&self.control, key.hash, key.age_ms).await.map(Some),
+            Some(key) => KeyClaim::acquire(&self.control, key.hash, key.age_ms).await.map(Some),
             None => Ok(None),
         }
     }
 
     /// Tries until the answer is whole. `Err(None)` says that the caller is gone.
-    async fn tries(
+    async fn attempt_until_complete(
         &mut self,
         mut stage: Stage,
-        passing: &mut Passing,
-        claim: &mut Option<Claim>,
+        delivery: &mut Delivery,
+        claim: &mut Option<KeyClaim>,
     ) -> Result<(), Option<Problem>> {
         let mut cause = Cause::First;
         let mut avoid = None;
         let (mut failures, mut recalls) = (0, 0);
         let mut may_have_run = false;
         loop {
-            let acquire = self.wish(cause, avoid, recalls);
+            let acquire = self.acquire_params(cause, avoid, recalls);
             let (lease, permit) = match Lease::acquire(&self.control, acquire).await {
                 Ok(granted) => granted,
                 Err(refusal) => return Err(Some(Problem::refused(refusal, stage.refuse()))),
@@ -154,54 +158,54 @@
             let server = ServerId::of(&lease.server.name);
             let sent = match stage.send(permit, self.control.now()) {
                 Ok(sent) => sent,
-                Err(same) => {
+                Err(stage_unchanged) => {
                     // We woke late: the slot may be somebody else's by now.
-                    (stage, cause) = (same, Cause::Recall);
+                    (stage, cause) = (stage_unchanged, Cause::Recall);
                     continue;
                 }
             };
             if let Some(claim) = claim {
                 claim.ran = true;
             }
-            let sent = self.check_first_send(sent, may_have_run)?;
-            let stop = match self.one_try(lease, sent, passing).await {
+            let sent = self.check_single_send(sent, may_have_run)?;
+            let error = match self.attempt(lease, sent, delivery).await {
                 Ok(()) => return Ok(()),
-                Err(stop) => stop,
+                Err(error) => error,
             };
-            let was_recalled = matches!(stop, Stop::Recalled(_));
-            let unreached = matches!(stop, Stop::Unreached(_));
+            let was_recalled = matches!(error, AttemptError::Recalled(_));
+            let unreached = matches!(error, AttemptError::Unreached(_));
             may_have_run |= !unreached;
             if let Some(claim) = claim.as_mut().filter(|_| unreached) {
                 claim.ran = false;
             }
             failures += u32::from(!was_recalled);
             recalls += u32::from(was_recalled);
-            stage = next_stage(stop, failures)?;
+            stage = next_stage(error, failures)?;
             cause = if was_recalled { Cause::Recall } else { Cause::Failure };
             avoid = (!was_recalled).then_some(server);
-            self.take_up(passing)?;
+            self.prepare_resume(delivery)?;
         }
     }
 
     /// The invariant at each send: what isn't repeatable has reached no upstream before.
     ///
     /// The types make the opposite impossible; this says so, should they ever be changed.
-    fn check_first_send(&self, sent: Sent, may_have_run: bool) -> Result<Sent, Option<Problem>> {
+    fn check_single_send(&self, sent: Sent, may_have_run: bool) -> Result<Sent, Option<Problem>> {
         if self.caller.repeatable || !may_have_run {
             return Ok(sent);
         }
         telemetry::emit(Event::SecondSendBroken, format_args!("class={}", self.caller.class.name));
-        Err(Some(failed("it was about to be sent twice", Ran::Unknown)))
+        Err(Some(upstream_failed("it was about to be sent twice", Ran::Unknown)))
     }
 
-    fn wish(&self, cause: Cause, avoid: Option<ServerId>, recalls: u32) -> Acquire {
+    fn acquire_params(&self, cause: Cause, avoid: Option<ServerId>, recalls: u32) -> Acquire {
         Acquire {
             serves: self.model.clone(),
             class: self.caller.class_id(),
             customer: self.caller.customer,
             tokens: self.tokens.saturating_sub(self.call.delivered.tokens).max(1),
             prefix: self.prefix,
-            resumable: self.caller.repeatable && self.resumable && recalls < RECALLS_MOST,
+            resumable: self.caller.repeatable && self.resumable && recalls < MAX_RECALLS,
             // After a recall the wait begins anew: the class's target was met or missed before.
             arrived: if self.call.delivered.tokens == 0 { self.arrived } else { self.control.now() },
             cause,
@@ -210,83 +214,87 @@
     }
 
     /// Notes what the caller already has, so that the next engine goes on from there.
-    fn take_up(&mut self, passing: &Passing) -> Result<(), Option<Problem>> {
-        if passing.events.is_empty() {
+    fn prepare_resume(&mut self, delivery: &Delivery) -> Result<(), Option<Problem>> {
+        if delivery.events.is_empty() {
             return Ok(());
         }
         if !self.resumable {
             let message = "the engine broke off and no engine can resume the answer";
             return Err(Some(Problem::after_send(Code::UpstreamFailed, message, Ran::Yes)));
         }
-        self.call.delivered = passed(&passing.events);
+        self.call.delivered = delivered_text(&delivery.events);
         let detail = format_args!("class={} tokens={}", self.caller.class.name, self.call.delivered.tokens);
         telemetry::emit(Event::StreamResumed, detail);
         Ok(())
     }
 
-    async fn one_try(&mut self, mut lease: Lease, sent: Sent, passing: &mut Passing) -> Result<(), Stop> {
+    async fn attempt(&mut self, mut lease: Lease, sent: Sent, delivery: &mut Delivery) -> Result<(), AttemptError> {
         lease.mark_used();
         let began = Instant::now();
         let tokens = tokio::select! {
             started = self.engine.start(lease.server.address, &self.call) => started,
-            Ok(()) = &mut lease.recalled => return Err(Stop::Recalled(sent)),
+            Ok(()) = &mut lease.recalled => return Err(AttemptError::Recalled(sent)),
         };
         match tokens {
-            Ok(tokens) => self.pass_on(tokens, lease, sent, passing, began).await,
+            Ok(tokens) => self.forward_tokens(tokens, lease, sent, delivery, began).await,
             Err(Failure::Unreached(_)) => {
                 lease.report.failed = true;
-                Err(Stop::Unreached(sent))
+                Err(AttemptError::Unreached(sent))
             }
             Err(Failure::Refused { status, body }) => {
                 // A caller's mistake says nothing about the engine.
                 lease.report.failed = status >= 500;
-                Err(Stop::Refused(sent, status, body))
+                Err(AttemptError::Refused(sent, status, body))
             }
             Err(Failure::Broken(why)) => {
                 lease.report.failed = true;
-                Err(Stop::Broken(sent, why))
+                Err(AttemptError::Broken(sent, why))
             }
         }
     }
 
-    async fn pass_on(
+    async fn forward_tokens(
         &self,
         mut tokens: Box<dyn TokenStream>,
         mut lease: Lease,
         sent: Sent,
-        passing: &mut Passing,
+        delivery: &mut Delivery,
         began: Instant,
-    ) -> Result<(), Stop> {
-        let mut pace = Pace::new(began);
+    ) -> Result<(), AttemptError> {
+        let mut timer = TokenTimer::new(began);
         loop {
             let event = tokio::select! {
                 event = tokens.next() => event,
-                Ok(()) = &mut lease.recalled => return Err(Stop::Recalled(sent)),
+                Ok(()) = &mut lease.recalled => return Err(AttemptError::Recalled(sent)),
             };
             match event {
                 Ok(Some(event)) if EventSplitter::is_done(&event) => {
                     // With this the caller's side may end at once; nothing must wait after it.
-                    return if self.hand_over(&passing.out, event).await { Ok(()) } else { Err(Stop::Gone) };
+                    return if self.send_to_caller(&delivery.out, event).await {
+                        Ok(())
+                    } else {
+                        Err(AttemptError::CallerGone)
+                    };
                 }
                 Ok(Some(event)) => {
-                    pace.token();
-                    pace.write(&mut lease);
-                    passing.note(&event);
-                    if !self.hand_over(&passing.out, event).await {
-                        return Err(Stop::Gone);
+                    timer.record_token();
+                    timer.write_to(&mut lease);
+                    delivery.record(&event);
+                    if !self.send_to_caller(&delivery.out, event).await {
+                        return Err(AttemptError::CallerGone);
                     }
                 }
-                Ok(None) => return Err(Stop::Broken(sent, "the answer had no end".to_owned())),
+                Ok(None) => return Err(AttemptError::Broken(sent, "the answer had no end".to_owned())),
                 Err(why) => {
                     lease.report.failed = true;
-                    return Err(Stop::Broken(sent, why.to_string()));
+                    return Err(AttemptError::Broken(sent, why.to_string()));
                 }
             }
         }
     }
 
     /// False when the caller is gone or leaves its answer unread.
-    async fn hand_over(&self, out: &mpsc::Sender<Part>, event: Bytes) -> bool {
+    async fn send_to_caller(&self, out: &mpsc::Sender<AnswerPart>, event: Bytes) -> bool {
         match out.try_send(Ok(event)) {
             Ok(()) => true,
             Err(mpsc::error::TrySendError::Closed(_)) => false,
@@ -298,57 +306,57 @@
 }
 
 /// What follows from a try that ended early: another stage, or the end with what is true of it.
-fn next_stage(stop: Stop, failures: u32) -> Result<Stage, Option<Problem>> {
-    let spent = failures >= TRIES_MOST;
-    match stop {
-        Stop::Gone => Err(None),
-        Stop::Recalled(sent) => again(sent, "the request can't be resumed"),
-        Stop::Unreached(sent) => {
-            let stage = Stage::unreached(sent);
+fn next_stage(error: AttemptError, failures: u32) -> Result<Stage, Option<Problem>> {
+    let spent = failures >= MAX_ATTEMPTS;
+    match error {
+        AttemptError::CallerGone => Err(None),
+        AttemptError::Recalled(sent) => retry_stage(sent, "the request can't be resumed"),
+        AttemptError::Unreached(sent) => {
+            let stage = Stage::after_unreached(sent);
             if spent {
                 let message = "no upstream could be reached";
                 return Err(Some(Problem::after_send(Code::NoServer, message, stage.refuse()).with_retry_ms(1_000)));
             }
             Ok(stage)
         }
-        Stop::Broken(sent, why) if spent => Err(Some(failed(&why, sent.finish(false)))),
-        Stop::Broken(sent, why) => again(sent, &why),
-        Stop::Refused(sent, status, body) => {
+        AttemptError::Broken(sent, why) if spent => Err(Some(upstream_failed(&why, sent.finish(false)))),
+        AttemptError::Broken(sent, why) => retry_stage(sent, &why),
+        AttemptError::Refused(sent, status, body) => {
             if (500..600).contains(&status) && !spent {
                 return match sent.retry() {
                     Ok(resend) => Ok(Stage::Resend(resend)),
-                    Err(sent) => Err(Some(passed_on(status, body, sent.finish(false)))),
+                    Err(sent) => Err(Some(upstream_refused(status, body, sent.finish(false)))),
                 };
             }
-            Err(Some(passed_on(status, body, sent.finish(status < 500))))
+            Err(Some(upstream_refused(status, body, sent.finish(status < 500))))
         }
     }
 }
 
-fn again(sent: Sent, why: &str) -> Result<Stage, Option<Problem>> {
-    sent.retry().map(Stage::Resend).map_err(|sent| Some(failed(why, sent.finish(false))))
+fn retry_stage(sent: Sent, why: &str) -> Result<Stage, Option<Problem>> {
+    sent.retry().map(Stage::Resend).map_err(|sent| Some(upstream_failed(why, sent.finish(false))))
 }
 
-fn failed(why: &str, ran: Ran) -> Problem {
+fn upstream_failed(why: &str, ran: Ran) -> Problem {
     Problem::after_send(Code::UpstreamFailed, format!("the upstream failed: {why}"), ran)
 }
 
-fn passed_on(status: u16, body: Vec<u8>, ran: Ran) -> Problem {
+fn upstream_refused(status: u16, body: Vec<u8>, ran: Ran) -> Problem {
     let problem = Problem::after_send(Code::UpstreamRefused, format!("the upstream answered {status}"), ran);
     Problem { upstream_answer: Some((status, body)), ..problem }
 }
 
 /// The tokens and the text of events.
-fn passed(events: &[Bytes]) -> Delivered {
-    let mut passed = Delivered::default();
+fn delivered_text(events: &[Bytes]) -> Delivered {
+    let mut delivered = Delivered::default();
     for event in events {
         let Ok(value) = serde_json::from_slice::<Value>(EventSplitter::data(event)) else { continue };
         let choice = &value["choices"][0];
         let text = choice["delta"]["content"].as_str().or_else(|| choice["text"].as_str()).unwrap_or_default();
         if !text.is_empty() {
-            passed.tokens += 1;
-            passed.text.push_str(text);
+            delivered.tokens += 1;
+            delivered.text.push_str(text);
         }
     }
-    passed
+    delivered
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -1,9 +1,9 @@
 //! `/services/NAME/…`: plain services, any method and body.
 
 use crate::caller::Caller;
-use crate::journal::Journal;
+use crate::guards::{CustomerAdmission, KeyClaim, Lease};
+use crate::request_metrics::RequestMetrics;
 use crate::stage::Stage;
-use crate::visit::{Claim, Lease, Visit};
 use crate::{body, App, Code, Hangup, Outcome, Problem, RAN_HEADER};
 use actix_web::http::StatusCode;
 use actix_web::web::Payload;
@@ -14,31 +14,31 @@
 use upstream::{Failure, PlainAnswer, PlainRequest};
 
 /// Tries of one request, the first included.
-const TRIES_MOST: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Headers of the caller that concern this box and not the service.
-const KEPT_BACK: [&str; 6] =
+const STRIPPED_HEADERS: [&str; 6] =
     ["host", "connection", "authorization", "content-length", "transfer-encoding", "x-api-key"];
 
 /// Serves one request.
 pub async fn serve(app: &App, request: &HttpRequest, name: &str, rest: &str, payload: Payload) -> HttpResponse {
-    let Some(_place) = app.place() else { return app.full().response() };
+    let Some(_slot) = app.reserve_slot() else { return app.at_capacity().response() };
     let hangup = request.conn_data::<Hangup>().cloned();
-    let ended = tokio::select! {
-        ended = run(app, request, name, rest, payload) => ended,
+    let result = tokio::select! {
+        result = run(app, request, name, rest, payload) => result,
         // Nobody reads this answer; the guards have given everything back.
         () = Hangup::wait(hangup) => return HttpResponse::NoContent().finish(),
     };
-    match ended {
-        Ok(answer) => pass_on(&answer),
+    match result {
+        Ok(answer) => forward_answer(&answer),
         Err(problem) => {
-            metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
+            ::metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
             problem.response()
         }
     }
 }
 
-fn pass_on(answer: &PlainAnswer) -> HttpResponse {
+fn forward_answer(answer: &PlainAnswer) -> HttpResponse {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut builder = HttpResponse::build(status);
     for (name, value) in &answer.headers {
@@ -66,32 +66,33 @@
     let body = body::read(payload, &app.limits).await?;
     let query = request.query_string();
     let target = if query.is_empty() { format!("/{rest}") } else { format!("/{rest}?{query}") };
-    let kept = request.headers().iter().filter(|(name, _)| !KEPT_BACK.contains(&name.as_str()));
+    let kept = request.headers().iter().filter(|(name, _)| !STRIPPED_HEADERS.contains(&name.as_str()));
     let headers = kept.filter_map(|(n, v)| Some((n.as_str().to_owned(), v.to_str().ok()?.to_owned())));
-    let plea = PlainRequest { method, target, headers: headers.collect(), body, repeatable: caller.repeatable };
-    let journal = Journal::open(&caller.class.name, &caller.label);
-    let ended = attempt(app, &caller, name, &plea, arrived).await;
-    match &ended {
-        Ok(_) => journal.close(Outcome::Whole),
-        Err(problem) => journal.close(problem.outcome()),
+    let service_request =
+        PlainRequest { method, target, headers: headers.collect(), body, repeatable: caller.repeatable };
+    let metrics = RequestMetrics::new(&caller.class.name, &caller.label);
+    let result = attempt(app, &caller, name, &service_request, arrived).await;
+    match &result {
+        Ok(_) => metrics.finish(Outcome::Whole),
+        Err(problem) => metrics.finish(problem.outcome()),
     }
-    ended
+    result
 }
 
 async fn attempt(
     app: &App,
     caller: &Caller,
     name: &str,
-    plea: &PlainRequest,
+    service_request: &PlainRequest,
     arrived: Time,
 ) -> Result<PlainAnswer, Problem> {
     let unsent = Unsent::new(caller.repeatable);
     let mut claim = match caller.key.filter(|_| !caller.repeatable) {
-        Some(key) => Some(Claim::make(&app.control, key.hash, key.age_ms).await?),
+        Some(key) => Some(KeyClaim::acquire(&app.control, key.hash, key.age_ms).await?),
         None => None,
     };
-    let mut visit = match Visit::enter(&app.control, caller.customer).await {
-        Ok(visit) => visit,
+    let mut admission = match CustomerAdmission::admit(&app.control, caller.customer).await {
+        Ok(admission) => admission,
         Err(refusal) => return Err(Problem::refused(refusal, unsent.refuse())),
     };
     let mut stage = Stage::Unsent(unsent);
@@ -106,15 +107,15 @@
         cause: Cause::First,
         avoid: None,
     };
-    for last in (0..TRIES_MOST).rev() {
+    for remaining in (0..MAX_ATTEMPTS).rev() {
         let (mut lease, permit) = match Lease::acquire(&app.control, acquire.clone()).await {
             Ok(granted) => granted,
             Err(refusal) => return Err(Problem::refused(refusal, stage.refuse())),
         };
         let sent = match stage.send(permit, app.control.now()) {
             Ok(sent) => sent,
-            Err(same) => {
-                (stage, acquire.cause) = (same, Cause::Recall);
+            Err(stage_unchanged) => {
+                (stage, acquire.cause) = (stage_unchanged, Cause::Recall);
                 continue;
             }
         };
@@ -123,10 +124,10 @@
         }
         lease.mark_used();
         let began = Instant::now();
-        match app.plain.call(lease.server.address, plea).await {
+        match app.plain.call(lease.server.address, service_request).await {
             Ok(answer) => {
                 lease.report.first_ms = (began.elapsed().as_millis() as u32).max(1);
-                visit.tokens = 1;
+                admission.tokens = 1;
                 return Ok(answer);
             }
             Err(failure) => {
@@ -134,7 +135,7 @@
                 if let (Failure::Unreached(_), Some(claim)) = (&failure, &mut claim) {
                     claim.ran = false;
                 }
-                stage = after(sent, &failure, last == 0)?;
+                stage = next_stage(sent, &failure, remaining == 0)?;
                 acquire.cause = Cause::Failure;
                 acquire.avoid = Some(ServerId::of(&lease.server.name));
             }
@@ -144,10 +145,10 @@
 }
 
 /// What follows from a failure: another try, or the end with what is true of it.
-fn after(sent: Sent, failure: &Failure, last: bool) -> Result<Stage, Problem> {
+fn next_stage(sent: Sent, failure: &Failure, last: bool) -> Result<Stage, Problem> {
     let failed = |ran| Problem::after_send(Code::UpstreamFailed, format!("the service failed: {failure}"), ran);
     if matches!(failure, Failure::Unreached(_)) {
-        return Ok(Stage::unreached(sent));
+        return Ok(Stage::after_unreached(sent));
     }
     if last {
         return Err(failed(sent.finish(false)));
--- a/crates/gateway/src/stage.rs
+++ b/crates/gateway/src/stage.rs
@@ -33,7 +33,7 @@
 
     /// The stage after a send that reached nobody.
     #[must_use]
-    pub fn unreached(sent: Sent) -> Self {
+    pub fn after_unreached(sent: Sent) -> Self {
         sent.connect_failed().map_or_else(Self::Resend, Self::Unsent)
     }
 }
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/token_timer.rs
@@ -1,31 +1,31 @@
 //! How fast an engine's tokens come, for the lease's report.
 
-use crate::visit::Lease;
+use crate::guards::Lease;
 use std::time::Instant;
 
 /// Times between an engine's tokens.
-pub(crate) struct Pace {
-    began: Instant,
+pub(crate) struct TokenTimer {
+    started: Instant,
     first: Option<Instant>,
     last: Instant,
     count: u32,
 }
 
-impl Pace {
-    pub(crate) fn new(began: Instant) -> Self {
-        Self { began, first: None, last: began, count: 0 }
+impl TokenTimer {
+    pub(crate) fn new(started: Instant) -> Self {
+        Self { started, first: None, last: started, count: 0 }
     }
 
-    pub(crate) fn token(&mut self) {
+    pub(crate) fn record_token(&mut self) {
         self.last = Instant::now();
         self.first.get_or_insert(self.last);
         self.count += 1;
     }
 
-    pub(crate) fn write(&self, lease: &mut Lease) {
+    pub(crate) fn write_to(&self, lease: &mut Lease) {
         let first = self.first.unwrap_or(self.last);
         lease.report.tokens = self.count;
-        lease.report.first_ms = (first.duration_since(self.began).as_millis() as u32).max(1);
+        lease.report.first_ms = (first.duration_since(self.started).as_millis() as u32).max(1);
         if self.count > 1 {
             let tenths = self.last.duration_since(first).as_micros() / 100 / u128::from(self.count - 1);
             lease.report.between_tenths = (tenths as u32).max(1);
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -121,15 +121,15 @@
     /// Tells where a part was read that others may look for.
     fn notify_cache_directories(&mut self) {
         for (directory, part) in std::mem::take(&mut self.cache_directories) {
-            let news = SendUpdate::Elsewhere { part, by: self.server.id.clone() };
-            let report = SendReport { number: 0, server: directory.id.clone(), update: news };
+            let update = SendUpdate::Elsewhere { part, by: self.server.id.clone() };
+            let report = SendReport { number: 0, server: directory.id.clone(), update };
             self.shared.peer_client.report(&directory, report);
         }
     }
 
-    fn report(&self, news: SendUpdate) {
+    fn report(&self, update: SendUpdate) {
         if let Some(number) = self.lease {
-            let report = SendReport { number, server: self.server.id.clone(), update: news };
+            let report = SendReport { number, server: self.server.id.clone(), update };
             self.shared.peer_client.report(&self.server, report);
         }
     }
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -3,7 +3,7 @@
 use crate::attempt::SlotGuard;
 use crate::crash::LostRequest;
 use crate::exchange::Exchange;
-use crate::owner_requests::{self, PendingOpinion};
+use crate::owner_requests::{self, PendingStatus};
 use http::uri::PathAndQuery;
 use http::{header, HeaderValue};
 use placement::{Choice, Fingerprint, Millis, PermitReply, PlacementRequest, Prompt, Refusal, ServerStatus, Verdict};
@@ -13,10 +13,10 @@
 
 /// How many servers' owners are asked for one request: eight that likely keep its parts, homes and those beyond
 /// them, and a cheap one; where it shares none, cheap ones only.
-const MAX_OPINIONS: usize = 9;
+const MAX_STATUS_REQUESTS: usize = 9;
 
 /// Longest wait for owners. They are a few milliseconds away; a slow one must not make requests late.
-const OPINION_TIMEOUT: Duration = Duration::from_millis(25);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// Longest wait for whether the server of a send that broke off has ended, before the next: some ways there and back. Without
 /// it a request ends a fourth server, as the next send is faster than the news.
@@ -36,7 +36,7 @@
     /// Servers ended under it, again and again.
     Held {
         /// When its caller is asked back, in milliseconds.
-        back_ms: Millis,
+        retry_ms: Millis,
     },
 }
 
@@ -49,23 +49,23 @@
 impl Exchange {
     /// Chooses a server, and claims a place there.
     pub(crate) async fn choose(&mut self) -> Result<(Choice, SlotGuard), NotSent> {
-        let opinions = self.request_opinions().await;
+        let statuses = self.request_statuses().await;
         if let Some(mut probe) = self.crash_probe.take() {
             // Closed or late: what is known by then is gone by.
             let _ = tokio::time::timeout(CRASH_PROBE_TIMEOUT, probe.changed()).await;
         }
         let mut denied = Vec::new();
         loop {
-            let choice = self.shared.placement().choose(&self.placement_request(&opinions, &denied))?;
+            let choice = self.shared.placement().choose(&self.placement_request(&statuses, &denied))?;
             let permit_expires = self.shared.now() + PERMIT_TTL_MS;
             let Some(quotas) = choice.permit_quotas else {
                 return self.claim_slot(choice, None);
             };
-            let (urgency, until) = (self.urgency(), Instant::now() + OPINION_TIMEOUT);
+            let (urgency, until) = (self.urgency(), Instant::now() + STATUS_TIMEOUT);
             match owner_requests::request_permit(&self.shared, &choice.server, quotas, urgency, until).await {
                 PermitReply::Granted => return self.claim_slot(choice, Some(permit_expires)),
-                PermitReply::Denied { retry_ms: again } => {
-                    let until = self.shared.now().saturating_add(again);
+                PermitReply::Denied { retry_ms } => {
+                    let until = self.shared.now().saturating_add(retry_ms);
                     self.shared.placement().record_denial(&self.service, &choice.server.id, urgency, until);
                 }
             }
@@ -86,7 +86,7 @@
         match self.verdict() {
             Verdict::Free => {}
             Verdict::Trial => self.shared.begin_probe(self.fingerprint()),
-            Verdict::Held { retry_ms: back_ms } => return Err(NotSent::Held { back_ms }),
+            Verdict::Held { retry_ms } => return Err(NotSent::Held { retry_ms }),
         }
         self.permit_expires = permit_expires;
         self.log_choice(&choice);
@@ -96,7 +96,7 @@
 
     pub(crate) fn placement_request<'a>(
         &'a self,
-        opinions: &'a [(String, ServerStatus)],
+        statuses: &'a [(String, ServerStatus)],
         denied: &'a [String],
     ) -> PlacementRequest<'a> {
         PlacementRequest {
@@ -112,24 +112,24 @@
                 self.route.allowed_regions.as_ref(),
                 self.customer.as_ref().and_then(|customer| customer.allowed_regions.as_ref()),
             ],
-            statuses: opinions,
+            statuses,
             now: self.shared.now(),
         }
     }
 
     /// Asks the owners of the likeliest servers; nobody for requests that are no prompts.
-    pub(crate) async fn request_opinions(&self) -> Vec<(String, ServerStatus)> {
+    pub(crate) async fn request_statuses(&self) -> Vec<(String, ServerStatus)> {
         let Some(prompt) = &self.call.prompt else { return Vec::new() };
-        let planned = self.shared.placement().servers_to_query(&self.placement_request(&[], &[]), MAX_OPINIONS);
+        let planned = self.shared.placement().servers_to_query(&self.placement_request(&[], &[]), MAX_STATUS_REQUESTS);
         let gap_ms = self.route.gap_target.map_or(0, |gap| gap.as_millis() as u32);
-        let pending: Vec<PendingOpinion> =
-            planned.iter().filter_map(|server| PendingOpinion::request(&self.shared, server, prompt, gap_ms)).collect();
-        let until = Instant::now() + OPINION_TIMEOUT;
-        let mut opinions = Vec::new();
+        let pending: Vec<PendingStatus> =
+            planned.iter().filter_map(|server| PendingStatus::request(&self.shared, server, prompt, gap_ms)).collect();
+        let until = Instant::now() + STATUS_TIMEOUT;
+        let mut statuses = Vec::new();
         for request in pending {
-            opinions.extend(request.wait(&self.shared, &self.service, until).await);
+            statuses.extend(request.wait(&self.shared, &self.service, until).await);
         }
-        opinions
+        statuses
     }
 
     /// What it is known by when it comes again.
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -40,26 +40,26 @@
                 let after = MIN_COLD_DELAY.mul_f64(rand::rng().random_range(1.0..2.0));
                 self.refuse_with_delay("all servers are cold", after)
             }
-            NotSent::Refused(Refusal::Limited { retry_ms: back_ms }) => {
-                let _ = write!(self.trail, "all have what they take, {back_ms} ms");
-                let wait = Duration::from_millis(back_ms).max(MIN_LIMITED_DELAY);
+            NotSent::Refused(Refusal::Limited { retry_ms }) => {
+                let _ = write!(self.trail, "all have what they take, {retry_ms} ms");
+                let wait = Duration::from_millis(retry_ms).max(MIN_LIMITED_DELAY);
                 self.refuse_with_delay(
                     "all servers have as much as they take",
                     wait.mul_f64(rand::rng().random_range(1.0..2.0)),
                 )
             }
-            NotSent::Refused(Refusal::BackingOff { retry_ms: back_ms }) => {
-                let _ = write!(self.trail, "all rest, {back_ms} ms");
-                let wait = Duration::from_millis(back_ms).max(RETRY_DELAY);
+            NotSent::Refused(Refusal::BackingOff { retry_ms }) => {
+                let _ = write!(self.trail, "all rest, {retry_ms} ms");
+                let wait = Duration::from_millis(retry_ms).max(RETRY_DELAY);
                 self.refuse_with_delay(
                     "all servers rest",
                     wait.mul_f64(rand::rng().random_range(1.0..BACKOFF_SPREAD_FACTOR)),
                 )
             }
             NotSent::Late => self.refuse("its time is over"),
-            NotSent::Held { back_ms } => {
+            NotSent::Held { retry_ms } => {
                 self.trail.push_str("held");
-                self.refuse_with_delay("servers ended under this request", Duration::from_millis(back_ms))
+                self.refuse_with_delay("servers ended under this request", Duration::from_millis(retry_ms))
             }
             NotSent::Refused(Refusal::Overloaded { wait_ms }) => {
                 let _ = write!(self.trail, "crowded, {wait_ms:.0} ms to a place");
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -89,8 +89,8 @@
 impl Exchange {
     /// Sends the request until there is an outcome, or the beginning of a stream.
     pub(crate) async fn run(&mut self) -> Reply {
-        if let Verdict::Held { retry_ms: back_ms } = self.verdict() {
-            return Reply::Whole(self.not_sent(&NotSent::Held { back_ms }));
+        if let Verdict::Held { retry_ms } = self.verdict() {
+            return Reply::Whole(self.not_sent(&NotSent::Held { retry_ms }));
         }
         let now = self.shared.now();
         self.shared.placement().record_request(&self.service, now);
--- a/crates/relay/src/owner_requests.rs
+++ b/crates/relay/src/owner_requests.rs
@@ -9,28 +9,28 @@
 use tokio::time::Instant;
 
 /// A question that is on its way.
-pub(crate) struct PendingOpinion {
+pub(crate) struct PendingStatus {
     server: Arc<Server>,
     answer: oneshot::Receiver<ServerStatus>,
 }
 
-impl PendingOpinion {
+impl PendingStatus {
     /// Asks the owner of `server`; none when nobody can be asked.
     pub(crate) fn request(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
         let question = StatusQuery { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
-        let answer = shared.peer_client.request_opinion(server, question)?;
+        let answer = shared.peer_client.request_status(server, question)?;
         Some(Self { server: Arc::clone(server), answer })
     }
 
     /// Waits for the answer, and takes it in.
     pub(crate) async fn wait(self, shared: &Shared, service: &str, until: Instant) -> Option<(String, ServerStatus)> {
-        let Ok(Ok(opinion)) = tokio::time::timeout_at(until, self.answer).await else {
+        let Ok(Ok(status)) = tokio::time::timeout_at(until, self.answer).await else {
             shared.peer_client.on_missed_reply(&self.server);
             return None;
         };
-        shared.placement().on_status(service, &self.server.id, opinion.clone(), shared.now());
-        Some((self.server.id.clone(), opinion))
+        shared.placement().on_status(service, &self.server.id, status.clone(), shared.now());
+        Some((self.server.id.clone(), status))
     }
 }
 
--- a/crates/relay/src/peer_client.rs
+++ b/crates/relay/src/peer_client.rs
@@ -10,7 +10,7 @@
 /// Asks the owners of servers. Lives on traffic threads; must not block.
 pub trait PeerClient: Send + Sync {
     /// Asks the owner of `server`; none when nobody can be asked.
-    fn request_opinion(&self, server: &Server, question: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>>;
+    fn request_status(&self, server: &Server, question: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>>;
 
     /// Asks the owner of `server`, which takes few requests, for leave to send one there; none when there is no box that may give
     /// it. No other box's word counts.
@@ -24,7 +24,7 @@
 
     /// Tells all other boxes of requests under which servers ended, or that were found innocent, and of servers that answer though
     /// they were taken for ended.
-    fn broadcast_suspects(&self, records: Vec<SuspectRecord>, signs: Vec<LivenessEvidence>);
+    fn broadcast_suspects(&self, records: Vec<SuspectRecord>, evidence: Vec<LivenessEvidence>);
 
     /// Tells all other boxes of a server that said that it leaves, by the id of its life.
     fn broadcast_leaving(&self, life: &str);
--- a/crates/relay/src/server_hints.rs
+++ b/crates/relay/src/server_hints.rs
@@ -46,11 +46,11 @@
     #[must_use]
     pub fn on_peer_limits(&self, statements: Vec<LimitUpdate>) -> Vec<LimitUpdate> {
         let record = |statement: &LimitUpdate| {
-            let news = self.placement().on_limit_update(statement, self.now());
-            if news {
+            let is_new = self.placement().on_limit_update(statement, self.now());
+            if is_new {
                 log_limit(format_args!("from=Peer"), &statement.instance, statement.limit);
             }
-            news
+            is_new
         };
         statements.into_iter().filter(record).collect()
     }
@@ -58,8 +58,8 @@
     /// A limit is over all boxes, so that all are told and each request needs leave from one of them: kept by each box alone it would
     /// let through as many times what the server takes as there are boxes.
     fn on_limit(&self, id: &str, server: &Server, limit: Limit, sent: Millis) {
-        let news = self.placement().record_limit(&server.id, limit, sent, self.now());
-        if let Some(statement) = news {
+        let update = self.placement().record_limit(&server.id, limit, sent, self.now());
+        if let Some(statement) = update {
             log_limit(format_args!("id={id}"), &server.id, limit);
             self.peer_client.broadcast_limit(&statement);
         }
@@ -67,16 +67,16 @@
 
     /// A life leaves. True when this box didn't know.
     fn on_leaving(&self, instance: &str, source: std::fmt::Arguments<'_>) -> bool {
-        let (news, listed) = {
+        let (is_new, listed) = {
             let mut placement = self.placement();
             let listed = placement.listed(instance).map(|server| server.draining);
             (placement.record_leaving(instance, listed, self.now()), listed)
         };
-        if news {
+        if is_new {
             let entry = listed.map_or("gone", |draining| if draining { "leaving" } else { "ready" });
             telemetry::emit(Event::ServerLeaves, format_args!("{source} server={instance} entry={entry}"));
         }
-        news
+        is_new
     }
 
     fn on_back_off(&self, id: &str, server: &Server, back_off: Duration) {
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -51,27 +51,31 @@
 
     /// Takes what another box knows of requests and servers. What disproves it, for that box.
     #[must_use]
-    pub fn on_peer_suspects(&self, records: &[SuspectRecord], signs: Vec<LivenessEvidence>) -> Vec<LivenessEvidence> {
+    pub fn on_peer_suspects(
+        &self,
+        records: &[SuspectRecord],
+        evidence: Vec<LivenessEvidence>,
+    ) -> Vec<LivenessEvidence> {
         let now = self.now();
         let mut quarantine = self.quarantine();
         let mut changes = Vec::new();
         let mut confirmed = Vec::new();
-        for sign in signs {
-            let disproved = quarantine.on_liveness_evidence(&sign, now);
+        for item in evidence {
+            let disproved = quarantine.on_liveness_evidence(&item, now);
             if !disproved.is_empty() {
-                confirmed.push(sign);
+                confirmed.push(item);
             }
             changes.extend(disproved);
         }
         changes.extend(records.iter().map(|record| quarantine.on_record(record, now)));
-        let disproved = records.iter().flat_map(|record| quarantine.evidence_against(record, now)).collect();
+        let contradictions = records.iter().flat_map(|record| quarantine.evidence_against(record, now)).collect();
         drop(quarantine);
         changes.iter().for_each(log_change);
         if !confirmed.is_empty() {
             // Those who believed this box's word must hear it too; those who know say nothing more.
             self.peer_client.broadcast_suspects(Vec::new(), confirmed);
         }
-        disproved
+        contradictions
     }
 
     /// Whether a request may be sent, as far as servers ended under it.
--- a/crates/upstream/src/event_splitter.rs
+++ b/crates/upstream/src/event_splitter.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// Most bytes that one event may have.
-const EVENT_MOST: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Cuts a stream of bytes into whole events, so that a break never passes on half of one.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     #[must_use]
     pub fn feed(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
-        self.buffer.len() <= EVENT_MOST
+        self.buffer.len() <= MAX_EVENT_BYTES
     }
 
     /// The next whole event with its closing blank line.
--- a/crates/upstream/src/http.rs
+++ b/crates/upstream/src/http.rs
@@ -13,16 +13,19 @@
 use std::time::Duration;
 
 /// Largest error body that is passed on.
-const ERROR_MOST: usize = 64 * 1024;
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
 
 /// Largest answer of a plain service.
-const ANSWER_MOST: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
 /// Longest wait for a load report.
-const LOAD_MOST: Duration = Duration::from_secs(1);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long an idle connection is kept.
-const KEEP_MOST: Duration = Duration::from_secs(2);
+const KEEP_ALIVE: Duration = Duration::from_secs(2);
+
+/// Total time limit of a streamed answer; pauses within it are bounded by [`Timeouts::idle`].
+const MAX_STREAM_TIME: Duration = Duration::from_secs(86_400);
 
 /// How long things may take.
 #[derive(Clone, Copy, Debug)]
@@ -44,14 +47,14 @@
 /// Engines and plain services over HTTP.
 pub struct HttpClient {
     /// Keeps connections for a short while.
-    kept: Client,
+    pooled: Client,
     /// Makes a connection for each request.
-    fresh: Client,
-    patience: Timeouts,
+    unpooled: Client,
+    timeouts: Timeouts,
 }
 
 #[derive(Deserialize)]
-struct Report {
+struct LoadReport {
     running: u32,
     waiting: u32,
     #[serde(default)]
@@ -67,47 +70,47 @@
 impl HttpClient {
     /// A client with these waits. One for each traffic thread.
     #[must_use]
-    pub fn new(patience: Timeouts) -> Self {
-        let kept = client(patience, KEEP_MOST);
-        let fresh = client(patience, Duration::ZERO);
-        Self { kept, fresh, patience }
+    pub fn new(timeouts: Timeouts) -> Self {
+        let pooled = client(timeouts, KEEP_ALIVE);
+        let unpooled = client(timeouts, Duration::ZERO);
+        Self { pooled, unpooled, timeouts }
     }
 
     /// A kept connection that the upstream has just closed would make a request fail of which nobody
     /// knows whether it ran. A repeatable one is simply sent again; the others get a new connection.
     fn client(&self, repeatable: bool) -> &Client {
         if repeatable {
-            &self.kept
+            &self.pooled
         } else {
-            &self.fresh
+            &self.unpooled
         }
     }
 }
 
-fn client(patience: Timeouts, keep: Duration) -> Client {
+fn client(timeouts: Timeouts, keep: Duration) -> Client {
     let connector = Connector::new()
-        .timeout(patience.connect)
+        .timeout(timeouts.connect)
         .limit(0)
         .conn_keep_alive(keep)
         .conn_lifetime(Duration::from_secs(600));
     let builder =
-        Client::builder().connector(connector).timeout(patience.head).disable_redirects().no_default_headers();
+        Client::builder().connector(connector).timeout(timeouts.head).disable_redirects().no_default_headers();
     builder.finish()
 }
 
 /// Only a connection that was never made proves that nothing ran.
 ///
 /// The library also calls it a connect error when an open connection is closed before the answer.
-fn failure(error: &SendRequestError) -> Failure {
+fn classify_error(error: &SendRequestError) -> Failure {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => Failure::Broken("closed before its answer".into()),
-        SendRequestError::Connect(why) => Failure::Unreached(why.to_string()),
-        SendRequestError::Url(why) => Failure::Unreached(why.to_string()),
+        SendRequestError::Connect(error) => Failure::Unreached(error.to_string()),
+        SendRequestError::Url(error) => Failure::Unreached(error.to_string()),
         other => Failure::Broken(other.to_string()),
     }
 }
 
-struct Stream<S> {
+struct EventStream<S> {
     body: S,
     events: EventSplitter,
     idle: Duration,
@@ -115,7 +118,7 @@
 }
 
 #[async_trait(?Send)]
-impl<S> TokenStream for Stream<S>
+impl<S> TokenStream for EventStream<S>
 where
     S: futures_util::Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -132,7 +135,7 @@
             match more {
                 Ok(Some(Ok(bytes))) if self.events.feed(&bytes) => {}
                 Ok(Some(Ok(_))) => return Err(Failure::Broken("an event is too large".into())),
-                Ok(Some(Err(why))) => return Err(Failure::Broken(why.to_string())),
+                Ok(Some(Err(error))) => return Err(Failure::Broken(error.to_string())),
                 Ok(None) => return Err(Failure::Broken("the stream ended before the answer did".into())),
                 Err(_) => return Err(Failure::Broken("silent for too long".into())),
             }
@@ -147,31 +150,33 @@
             .client(call.repeatable)
             .post(format!("http://{address}{}", call.endpoint.path()))
             .insert_header(("content-type", "application/json"));
-        let mut response = request.send_body(call.render()).await.map_err(|e| failure(&e))?;
+        let mut response = request.send_body(call.render()).await.map_err(|e| classify_error(&e))?;
         if response.status() != StatusCode::OK {
             let status = response.status().as_u16();
-            let body = response.body().limit(ERROR_MOST).await.map(|b| b.to_vec()).unwrap_or_default();
+            let body = response.body().limit(MAX_ERROR_BODY_BYTES).await.map(|b| b.to_vec()).unwrap_or_default();
             return Err(Failure::Refused { status, body });
         }
-        let body = response.timeout(Duration::from_secs(86_400));
-        Ok(Box::new(Stream { body, events: EventSplitter::default(), idle: self.patience.idle, done: false }))
+        let body = response.timeout(MAX_STREAM_TIME);
+        Ok(Box::new(EventStream { body, events: EventSplitter::default(), idle: self.timeouts.idle, done: false }))
     }
 }
 
 #[async_trait(?Send)]
 impl PlainService for HttpClient {
-    async fn call(&self, address: SocketAddr, plea: &PlainRequest) -> Result<PlainAnswer, Failure> {
-        let method = Method::from_bytes(plea.method.as_bytes()).map_err(|e| Failure::Unreached(e.to_string()))?;
-        let mut request = self.client(plea.repeatable).request(method, format!("http://{address}{}", plea.target));
-        for (name, value) in &plea.headers {
-            request = request.insert_header((name.as_str(), value.as_str()));
+    async fn call(&self, address: SocketAddr, request: &PlainRequest) -> Result<PlainAnswer, Failure> {
+        let method = Method::from_bytes(request.method.as_bytes()).map_err(|e| Failure::Unreached(e.to_string()))?;
+        let mut outgoing =
+            self.client(request.repeatable).request(method, format!("http://{address}{}", request.target));
+        for (name, value) in &request.headers {
+            outgoing = outgoing.insert_header((name.as_str(), value.as_str()));
         }
-        let sent = request.send_body(plea.body.clone()).await;
-        let mut response = sent.map_err(|e| failure(&e))?.timeout(self.patience.head);
-        let body = response.body().limit(ANSWER_MOST).await;
+        let sent = outgoing.send_body(request.body.clone()).await;
+        let mut response = sent.map_err(|e| classify_error(&e))?.timeout(self.timeouts.head);
+        let body = response.body().limit(MAX_ANSWER_BYTES).await;
         let body = body.map_err(|e| Failure::Broken(e.to_string()))?;
-        let kept = |name: &str| !matches!(name, "connection" | "transfer-encoding" | "content-length" | "keep-alive");
-        let headers = response.headers().iter().filter(|(name, _)| kept(name.as_str()));
+        let is_end_to_end =
+            |name: &str| !matches!(name, "connection" | "transfer-encoding" | "content-length" | "keep-alive");
+        let headers = response.headers().iter().filter(|(name, _)| is_end_to_end(name.as_str()));
         let headers = headers.filter_map(|(n, v)| Some((n.as_str().to_owned(), v.to_str().ok()?.to_owned())));
         Ok(PlainAnswer { status: response.status().as_u16(), headers: headers.collect(), body })
     }
@@ -180,10 +185,10 @@
 #[async_trait(?Send)]
 impl LoadProbe for HttpClient {
     async fn load(&self, address: SocketAddr) -> Result<Load, Failure> {
-        let request = self.kept.get(format!("http://{address}/load")).timeout(LOAD_MOST);
-        let mut response = request.send().await.map_err(|e| failure(&e))?;
-        let body = response.body().limit(ERROR_MOST).await.map_err(|e| Failure::Broken(e.to_string()))?;
-        let report: Report = serde_json::from_slice(&body).map_err(|e| Failure::Broken(e.to_string()))?;
+        let request = self.pooled.get(format!("http://{address}/load")).timeout(LOAD_TIMEOUT);
+        let mut response = request.send().await.map_err(|e| classify_error(&e))?;
+        let body = response.body().limit(MAX_ERROR_BODY_BYTES).await.map_err(|e| Failure::Broken(e.to_string()))?;
+        let report: LoadReport = serde_json::from_slice(&body).map_err(|e| Failure::Broken(e.to_string()))?;
         Ok(Load { running: report.running, waiting: report.waiting, leaving: report.leaving })
     }
 }
--- a/crates/upstream/src/server.rs
+++ b/crates/upstream/src/server.rs
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// [`Failure`], which says whether the request can have reached the service.
-    async fn call(&self, address: SocketAddr, plea: &PlainRequest) -> Result<PlainAnswer, Failure>;
+    async fn call(&self, address: SocketAddr, request: &PlainRequest) -> Result<PlainAnswer, Failure>;
 }
 
 /// An upstream's own report of its load.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,6 +1,6 @@
 //! One frame: length, proof, and a value in `bincode`.
 
-use crate::key::{Session, PROOF};
+use crate::key::{Session, TAG_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -10,10 +10,10 @@
 pub const MAX_FRAME_BYTES: usize = 1_100_000;
 
 /// Most bytes of a frame's length, which is written as `bincode` writes a whole number.
-const LENGTH_MOST: usize = 5;
+const MAX_LENGTH_BYTES: usize = 5;
 
 /// Bytes that HTTP/2 puts around what is written at once.
-const DATA_HEAD: usize = 9;
+const DATA_FRAME_HEADER_BYTES: usize = 9;
 
 /// Why a frame was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,18 +47,18 @@
     /// Bytes of a frame of its own on the connection: with its length, its proof and the head of HTTP/2.
     #[must_use]
     pub fn wire_bytes(&self) -> usize {
-        length_of(self.0.len()).len() + PROOF + self.0.len() + DATA_HEAD
+        encode_length(self.0.len()).len() + TAG_BYTES + self.0.len() + DATA_FRAME_HEADER_BYTES
     }
 }
 
-fn length_of(payload: usize) -> Vec<u8> {
+fn encode_length(payload: usize) -> Vec<u8> {
     // A whole number can always be encoded.
     bincode::serde::encode_to_vec(payload as u32, bincode::config::standard()).unwrap_or_default()
 }
 
 /// The length that `bytes` begin with and its own size; none while it isn't all there.
-fn read_length(bytes: &[u8]) -> Option<(usize, usize)> {
-    let head = &bytes[..bytes.len().min(LENGTH_MOST)];
+fn decode_length(bytes: &[u8]) -> Option<(usize, usize)> {
+    let head = &bytes[..bytes.len().min(MAX_LENGTH_BYTES)];
     let read = bincode::serde::decode_from_slice::<u32, _>(head, bincode::config::standard());
     read.ok().map(|(length, size)| (length as usize, size))
 }
@@ -81,8 +81,8 @@
 
     /// Appends a frame to `out`.
     pub fn write(&mut self, frame: &Frame, out: &mut BytesMut) {
-        out.extend_from_slice(&length_of(frame.0.len()));
-        out.extend_from_slice(&self.session.prove(&frame.0));
+        out.extend_from_slice(&encode_length(frame.0.len()));
+        out.extend_from_slice(&self.session.next_tag(&frame.0));
         out.extend_from_slice(&frame.0);
     }
 
@@ -96,20 +96,20 @@
     /// # Errors
     /// When the frame is refused; the stream must then be closed.
     pub fn read(&mut self) -> Result<Option<T>, FrameError> {
-        let Some((length, size)) = read_length(&self.buffer) else {
+        let Some((length, size)) = decode_length(&self.buffer) else {
             // A length that is whole and still can't be read is no length.
-            return if self.buffer.len() < LENGTH_MOST { Ok(None) } else { Err(FrameError::Undecodable) };
+            return if self.buffer.len() < MAX_LENGTH_BYTES { Ok(None) } else { Err(FrameError::Undecodable) };
         };
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLarge);
         }
-        if self.buffer.len() < size + PROOF + length {
+        if self.buffer.len() < size + TAG_BYTES + length {
             return Ok(None);
         }
         self.buffer.advance(size);
-        let proof = self.buffer.split_to(PROOF);
+        let tag = self.buffer.split_to(TAG_BYTES);
         let payload = self.buffer.split_to(length);
-        if !self.session.check(&payload, &proof) {
+        if !self.session.verify(&payload, &tag) {
             return Err(FrameError::Unauthenticated);
         }
         self.authenticated = true;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -16,32 +16,32 @@
 use tokio::task::JoinHandle;
 
 /// Most frames that wait for a peer; more are dropped, as the network might drop them.
-const QUEUE_MOST: usize = 8_192;
+const MAX_QUEUED_FRAMES: usize = 8_192;
 
 /// Shortest and longest wait before connecting again.
-const BACKOFF_LEAST: Duration = Duration::from_millis(50);
-const BACKOFF_MOST: Duration = Duration::from_millis(500);
+const MIN_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
 /// Longest wait for a connection and for the listener's challenge.
-const OPEN_MOST: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long after a write the peer is asked whether it still hears, and how long its answer is waited for. A connection
 /// may fall silent for good without a reset; both together are below the shortest bound for news, 2 s.
-const PING_AFTER: Duration = Duration::from_millis(900);
-const PONG_MOST: Duration = Duration::from_millis(900);
+const PING_INTERVAL: Duration = Duration::from_millis(900);
+const PONG_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Most bytes gathered into one write.
-const BATCH_MOST: usize = 64 * 1024;
+const MAX_BATCH_BYTES: usize = 64 * 1024;
 
 /// The way from this box to one peer. Connects by itself, again and again; must be made on a local set.
 pub struct Link<T> {
     queue: mpsc::Sender<Frame>,
-    sent: Rc<Cell<u64>>,
+    sent_bytes: Rc<Cell<u64>>,
     message: PhantomData<T>,
 }
 
 /// Who the two ends are.
-struct Ends {
+struct Endpoints {
     key: Key,
     from: String,
     to: String,
@@ -49,14 +49,14 @@
 }
 
 impl<T: Serialize + DeserializeOwned + 'static> Link<T> {
-    /// A link from the box `from` to the box `to`. `broke` is called whenever it breaks or can't be made.
+    /// A link from the box `from` to the box `to`. `on_disconnect` is called whenever it breaks or can't be made.
     #[must_use]
-    pub fn open(key: &Key, from: &str, to: &str, address: SocketAddr, broke: Box<dyn Fn()>) -> Self {
-        let (queue, frames) = mpsc::channel(QUEUE_MOST);
-        let ends = Ends { key: key.clone(), from: from.to_owned(), to: to.to_owned(), address };
-        let sent = Rc::new(Cell::new(0));
-        actix_rt::spawn(run::<T>(ends, frames, broke, Rc::clone(&sent)));
-        Self { queue, sent, message: PhantomData }
+    pub fn open(key: &Key, from: &str, to: &str, address: SocketAddr, on_disconnect: Box<dyn Fn()>) -> Self {
+        let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
+        let endpoints = Endpoints { key: key.clone(), from: from.to_owned(), to: to.to_owned(), address };
+        let sent_bytes = Rc::new(Cell::new(0));
+        actix_rt::spawn(run::<T>(endpoints, frames, on_disconnect, Rc::clone(&sent_bytes)));
+        Self { queue, sent_bytes, message: PhantomData }
     }
 
     /// Sends a message, or drops it when too many wait. False says that it was dropped.
@@ -75,39 +75,39 @@
     /// Bytes written to the peer so far, frames with their proofs.
     #[must_use]
     pub fn bytes_sent(&self) -> u64 {
-        self.sent.get()
+        self.sent_bytes.get()
     }
 }
 
 async fn run<T: DeserializeOwned>(
-    ends: Ends,
+    endpoints: Endpoints,
     mut frames: mpsc::Receiver<Frame>,
-    broke: Box<dyn Fn()>,
-    sent: Rc<Cell<u64>>,
+    on_disconnect: Box<dyn Fn()>,
+    sent_bytes: Rc<Cell<u64>>,
 ) {
-    let mut backoff = BACKOFF_LEAST;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        if let Ok(Ok(mut opened)) = tokio::time::timeout(OPEN_MOST, connect::<T>(&ends)).await {
-            backoff = BACKOFF_LEAST;
-            if carry(&mut opened, &mut frames, &sent).await.is_ok() {
+        if let Ok(Ok(mut connection)) = tokio::time::timeout(CONNECT_TIMEOUT, connect::<T>(&endpoints)).await {
+            backoff = MIN_BACKOFF;
+            if transmit(&mut connection, &mut frames, &sent_bytes).await.is_ok() {
                 // What was written last is still on its way.
                 return;
             }
-            opened.task.abort();
+            connection.task.abort();
         }
         if frames.is_closed() {
             return;
         }
-        broke();
+        on_disconnect();
         // What waited is old by now; a peer that comes back needs the present, not the past.
         while frames.try_recv().is_ok() {}
         tokio::time::sleep(backoff).await;
-        backoff = (backoff * 2).min(BACKOFF_MOST);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 /// A connection that stands.
-struct Opened<T> {
+struct Connection<T> {
     stream: SendStream<Bytes>,
     codec: Codec<T>,
     ping: PingPong,
@@ -115,9 +115,9 @@
     task: JoinHandle<()>,
 }
 
-async fn connect<T: DeserializeOwned>(ends: &Ends) -> Result<Opened<T>, h2::Error> {
+async fn connect<T: DeserializeOwned>(endpoints: &Endpoints) -> Result<Connection<T>, h2::Error> {
     let refused = || h2::Error::from(h2::Reason::REFUSED_STREAM);
-    let tcp = TcpStream::connect(ends.address).await.map_err(|_| refused())?;
+    let tcp = TcpStream::connect(endpoints.address).await.map_err(|_| refused())?;
     tcp.set_nodelay(true).map_err(|_| refused())?;
     let (sender, mut connection) = h2::client::handshake(tcp).await?;
     let ping = connection.ping_pong().ok_or_else(refused)?;
@@ -127,41 +127,41 @@
     });
     let mut sender: SendRequest<Bytes> = sender.ready().await?;
     let request = http::Request::post("http://box/link")
-        .header("from", &ends.from)
+        .header("from", &endpoints.from)
         .header("version", VERSION)
         .body(())
         .map_err(|_| refused())?;
     let (response, stream) = sender.send_request(request, false)?;
     let response = response.await?;
     let challenge = response.headers().get("challenge").and_then(|c| c.to_str().ok()).ok_or_else(refused)?;
-    let session = ends.key.session(challenge, &ends.from, &ends.to);
-    Ok(Opened { stream, codec: Codec::new(session), ping, task })
+    let session = endpoints.key.session(challenge, &endpoints.from, &endpoints.to);
+    Ok(Connection { stream, codec: Codec::new(session), ping, task })
 }
 
 /// Carries frames until the link breaks (an error) or nobody will send any more.
-async fn carry<T: DeserializeOwned>(
-    opened: &mut Opened<T>,
+async fn transmit<T: DeserializeOwned>(
+    connection: &mut Connection<T>,
     frames: &mut mpsc::Receiver<Frame>,
-    sent: &Cell<u64>,
+    sent_bytes: &Cell<u64>,
 ) -> Result<(), h2::Error> {
-    let Opened { stream, codec, ping, .. } = opened;
-    let wrote = Cell::new(false);
+    let Connection { stream, codec, ping, .. } = connection;
+    let written_since_ping = Cell::new(false);
     tokio::select! {
-        ended = write(stream, codec, frames, sent, &wrote) => ended,
-        silent = listen(ping, &wrote) => Err(silent),
+        result = write(stream, codec, frames, sent_bytes, &written_since_ping) => result,
+        error = monitor_peer(ping, &written_since_ping) => Err(error),
     }
 }
 
-/// Asks the peer now and then whether it hears, as long as something was written since. Ends when it does not.
-async fn listen(ping: &mut PingPong, wrote: &Cell<bool>) -> h2::Error {
+/// Asks the peer now and then whether it hears, as long as something was written since. Endpoints when it does not.
+async fn monitor_peer(ping: &mut PingPong, written_since_ping: &Cell<bool>) -> h2::Error {
     loop {
-        tokio::time::sleep(PING_AFTER).await;
-        if !wrote.replace(false) {
+        tokio::time::sleep(PING_INTERVAL).await;
+        if !written_since_ping.replace(false) {
             continue;
         }
-        match tokio::time::timeout(PONG_MOST, ping.ping(Ping::opaque())).await {
+        match tokio::time::timeout(PONG_TIMEOUT, ping.ping(Ping::opaque())).await {
             Ok(Ok(_)) => {}
-            Ok(Err(why)) => return why,
+            Ok(Err(error)) => return error,
             Err(_) => return h2::Reason::CANCEL.into(),
         }
     }
@@ -171,8 +171,8 @@
     stream: &mut SendStream<Bytes>,
     codec: &mut Codec<T>,
     frames: &mut mpsc::Receiver<Frame>,
-    sent: &Cell<u64>,
-    wrote: &Cell<bool>,
+    sent_bytes: &Cell<u64>,
+    written_since_ping: &Cell<bool>,
 ) -> Result<(), h2::Error> {
     loop {
         let first = tokio::select! {
@@ -182,12 +182,12 @@
         let Some(first) = first else { return Ok(()) };
         let mut out = BytesMut::new();
         codec.write(&first, &mut out);
-        while out.len() < BATCH_MOST {
+        while out.len() < MAX_BATCH_BYTES {
             let Ok(frame) = frames.try_recv() else { break };
             codec.write(&frame, &mut out);
         }
-        sent.set(sent.get() + out.len() as u64);
-        wrote.set(true);
+        sent_bytes.set(sent_bytes.get() + out.len() as u64);
+        written_since_ping.set(true);
         send_all(stream, out.freeze()).await?;
     }
 }
@@ -195,10 +195,10 @@
 async fn send_all(stream: &mut SendStream<Bytes>, mut bytes: Bytes) -> Result<(), h2::Error> {
     while !bytes.is_empty() {
         stream.reserve_capacity(bytes.len());
-        let granted = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await;
-        let granted = granted.ok_or_else(|| h2::Error::from(h2::Reason::CANCEL))??;
-        let now = bytes.split_to(granted.min(bytes.len()));
-        stream.send_data(now, false)?;
+        let capacity = std::future::poll_fn(|cx| stream.poll_capacity(cx)).await;
+        let capacity = capacity.ok_or_else(|| h2::Error::from(h2::Reason::CANCEL))??;
+        let chunk = bytes.split_to(capacity.min(bytes.len()));
+        stream.send_data(chunk, false)?;
     }
     Ok(())
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -8,7 +8,7 @@
     Codec::new(Key::new(secret).session("challenge", from, "b"))
 }
 
-fn written(messages: &[Vec<u32>]) -> Bytes {
+fn encode_all(messages: &[Vec<u32>]) -> Bytes {
     let mut writer = codec("secret", "a");
     let mut out = BytesMut::new();
     for message in messages {
@@ -18,13 +18,13 @@
 }
 
 #[test]
-fn messages_come_out_as_they_went_in_however_they_are_cut() {
+fn messages_round_trip_across_any_chunking() {
     let messages = vec![vec![1, 2, 3], vec![], vec![7; 1_000]];
-    let bytes = written(&messages);
+    let bytes = encode_all(&messages);
     let mut reader = codec("secret", "a");
     let mut read = Vec::new();
-    for piece in bytes.chunks(7) {
-        reader.feed(&Bytes::copy_from_slice(piece));
+    for chunk in bytes.chunks(7) {
+        reader.feed(&Bytes::copy_from_slice(chunk));
         while let Some(message) = reader.read().expect("good frames") {
             read.push(message);
         }
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn another_key_another_name_and_a_replay_are_refused() {
-    let bytes = written(&[vec![1]]);
+fn wrong_key_wrong_name_and_replay_are_refused() {
+    let bytes = encode_all(&[vec![1]]);
     for mut reader in [codec("another", "a"), codec("secret", "c")] {
         reader.feed(&bytes);
         assert_eq!(reader.read(), Err(FrameError::Unauthenticated));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn too_large_a_frame_is_refused_before_it_is_taken_in() {
+fn oversized_frame_is_refused_by_its_length() {
     assert_eq!(Frame::encode(&vec![u32::MAX; MAX_FRAME_BYTES / 4]), Err(FrameError::TooLarge));
     let mut reader = codec("secret", "a");
     // 252 says that four bytes of the length follow.
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_length_that_is_none_is_refused() {
+fn invalid_length_is_refused() {
     for first in 253..=255 {
         let mut reader = codec("secret", "a");
         reader.feed(&Bytes::from(vec![first; 4]));
@@ -69,9 +69,9 @@
 }
 
 #[test]
-fn a_small_frame_has_nine_bytes_around_it() {
+fn small_frame_has_nine_bytes_of_overhead() {
     let frame = Frame::encode(&vec![1u32]).expect("a small message");
-    assert_eq!(written(&[vec![1]]).len(), frame.0.len() + 9);
+    assert_eq!(encode_all(&[vec![1]]).len(), frame.0.len() + 9);
     assert_eq!(frame.wire_bytes(), frame.0.len() + 9 + 9);
 }
 
@@ -79,15 +79,15 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_whatever_get_in_or_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_refused_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut reader = codec("secret", "a");
         reader.feed(&Bytes::from(bytes));
         prop_assert!(!matches!(reader.read(), Ok(Some(_))));
     }
 
     #[test]
-    fn one_changed_bit_is_refused(at in 0..60usize, bit in 0..8u8) {
-        let mut bytes = written(&[vec![1, 2, 3, 4]]).to_vec();
+    fn single_bit_flip_is_refused(at in 0..60usize, bit in 0..8u8) {
+        let mut bytes = encode_all(&[vec![1, 2, 3, 4]]).to_vec();
         let at = at % bytes.len();
         bytes[at] ^= 1 << bit;
         let mut reader = codec("secret", "a");
--- a/crates/wire/tests/silent.rs
+++ b/crates/wire/tests/silent_connection.rs
@@ -9,7 +9,7 @@
 use wire::{Key, Link, Listener};
 
 /// Longest time until a message comes through after the silence began; several times what is needed.
-const MOST: Duration = Duration::from_secs(20);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Passes bytes on; connections that stand when `silence` rises pass nothing more, and stay open.
 async fn proxy(listener: TcpListener, to: SocketAddr, silence: Rc<Cell<u32>>) {
@@ -41,33 +41,33 @@
 }
 
 #[actix_rt::test]
-async fn a_link_whose_connection_falls_silent_is_made_anew() {
+async fn link_reconnects_after_silent_connection_loss() {
     let bind = || async { TcpListener::bind("127.0.0.1:0").await.expect("a port") };
     let (inner, outer) = (bind().await, bind().await);
     let (to, address) = (inner.local_addr().expect("an address"), outer.local_addr().expect("an address"));
     let silence = Rc::new(Cell::new(0));
     actix_rt::spawn(proxy(outer, to, Rc::clone(&silence)));
     let key = Key::new("the secret of both ends");
-    let got: Rc<RefCell<Vec<u32>>> = Rc::default();
-    let taken = Rc::clone(&got);
-    let listener = Listener::new(&key, "b", Rc::new(move |_: &str, message: u32| taken.borrow_mut().push(message)));
+    let received: Rc<RefCell<Vec<u32>>> = Rc::default();
+    let sink = Rc::clone(&received);
+    let listener = Listener::new(&key, "b", Rc::new(move |_: &str, message: u32| sink.borrow_mut().push(message)));
     actix_rt::spawn(listener.run(inner));
     let link: Link<u32> = Link::open(&key, "a", "b", address, Box::new(|| {}));
-    let send_until_heard = |first: u32| {
-        let (link, got) = (&link, Rc::clone(&got));
+    let send_until_received = |first: u32| {
+        let (link, received) = (&link, Rc::clone(&received));
         async move {
             let began = Instant::now();
-            while began.elapsed() < MOST {
+            while began.elapsed() < RECOVERY_TIMEOUT {
                 link.send(&first);
                 actix_rt::time::sleep(Duration::from_millis(50)).await;
-                if got.borrow().contains(&first) {
+                if received.borrow().contains(&first) {
                     return true;
                 }
             }
             false
         }
     };
-    assert!(send_until_heard(1).await, "before the silence");
+    assert!(send_until_received(1).await, "before the silence");
     silence.set(1);
-    assert!(send_until_heard(2).await, "after the silence");
+    assert!(send_until_received(2).await, "after the silence");
 }
