--- a/crates/placement/examples/choose.rs
+++ b/crates/placement/examples/choose.rs
@@ -37,7 +37,7 @@
         let parts = vec![Part { id: index % 60, tokens: shared }, Part { id: 10_000 + index, tokens: 3_000 }];
         let prompt =
             Prompt { model: "m".to_owned(), tokens: shared + 3_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
             target: Duration::from_millis(1_500),
@@ -51,11 +51,11 @@
             now: index * 300,
         };
         let began = Instant::now();
-        let planned = placement.servers_to_query(&ask, ASKED);
+        let planned = placement.servers_to_query(&request, ASKED);
         took += began.elapsed();
-        let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
+        let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
         let began = Instant::now();
-        let choice = placement.choose(&PlacementRequest { statuses: &opinions, ..ask });
+        let choice = placement.choose(&PlacementRequest { statuses: &statuses, ..request });
         took += began.elapsed();
         let _ = black_box(choice);
     }
--- a/crates/placement/examples/slopes.rs
+++ b/crates/placement/examples/slopes.rs
@@ -38,7 +38,7 @@
 fn choose(placement: &mut Placement, round: u64) -> Duration {
     let parts = vec![Part { id: round % 60, tokens: 13_000 }, Part { id: 10_000 + round, tokens: 3_000 }];
     let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
         target: Duration::from_millis(1_500),
@@ -52,9 +52,9 @@
         now: round * 300,
     };
     let began = Instant::now();
-    let planned = placement.servers_to_query(&ask, ASKED);
-    let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
-    let _ = black_box(placement.choose(&PlacementRequest { statuses: &opinions, ..ask }));
+    let planned = placement.servers_to_query(&request, ASKED);
+    let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
+    let _ = black_box(placement.choose(&PlacementRequest { statuses: &statuses, ..request }));
     began.elapsed()
 }
 
--- a/crates/placement/src/standing.rs
+++ b/crates/placement/src/admission_state.rs
@@ -39,18 +39,18 @@
 
 impl Member {
     /// What is in force for it.
-    pub(crate) fn standing(&self, now: Millis) -> AdmissionState {
+    pub(crate) fn admission_state(&self, now: Millis) -> AdmissionState {
         if self.leaving {
             AdmissionState::Leaving
         } else if self.evacuated {
             AdmissionState::Evacuated
-        } else if now < self.rest_until {
+        } else if now < self.back_off_until {
             AdmissionState::BackingOff
-        } else if now < self.doubted_until {
+        } else if now < self.unconfirmed_until {
             AdmissionState::Unconfirmed
-        } else if self.paused(now) {
+        } else if self.is_paused(now) {
             AdmissionState::Paused
-        } else if self.cold(now) {
+        } else if self.is_cold(now) {
             AdmissionState::Cold
         } else if self.limit.quota().is_some() {
             AdmissionState::Limited
--- a/crates/placement/src/arrivals.rs
+++ b/crates/placement/src/arrivals.rs
@@ -1,7 +1,7 @@
 //! When requests were lately sent to a server.
 
+use crate::cold::COLD_WINDOW;
 use crate::permit::Quota;
-use crate::warmth::WINDOW;
 use crate::Millis;
 use std::collections::VecDeque;
 
@@ -15,8 +15,8 @@
 
 impl Arrivals {
     /// One was sent.
-    pub(crate) fn note(&mut self, now: Millis) {
-        let longest = self.longest.max(WINDOW);
+    pub(crate) fn record(&mut self, now: Millis) {
+        let longest = self.longest.max(COLD_WINDOW);
         while self.times.front().is_some_and(|at| at + longest <= now) {
             self.times.pop_front();
         }
@@ -24,7 +24,7 @@
     }
 
     /// How many were sent within so many milliseconds.
-    pub(crate) fn within(&self, span: Millis, now: Millis) -> u32 {
+    pub(crate) fn count_within(&self, span: Millis, now: Millis) -> u32 {
         let first = self.times.partition_point(|at| at + span <= now);
         u32::try_from(self.times.len() - first).unwrap_or(u32::MAX)
     }
--- a/crates/placement/src/elsewhere.rs
+++ b/crates/placement/src/cache_directory.rs
@@ -7,30 +7,30 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Servers that are remembered for one part: the last ones that read it.
-const SERVERS_MOST: usize = 3;
+const MAX_SERVERS_PER_PART: usize = 3;
 
 /// Parts that are remembered for one server. With some tens of live parts a server, those that nobody uses any more are let go.
-const PARTS_MOST: usize = 400;
+const MAX_PARTS: usize = 400;
 
 /// The parts whose register one server's owner keeps, and who read them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Elsewhere {
+pub(crate) struct CacheDirectory {
     parts: HashMap<u64, VecDeque<String>>,
     /// Ids of the parts, those first that were told of first.
     order: VecDeque<u64>,
 }
 
-impl Elsewhere {
+impl CacheDirectory {
     /// A server has read a part.
-    pub(crate) fn note(&mut self, part: u64, server: String) {
+    pub(crate) fn record(&mut self, part: u64, server: String) {
         let servers = self.parts.entry(part).or_insert_with(|| {
             self.order.push_back(part);
             VecDeque::new()
         });
         servers.retain(|known| *known != server);
         servers.push_front(server);
-        servers.truncate(SERVERS_MOST);
-        if self.order.len() > PARTS_MOST {
+        servers.truncate(MAX_SERVERS_PER_PART);
+        if self.order.len() > MAX_PARTS {
             if let Some(oldest) = self.order.pop_front() {
                 self.parts.remove(&oldest);
             }
--- a/crates/placement/src/warmth.rs
+++ b/crates/placement/src/cold.rs
@@ -10,10 +10,10 @@
 
 /// The span over which arrivals at a cold server are counted: a second, and as long as a request may be under way between its
 /// owner's leave and the server, so that no second at the server holds more.
-pub(crate) const WINDOW: Millis = 1_200;
+pub(crate) const COLD_WINDOW: Millis = 1_200;
 
 /// Arrivals in a second that are left free of what a cold server may get, for those that nobody counted.
-const UNCOUNTED: f64 = 2.0;
+const UNCOUNTED_PER_S: f64 = 2.0;
 
 /// What all boxes together may send to a cold server, by the platform's bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,8 +36,8 @@
     /// they go on.
     pub(crate) fn quota(&self, cold: &ColdStart) -> Quota {
         let lasting = cold.requests_per_s * self.ratio;
-        let burst = lasting + self.slack - UNCOUNTED;
-        Quota { max_requests: burst.min(lasting * WINDOW as f64 / 1e3).max(0.0) as u32, window: WINDOW }
+        let burst = lasting + self.slack - UNCOUNTED_PER_S;
+        Quota { max_requests: burst.min(lasting * COLD_WINDOW as f64 / 1e3).max(0.0) as u32, window: COLD_WINDOW }
     }
 }
 
@@ -55,16 +55,16 @@
 
 /// What sends show of a server that may have started again.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) enum Breaks {
+pub(crate) enum Disconnects {
     #[default]
     None,
     Open,
     Over(Millis),
 }
 
-impl Breaks {
+impl Disconnects {
     /// Takes how a send ended.
-    pub(crate) fn note(&mut self, ending: Ending, now: Millis) {
+    pub(crate) fn record(&mut self, ending: Ending, now: Millis) {
         match (ending, *self) {
             (Ending::Broken | Ending::Unreached, _) => *self = Self::Open,
             (Ending::Good | Ending::Failed, Self::Open) => *self = Self::Over(now),
@@ -73,7 +73,7 @@
     }
 
     /// The same for those who don't share this clock.
-    pub(crate) fn told(&self, now: Millis) -> Disconnect {
+    pub(crate) fn elapsed(&self, now: Millis) -> Disconnect {
         match self {
             Self::None => Disconnect::None,
             Self::Open => Disconnect::Open,
--- a/crates/placement/src/ends.rs
+++ b/crates/placement/src/completions.rs
@@ -7,18 +7,18 @@
 const WINDOW: Millis = 2_000;
 
 /// Most ends that are kept. More a window mean that places become free faster than anybody waits.
-const MOST: usize = 256;
+const MAX_COMPLETIONS: usize = 256;
 
 /// When requests that ran at a server ended lately.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ends {
+pub(crate) struct Completions {
     recent: VecDeque<Millis>,
 }
 
-impl Ends {
+impl Completions {
     /// One ended.
-    pub(crate) fn note(&mut self, now: Millis) {
-        if self.recent.len() == MOST {
+    pub(crate) fn record(&mut self, now: Millis) {
+        if self.recent.len() == MAX_COMPLETIONS {
             self.recent.pop_front();
         }
         self.recent.push_back(now);
--- a/crates/placement/src/weigh.rs
+++ b/crates/placement/src/cost.rs
@@ -1,40 +1,40 @@
 //! What it costs to send a request to a server, in answers that come late for it.
 
-use crate::harm;
+use crate::impact;
 use crate::member::Member;
 use crate::split::{self, Split};
 use crate::{CostEstimate, Load, PlacementRequest, Prefill, Prompt, Speed, Work};
 use routing::Engine;
 
 /// What a first event at its aim costs while it is in time: sooner is better, all else being equal.
-const WAIT: f64 = 0.3;
+const WAIT_WEIGHT: f64 = 0.3;
 
 /// What reading a thousand shared tokens again costs beyond its time. From the sheets' prices: 0.09 to 0.31 of an answer
 /// worth one to four.
-const REREAD_PER_K: f64 = 0.2;
+const REPEATED_PREFILL_COST_PER_K: f64 = 0.2;
 
 /// What fetching a thousand tokens from another server costs, by the same measure (0.32 for 13,300).
-const FETCH_PER_K: f64 = 0.03;
+const FETCH_COST_PER_K: f64 = 0.03;
 
 /// Fewest missing tokens that are worth fetching: a transfer takes some milliseconds to set up.
-pub(crate) const FETCH_LEAST: u32 = 1_000;
+pub(crate) const MIN_FETCH_TOKENS: u32 = 1_000;
 
 /// What sending a kilobyte to another hall costs. From the sheets: 17 KB cost 0.02 to 0.15 of a request.
-const FAR_PER_KB: f64 = 0.005;
+const REMOTE_HALL_COST_PER_KB: f64 = 0.005;
 
 /// What the way to another hall costs whatever its size.
-const FAR: f64 = 0.001;
+const REMOTE_HALL_COST: f64 = 0.001;
 
 /// Cost of a server that failed every time lately: the answer.
-const FAILING: f64 = 1.0;
+const FAILURE_COST: f64 = 1.0;
 
 /// What waiting in a plain server's queue costs for each request above its slots, and below them.
-const PLAIN_QUEUE: f64 = 0.0075;
-const PLAIN_BESIDE: f64 = 0.0005;
+const PLAIN_QUEUED_COST: f64 = 0.0075;
+const PLAIN_RUNNING_COST: f64 = 0.0005;
 
 /// What it costs to take the other side of the engines: a long prompt among short ones will make answers late that come
 /// after it, and a short one among long ones is late by what is read after it.
-const OTHER_SIDE: f64 = 0.3;
+const OTHER_SIDE_COST: f64 = 0.3;
 
 /// A member that could be chosen, with its cost.
 pub(crate) struct Candidate<'a> {
@@ -60,7 +60,7 @@
 }
 
 /// What reading a prompt at some server takes.
-struct Plan {
+struct PrefillPlan {
     /// Tokens to read, after a fetch if one is worth it.
     unread: u32,
     fetch: bool,
@@ -69,8 +69,8 @@
 }
 
 /// What the servers of a pool are weighed by, for one request.
-pub(crate) struct Scale<'a> {
-    pub(crate) ask: &'a PlacementRequest<'a>,
+pub(crate) struct CostModel<'a> {
+    pub(crate) request: &'a PlacementRequest<'a>,
     pub(crate) engine: Option<&'a Engine>,
     /// What engines of this pool take, on average.
     pub(crate) speed: Speed,
@@ -81,7 +81,7 @@
     /// This box's hall.
     pub(crate) hall: &'a str,
     /// Least share of failures among the servers: only more than that counts against one.
-    pub(crate) failing_least: f64,
+    pub(crate) min_failure_ratio: f64,
     /// All servers that may be chosen, in the order in which they would keep the prompt's shared parts; none without such parts.
     pub(crate) ranked: Vec<&'a Member>,
     /// The servers that are to keep the prompt's shared parts, the first of them first; none without such parts.
@@ -90,43 +90,44 @@
     pub(crate) source: Option<Source<'a>>,
 }
 
-impl Scale<'_> {
+impl CostModel<'_> {
     /// A server with its cost.
-    pub(crate) fn weigh<'m>(&self, member: &'m Member) -> Candidate<'m> {
-        let base = (member.health.failure_ratio() - self.failing_least) * FAILING + self.way(member);
-        let said = self.ask.status(&member.server.id);
-        let load = said.map_or_else(|| member.load(self.ask.now), |opinion| &opinion.load);
-        match self.ask.prompt {
-            Some(prompt) => self.weigh_prompt(member, load, prompt, base),
+    pub(crate) fn candidate<'m>(&self, member: &'m Member) -> Candidate<'m> {
+        let base = (member.health.failure_ratio() - self.min_failure_ratio) * FAILURE_COST + self.distance_cost(member);
+        let said = self.request.status(&member.server.id);
+        let load = said.map_or_else(|| member.load(self.request.now), |status| &status.load);
+        match self.request.prompt {
+            Some(prompt) => self.prompt_candidate(member, load, prompt, base),
             None => {
-                let expected = CostEstimate { cost: base + plain_wait(member, load), ..CostEstimate::default() };
+                let expected = CostEstimate { cost: base + plain_wait_cost(member, load), ..CostEstimate::default() };
                 Candidate { member, expected, work: Work::default(), fetch: false }
             }
         }
     }
 
     /// What the way to the server costs.
-    fn way(&self, member: &Member) -> f64 {
+    fn distance_cost(&self, member: &Member) -> f64 {
         if member.server.hall == self.hall {
             return 0.0;
         }
-        FAR + FAR_PER_KB * self.ask.bytes as f64 / 1024.0
+        REMOTE_HALL_COST + REMOTE_HALL_COST_PER_KB * self.request.bytes as f64 / 1024.0
     }
 
-    fn weigh_prompt<'m>(&self, member: &'m Member, load: &Load, prompt: &Prompt, base: f64) -> Candidate<'m> {
+    fn prompt_candidate<'m>(&self, member: &'m Member, load: &Load, prompt: &Prompt, base: f64) -> Candidate<'m> {
         let speed = member.speed().map_or(self.speed, |own| own.or_fallback(&self.speed));
-        let plan = self.reading(member, prompt);
+        let plan = self.prefill_plan(member, prompt);
         let work = self.work(prompt, plan.unread, &speed);
-        let place_ms = self.place_ms(member, load);
+        let place_ms = self.slot_wait_ms(member, load);
         let reading_ms = speed.prefill_ms(load.prefill.plus(work.prefill));
         let wait_ms = f64::from(speed.base_ms) + reading_ms.max(place_ms);
-        let aim_ms = self.ask.target.as_secs_f64() * 1e3;
-        let wait = WAIT * wait_ms / aim_ms.max(1.0) + harm::first_late(wait_ms, aim_ms);
+        let aim_ms = self.request.target.as_secs_f64() * 1e3;
+        let wait = WAIT_WEIGHT * wait_ms / aim_ms.max(1.0) + impact::first_event_late(wait_ms, aim_ms);
         let took_ms = f64::from(work.out) * f64::from(speed.out_ms);
-        let stalled = harm::stalled(f64::from(member.stalls_per_s(self.ask.now)), took_ms);
+        let stalled = impact::stall_probability(f64::from(member.stalls_per_s(self.request.now)), took_ms);
         let memory = self.engine.map_or(u64::MAX, |engine| engine.memory_tokens);
-        let others = harm::to_others(load, &work, &speed) + harm::put_back(load, &work, memory, member.server.slots);
-        let cost = base + wait + stalled + others + plan.cost + self.other_side(member);
+        let others =
+            impact::others_late(load, &work, &speed) + impact::preemptions(load, &work, memory, member.server.slots);
+        let cost = base + wait + stalled + others + plan.cost + self.other_side_cost(member);
         let expected = CostEstimate {
             cost,
             wait_ms,
@@ -140,18 +141,18 @@
     }
 
     /// What it costs to be on the side of the engines that is meant for others.
-    fn other_side(&self, member: &Member) -> f64 {
-        let meant = if self.split.reads(member.position) { self.longness } else { 1.0 - self.longness };
-        OTHER_SIDE * (1.0 - meant)
+    fn other_side_cost(&self, member: &Member) -> f64 {
+        let meant = if self.split.prefers_long(member.position) { self.longness } else { 1.0 - self.longness };
+        OTHER_SIDE_COST * (1.0 - meant)
     }
 
     /// How long a request waits for a place where all are taken by others that are as urgent.
-    fn place_ms(&self, member: &Member, load: &Load) -> f64 {
-        let before = load.not_displaced_by(self.ask.urgency);
+    fn slot_wait_ms(&self, member: &Member, load: &Load) -> f64 {
+        let before = load.not_displaced_by(self.request.urgency);
         let ends = f64::from(before.saturating_add(1).saturating_sub(member.server.slots));
-        let end_ms = self.ask.status(&member.server.id).map_or(0.0, |opinion| opinion.completion_interval_ms);
+        let end_ms = self.request.status(&member.server.id).map_or(0.0, |status| status.completion_interval_ms);
         // Where none ended lately, none is expected to.
-        let end_ms = if end_ms > 0.0 { f64::from(end_ms) } else { self.ask.target.as_secs_f64() * 1e3 };
+        let end_ms = if end_ms > 0.0 { f64::from(end_ms) } else { self.request.target.as_secs_f64() * 1e3 };
         ends * end_ms
     }
 
@@ -161,37 +162,37 @@
             prefill: Prefill::tail(unread, prompt.tokens, speed.chunk_tokens()),
             held: prompt.tokens.saturating_add(prompt.expected_out_tokens()),
             out: prompt.expected_out_tokens(),
-            urgency: self.ask.urgency,
-            gap_ms: self.ask.gap_limit.map_or(0, |gap| gap.as_millis() as u32),
+            urgency: self.request.urgency,
+            gap_ms: self.request.gap_limit.map_or(0, |gap| gap.as_millis() as u32),
             long: split::is_long(self.longness),
         }
     }
 
-    fn reading(&self, member: &Member, prompt: &Prompt) -> Plan {
+    fn prefill_plan(&self, member: &Member, prompt: &Prompt) -> PrefillPlan {
         let shared = prompt.shared_tokens();
-        let said = self.ask.status(&member.server.id);
-        let kept = member.kept.cached_prefix(&prompt.parts).max(said.map_or(0, |opinion| opinion.cached_tokens));
+        let said = self.request.status(&member.server.id);
+        let kept = member.cached.cached_prefix(&prompt.parts).max(said.map_or(0, |status| status.cached_tokens));
         let unread = prompt.tokens.saturating_sub(kept);
         let at_home = self.homes.first().is_some_and(|home| home.server.id == member.server.id);
         if at_home && said.is_none() {
             // Where the owner is not heard, it is taken that other boxes sent the parts there already.
             let unread = unread.min(prompt.tokens.saturating_sub(shared));
-            return Plan { unread, fetch: false, cost: 0.0 };
+            return PrefillPlan { unread, fetch: false, cost: 0.0 };
         }
         // What is read at home for the first time is not read again.
-        let again = |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REREAD_PER_K };
+        let again = |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REPEATED_PREFILL_COST_PER_K };
         let source = self.source.filter(|source| source.member.server.id != member.server.id);
-        if let Some(source) = source.filter(|source| source.tokens >= kept + FETCH_LEAST) {
+        if let Some(source) = source.filter(|source| source.tokens >= kept + MIN_FETCH_TOKENS) {
             let fetched = source.tokens - kept;
-            let cost = f64::from(fetched) / 1_000.0 * FETCH_PER_K + again(shared.saturating_sub(source.tokens));
-            return Plan { unread: unread.saturating_sub(fetched), fetch: true, cost };
+            let cost = f64::from(fetched) / 1_000.0 * FETCH_COST_PER_K + again(shared.saturating_sub(source.tokens));
+            return PrefillPlan { unread: unread.saturating_sub(fetched), fetch: true, cost };
         }
-        Plan { unread, fetch: false, cost: again(shared.saturating_sub(kept)) }
+        PrefillPlan { unread, fetch: false, cost: again(shared.saturating_sub(kept)) }
     }
 }
 
 /// The wait at a plain server.
-fn plain_wait(member: &Member, load: &Load) -> f64 {
+fn plain_wait_cost(member: &Member, load: &Load) -> f64 {
     let over = load.running.saturating_sub(member.server.slots.saturating_sub(1));
-    f64::from(load.running) * PLAIN_BESIDE + f64::from(over) * PLAIN_QUEUE
+    f64::from(load.running) * PLAIN_RUNNING_COST + f64::from(over) * PLAIN_QUEUED_COST
 }
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -21,51 +21,51 @@
 }
 
 /// Failures in a row after which a server is left alone for a while. Two, since one may be chance.
-const ROW_MOST: u32 = 2;
+const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 
 /// How long a failing server is left alone at first, and at most. A crash on the platform lasts seconds.
-const PAUSE_LEAST: Millis = 300;
-const PAUSE_MOST: Millis = 2_400;
+const MIN_PAUSE: Millis = 300;
+const MAX_PAUSE: Millis = 2_400;
 
 /// Weight of the newest ending in the mean of failures: about the last ten count.
-const NEWEST: f64 = 0.12;
+const EWMA_WEIGHT: f64 = 0.12;
 
 /// The record of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Broken or unreached sends since the last answer.
-    row: u32,
+    consecutive_failures: u32,
     /// Until when the server is left alone; afterwards one request tries it.
     pause_until: Millis,
     /// How long the next pause lasts.
     pause: Millis,
     /// Mean of failures, 0 to 1.
-    failing: f64,
+    failure_ratio: f64,
 }
 
 impl Health {
     /// Takes in how a send ended.
     pub fn record(&mut self, ending: Ending, now: Millis) {
         match ending {
-            Ending::Good => self.answered(0.0),
-            Ending::Failed => self.answered(1.0),
+            Ending::Good => self.record_answer(0.0),
+            Ending::Failed => self.record_answer(1.0),
             Ending::NotRun | Ending::Left => {}
-            Ending::Broken | Ending::Unreached => self.broke(ending, now),
+            Ending::Broken | Ending::Unreached => self.record_disconnect(ending, now),
         }
     }
 
-    fn answered(&mut self, failed: f64) {
-        self.row = 0;
+    fn record_answer(&mut self, failed: f64) {
+        self.consecutive_failures = 0;
         self.pause = 0;
         self.pause_until = 0;
-        self.failing += (failed - self.failing) * NEWEST;
+        self.failure_ratio += (failed - self.failure_ratio) * EWMA_WEIGHT;
     }
 
-    fn broke(&mut self, ending: Ending, now: Millis) {
-        self.row += 1;
-        self.failing += (1.0 - self.failing) * NEWEST;
-        if self.row >= ROW_MOST || ending == Ending::Unreached {
-            self.pause = (self.pause * 2).clamp(PAUSE_LEAST, PAUSE_MOST);
+    fn record_disconnect(&mut self, ending: Ending, now: Millis) {
+        self.consecutive_failures += 1;
+        self.failure_ratio += (1.0 - self.failure_ratio) * EWMA_WEIGHT;
+        if self.consecutive_failures >= MAX_CONSECUTIVE_FAILURES || ending == Ending::Unreached {
+            self.pause = (self.pause * 2).clamp(MIN_PAUSE, MAX_PAUSE);
             self.pause_until = now + self.pause;
         }
     }
@@ -96,6 +96,6 @@
     /// The share of sends that failed lately.
     #[must_use]
     pub fn failure_ratio(&self) -> f64 {
-        self.failing
+        self.failure_ratio
     }
 }
--- a/crates/placement/src/harm.rs
+++ b/crates/placement/src/impact.rs
@@ -4,35 +4,35 @@
 
 /// How far pauses and memory differ from what is expected, as a part of it: a pause expected to be this much shorter than
 /// what an answer bears may be too long, one that is this much longer may be borne.
-const UNSURE: f64 = 0.08;
+const UNCERTAINTY_RATIO: f64 = 0.08;
 
 /// The part of its aim up to which an expected first event is sure to come in time: what comes between a choice and the
 /// reading, as other boxes' requests, makes waits longer and never shorter.
-const FIRST_SURE: f64 = 0.6;
+const CERTAIN_WAIT_RATIO: f64 = 0.6;
 
 /// The chance that the first event comes after the aim.
-pub(crate) fn first_late(wait_ms: f64, aim_ms: f64) -> f64 {
-    ((wait_ms / aim_ms.max(1.0) - FIRST_SURE) / (1.0 - FIRST_SURE)).clamp(0.0, 1.0)
+pub(crate) fn first_event_late(wait_ms: f64, aim_ms: f64) -> f64 {
+    ((wait_ms / aim_ms.max(1.0) - CERTAIN_WAIT_RATIO) / (1.0 - CERTAIN_WAIT_RATIO)).clamp(0.0, 1.0)
 }
 
 /// The chance that something expected to be so much, as a pause or the memory that answers will fill, is more than `most`.
 pub(crate) fn exceeds(expected: f64, most: f64) -> f64 {
-    ((expected / most.max(1.0) - 1.0 + UNSURE) / (2.0 * UNSURE)).clamp(0.0, 1.0)
+    ((expected / most.max(1.0) - 1.0 + UNCERTAINTY_RATIO) / (2.0 * UNCERTAINTY_RATIO)).clamp(0.0, 1.0)
 }
 
 /// The chance that one of the stalls that come `per_second` makes an answer late that takes so long.
-pub(crate) fn stalled(per_second: f64, took_ms: f64) -> f64 {
+pub(crate) fn stall_probability(per_second: f64, took_ms: f64) -> f64 {
     1.0 - (-per_second * took_ms / 1e3).exp()
 }
 
 /// How many of those that run are put back and read again: for want of memory before they have ended, or of a place.
-pub(crate) fn put_back(load: &Load, work: &Work, memory: u64, places: u32) -> f64 {
+pub(crate) fn preemptions(load: &Load, work: &Work, memory: u64, places: u32) -> f64 {
     let displaces = load.running >= places && load.not_displaced_by(work.urgency) < places;
     exceeds((load.held + u64::from(work.held)) as f64, memory as f64) + if displaces { 1.0 } else { 0.0 }
 }
 
 /// How many answers running beside it become late when `work` is added to a load.
-pub(crate) fn to_others(load: &Load, work: &Work, speed: &Speed) -> f64 {
+pub(crate) fn others_late(load: &Load, work: &Work, speed: &Speed) -> f64 {
     if work.prefill.tokens == 0 {
         return 0.0;
     }
--- a/crates/placement/src/limit.rs
+++ b/crates/placement/src/limit.rs
@@ -6,13 +6,13 @@
 use std::fmt;
 
 /// A server is never left without a request for longer than this: only its answers say that it takes more again.
-const LONGEST: Millis = 60_000;
+const MAX_WINDOW: Millis = 60_000;
 
 /// A limit that rises by less is not told: a server whose limit wavers with its load would have every box told of each answer.
-const LOOSER_LEAST: f64 = 1.25;
+const MIN_LOOSENING_FACTOR: f64 = 1.25;
 
 /// Requests a second from which on a limit is none: far more than one server answers.
-const NONE_FROM: f64 = 10_000.0;
+const UNLIMITED_FROM_PER_S: f64 = 10_000.0;
 
 /// What a server says that it takes. The order is that of strictness: the stricter of two is the less.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
     /// True where this takes so much more than `other` that all boxes are told.
     pub(crate) fn is_much_looser(self, other: Self) -> bool {
         match (self, other) {
-            (Self::PerS(per_s), Self::PerS(known)) => per_s >= known * LOOSER_LEAST,
+            (Self::PerS(per_s), Self::PerS(known)) => per_s >= known * MIN_LOOSENING_FACTOR,
             _ => self > other,
         }
     }
@@ -45,13 +45,13 @@
     /// a limit below one a second is one request in a longer span.
     pub(crate) fn quota(self) -> Option<Quota> {
         let Self::PerS(per_s) = self else { return None };
-        if per_s >= NONE_FROM {
+        if per_s >= UNLIMITED_FROM_PER_S {
             return None;
         }
         let most = per_s.floor().max(1.0);
         // A conversion that saturates.
-        let within = if per_s > 0.0 { (most / per_s * 1e3).ceil() as Millis } else { LONGEST };
-        Some(Quota { max_requests: most as u32, window: within.min(LONGEST) })
+        let within = if per_s > 0.0 { (most / per_s * 1e3).ceil() as Millis } else { MAX_WINDOW };
+        Some(Quota { max_requests: most as u32, window: within.min(MAX_WINDOW) })
     }
 }
 
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -123,7 +123,7 @@
 
     /// A request is late already: no further pause harms it.
     pub fn record_late(&mut self, work: Work) {
-        take_one(&mut self.gap_limits, &work.gap_ms);
+        decrement(&mut self.gap_limits, &work.gap_ms);
     }
 
     /// How many run that a request of this urgency doesn't displace.
@@ -137,11 +137,11 @@
         self.running = self.running.saturating_sub(1);
         self.long = self.long.saturating_sub(u32::from(work.long));
         self.held = self.held.saturating_sub(u64::from(work.held));
-        take_one(&mut self.urgencies, &work.urgency);
+        decrement(&mut self.urgencies, &work.urgency);
     }
 }
 
-fn take_one<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) {
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) {
     let Some(count) = counts.get_mut(key) else { return };
     *count -= 1;
     if *count == 0 {
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -10,7 +10,7 @@
 
 /// How long it is known of a life that it leaves after its entry has gone: longer than an entry can come back that lapsed, or
 /// that was read from an old copy.
-const KEPT: Millis = 600_000;
+const UNLISTED_TTL: Millis = 600_000;
 
 /// What is known from servers themselves.
 #[derive(Clone, Debug, Default)]
@@ -20,16 +20,16 @@
     /// Those of them whose listed entry says nothing of it: what other boxes may not know.
     unpublished: BTreeSet<String>,
     /// Until when it is doubted that a life has not ended: only an older copy of the list has it.
-    doubted: HashMap<String, Millis>,
+    unconfirmed: HashMap<String, Millis>,
     /// Until when a life wants nothing from this box. Holds between the two: other boxes have their own.
-    resting: HashMap<String, Millis>,
+    backing_off: HashMap<String, Millis>,
     /// What lives that ever named a limit take of all boxes together.
-    limits: HashMap<String, Known>,
+    limits: HashMap<String, KnownLimit>,
 }
 
 /// What is known of a life's limit.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct KnownLimit {
     limit: Limit,
     /// Rises with each change, on whichever box; of two boxes that change it at once the stricter holds.
     version: u64,
@@ -39,7 +39,7 @@
     gone: Option<Millis>,
 }
 
-impl Known {
+impl KnownLimit {
     /// Never 0, which stands for lives that leave.
     fn digest(&self) -> u64 {
         let bits = match self.limit {
@@ -56,7 +56,7 @@
 
 impl Notices {
     /// A life leaves; `listed` is what its entry says of that, if there is one. True when this wasn't known.
-    pub(crate) fn leaves(&mut self, life: &str, listed: Option<bool>, now: Millis) -> bool {
+    pub(crate) fn record_leaving(&mut self, life: &str, listed: Option<bool>, now: Millis) -> bool {
         let gone = if listed.is_some() { None } else { Some(now) };
         let news = self.leaving.insert(life.to_owned(), gone).is_none();
         if listed == Some(false) {
@@ -66,8 +66,8 @@
     }
 
     /// A life wants nothing from this box until then. What it wanted before still counts.
-    pub(crate) fn rests(&mut self, life: &str, until: Millis) {
-        let known = self.resting.entry(life.to_owned()).or_default();
+    pub(crate) fn record_back_off(&mut self, life: &str, until: Millis) {
+        let known = self.backing_off.entry(life.to_owned()).or_default();
         *known = until.max(*known);
     }
 
@@ -76,7 +76,7 @@
     ///
     /// A stricter one always counts. One that is less strict, or none, counts where the request was sent after what is known was:
     /// only then is it surely the later word. An answer can be late, and servers name limits in the heads of long streams.
-    pub(crate) fn limits(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
+    pub(crate) fn record_limit(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
         let known = self.limits.get(life).copied();
         let before = known.map_or(Limit::None, |known| known.limit);
         let later = known.is_none_or(|known| known.since < sent);
@@ -84,15 +84,15 @@
             return None;
         }
         let version = known.map_or(0, |known| known.version) + 1;
-        self.limits.insert(life.to_owned(), Known { limit, version, since: now, gone: Some(now) });
+        self.limits.insert(life.to_owned(), KnownLimit { limit, version, since: now, gone: Some(now) });
         Some(LimitUpdate { instance: life.to_owned(), limit, version })
     }
 
     /// Takes what another box knows of a life's limit. True when this wasn't known.
-    pub(crate) fn hear_limit(&mut self, told: &LimitUpdate, now: Millis) -> bool {
+    pub(crate) fn on_limit_update(&mut self, told: &LimitUpdate, now: Millis) -> bool {
         let news = self.limits.get(&told.instance).is_none_or(|known| known.is_older_than(told));
         if news {
-            let known = Known { limit: told.limit, version: told.version, since: now, gone: Some(now) };
+            let known = KnownLimit { limit: told.limit, version: told.version, since: now, gone: Some(now) };
             self.limits.insert(told.instance.clone(), known);
         }
         news
@@ -104,8 +104,8 @@
     }
 
     /// What listed lives say of their limits, those included that no longer name one: a box that was away may not know.
-    pub(crate) fn statements(&self) -> Vec<LimitUpdate> {
-        let told = |(life, known): (&String, &Known)| LimitUpdate {
+    pub(crate) fn limit_updates(&self) -> Vec<LimitUpdate> {
+        let told = |(life, known): (&String, &KnownLimit)| LimitUpdate {
             instance: life.clone(),
             limit: known.limit,
             version: known.version,
@@ -114,34 +114,34 @@
     }
 
     /// It is doubted until then that these lives have not ended.
-    pub(crate) fn doubt(&mut self, lives: &[String], until: Millis) {
-        self.doubted.extend(lives.iter().map(|life| (life.clone(), until)));
+    pub(crate) fn mark_unconfirmed(&mut self, lives: &[String], until: Millis) {
+        self.unconfirmed.extend(lives.iter().map(|life| (life.clone(), until)));
     }
 
     /// This life has not ended. True where that was doubted.
-    pub(crate) fn trust(&mut self, life: &str) -> bool {
-        self.doubted.remove(life).is_some()
+    pub(crate) fn confirm(&mut self, life: &str) -> bool {
+        self.unconfirmed.remove(life).is_some()
     }
 
     /// Until when a life is doubted; 0 where it isn't.
-    pub(crate) fn doubted_until(&self, life: &str) -> Millis {
-        self.doubted.get(life).copied().unwrap_or_default()
+    pub(crate) fn unconfirmed_until(&self, life: &str) -> Millis {
+        self.unconfirmed.get(life).copied().unwrap_or_default()
     }
 
     /// True where a life leaves.
-    pub(crate) fn leaving(&self, life: &str) -> bool {
+    pub(crate) fn is_leaving(&self, life: &str) -> bool {
         self.leaving.contains_key(life)
     }
 
     /// Until when a life wants nothing from this box; 0 where it said nothing.
-    pub(crate) fn rest_until(&self, life: &str) -> Millis {
-        self.resting.get(life).copied().unwrap_or_default()
+    pub(crate) fn back_off_until(&self, life: &str) -> Millis {
+        self.backing_off.get(life).copied().unwrap_or_default()
     }
 
     /// Lives that want nothing from this box, each with the milliseconds left.
-    pub(crate) fn resting(&self, now: Millis) -> BTreeMap<String, Millis> {
+    pub(crate) fn backing_off(&self, now: Millis) -> BTreeMap<String, Millis> {
         let left = |(life, until): (&String, &Millis)| (now < *until).then(|| (life.clone(), until - now));
-        self.resting.iter().filter_map(left).collect()
+        self.backing_off.iter().filter_map(left).collect()
     }
 
     /// Lives that leave though their entries don't say so.
@@ -158,7 +158,7 @@
     }
 
     /// Takes what a listed entry says.
-    pub(crate) fn list(&mut self, server: &Server) {
+    pub(crate) fn on_listed(&mut self, server: &Server) {
         let life = &server.id;
         self.unpublished.remove(life);
         if server.draining {
@@ -173,7 +173,7 @@
     }
 
     /// A life's entry is no longer listed.
-    pub(crate) fn unlist(&mut self, life: &str, now: Millis) {
+    pub(crate) fn on_unlisted(&mut self, life: &str, now: Millis) {
         self.unpublished.remove(life);
         if let Some(gone) = self.leaving.get_mut(life) {
             *gone = Some(now);
@@ -185,10 +185,10 @@
 
     /// Forgets what is over.
     pub(crate) fn expire(&mut self, now: Millis) {
-        let kept = |gone: Option<Millis>| gone.is_none_or(|at| now < at + KEPT);
+        let kept = |gone: Option<Millis>| gone.is_none_or(|at| now < at + UNLISTED_TTL);
         self.limits.retain(|_, known| kept(known.gone));
         self.leaving.retain(|_, gone| kept(*gone));
-        self.resting.retain(|_, until| now < *until);
-        self.doubted.retain(|_, until| now < *until);
+        self.backing_off.retain(|_, until| now < *until);
+        self.unconfirmed.retain(|_, until| now < *until);
     }
 }
--- a/crates/placement/src/order.rs
+++ b/crates/placement/src/order.rs
@@ -11,7 +11,7 @@
     /// All of them, whatever their hall.
     ring: BTreeSet<(u64, String)>,
     /// Halls whose servers stand elsewhere than when positions were last told.
-    moved: BTreeSet<String>,
+    moved_halls: BTreeSet<String>,
 }
 
 impl Order {
@@ -28,17 +28,17 @@
         if server.draining {
             return;
         }
-        let among = self.halls.len();
+        let former_count = self.halls.len();
         let hall = self.halls.entry(server.hall.clone()).or_default();
         if hall.insert(key(server)) {
             self.ring.insert(key(server));
-            self.note_moved(&server.hall, among);
+            self.mark_moved(&server.hall, former_count);
         }
     }
 
     /// Takes a server out, where it is in.
     pub(crate) fn remove(&mut self, server: &Server) {
-        let among = self.halls.len();
+        let former_count = self.halls.len();
         let Some(hall) = self.halls.get_mut(&server.hall) else { return };
         if !hall.remove(&key(server)) {
             return;
@@ -47,15 +47,15 @@
         if hall.is_empty() {
             self.halls.remove(&server.hall);
         }
-        self.note_moved(&server.hall, among);
+        self.mark_moved(&server.hall, former_count);
     }
 
     /// Notes that servers of `hall` stand elsewhere, or those of all halls, where there were `among` halls before and are no longer.
-    fn note_moved(&mut self, hall: &str, among: usize) {
-        if self.halls.len() == among {
-            self.moved.insert(hall.to_owned());
+    fn mark_moved(&mut self, hall: &str, former_count: usize) {
+        if self.halls.len() == former_count {
+            self.moved_halls.insert(hall.to_owned());
         } else {
-            self.moved = self.halls.keys().cloned().collect();
+            self.moved_halls = self.halls.keys().cloned().collect();
         }
     }
 
@@ -69,8 +69,8 @@
 
     /// Tells where the servers stand, by id, that may stand elsewhere than they were last told to: from 0 to 1, the halls taken in turn,
     /// so that a part of the order is about the same part of each hall.
-    pub(crate) fn tell_moved(&mut self, mut tell: impl FnMut(&str, f64)) {
-        let moved = std::mem::take(&mut self.moved);
+    pub(crate) fn report_moved(&mut self, mut tell: impl FnMut(&str, f64)) {
+        let moved = std::mem::take(&mut self.moved_halls);
         let count = self.halls.len() as f64;
         for (turn, (hall, servers)) in self.halls.iter().enumerate().filter(|(_, (hall, _))| moved.contains(*hall)) {
             let first = (turn as f64 + 0.5) / count;
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -5,12 +5,12 @@
 //! a box that gets no answer goes by what it knows itself.
 
 use crate::arrivals::Arrivals;
-use crate::elsewhere::Elsewhere;
-use crate::ends::Ends;
+use crate::cache_directory::CacheDirectory;
+use crate::cold::{Disconnects, COLD_WINDOW};
+use crate::completions::Completions;
 use crate::rate::Rate;
 use crate::stalls::Stalls;
-use crate::turns::Turns;
-use crate::warmth::{Breaks, WINDOW};
+use crate::urgency::FairShare;
 use crate::{
     CachedParts, Disconnect, Ending, Health, Load, Millis, Part, PermitReply, PermitRequest, Prefill, Quotas, Speed,
     SpeedEstimator, Work,
@@ -20,10 +20,10 @@
 use std::net::SocketAddr;
 
 /// A lease whose end is never told is dropped after this long: its box has died, or no request takes longer.
-const LEASE_MOST: Millis = 60_000;
+const LEASE_TTL: Millis = 60_000;
 
 /// The part of a prompt that is taken for read at most before its first event says that all of it was.
-const MOSTLY_READ: f64 = 0.8;
+const MAX_PARTIAL_PREFILL_RATIO: f64 = 0.8;
 
 /// Asks the owner of a server what it knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -129,39 +129,39 @@
 struct Lease {
     work: Work,
     parts: Vec<Part>,
-    sent: Millis,
+    sent_at: Millis,
     /// What had to be read before its first event.
     ahead: Prefill,
     /// When the prompt was read; none before.
-    read: Option<Millis>,
+    prefilled_at: Option<Millis>,
     /// The most that was read beside its answer, and since when.
-    beside: (Prefill, Millis),
+    prefill_beside: (Prefill, Millis),
     /// True once a pause has made it late.
     late: bool,
-    until: Millis,
+    expires_at: Millis,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Owned {
+struct OwnedServer {
     load: Load,
-    kept: CachedParts,
+    cached: CachedParts,
     health: Health,
     learner: SpeedEstimator,
     stalls: Stalls,
-    ends: Ends,
+    completions: Completions,
     /// Milliseconds of reading that were sent there with long prompts.
-    long_reading: Rate,
+    long_prefill: Rate,
     /// The same with the others.
-    short_reading: Rate,
+    short_prefill: Rate,
     /// When the last prompt was read.
-    last_read: Millis,
+    last_prefilled: Millis,
     arrivals: Arrivals,
     /// Since when this box hears of the server: what was sent there before isn't known.
     since: Millis,
     /// Who asked for leave, where the server names a limit.
-    turns: Turns,
-    breaks: Breaks,
-    elsewhere: Elsewhere,
+    fair_share: FairShare,
+    disconnects: Disconnects,
+    cache_directory: CacheDirectory,
     /// By asking box and number. The sum of their works is `load`.
     leases: BTreeMap<(SocketAddr, u64), Lease>,
 }
@@ -169,7 +169,7 @@
 /// The servers that this box owns, or was asked about.
 #[derive(Clone, Debug, Default)]
 pub struct Owner {
-    servers: HashMap<String, Owned>,
+    servers: HashMap<String, OwnedServer>,
 }
 
 impl Owner {
@@ -179,18 +179,19 @@
         owned.expire(now);
         ServerStatus {
             number: question.number,
-            load: Load { prefill: owned.left(now), ..owned.load.clone() },
-            cached_tokens: owned.kept.cached_prefix(&question.parts),
-            confirmed_tokens: owned.kept.confirmed_prefix(&question.parts),
+            load: Load { prefill: owned.remaining_prefill(now), ..owned.load.clone() },
+            cached_tokens: owned.cached.cached_prefix(&question.parts),
+            confirmed_tokens: owned.cached.confirmed_prefix(&question.parts),
             paused: owned.health.is_paused(now),
             speed: owned.learner.speed(),
             stalls_per_s: owned.stalls.per_second(question.gap_ms, now),
-            completion_interval_ms: owned.ends.interval_ms(now),
-            long_prefill_ratio: owned.long_reading.share(now),
-            short_prefill_ratio: owned.short_reading.share(now),
-            arrivals: owned.arrivals.within(WINDOW, now),
-            disconnect: owned.breaks.told(now),
-            cached_by: shared_last(&question.parts).map_or_else(Vec::new, |part| owned.elsewhere.servers(part)),
+            completion_interval_ms: owned.completions.interval_ms(now),
+            long_prefill_ratio: owned.long_prefill.ratio(now),
+            short_prefill_ratio: owned.short_prefill.ratio(now),
+            arrivals: owned.arrivals.count_within(COLD_WINDOW, now),
+            disconnect: owned.disconnects.elapsed(now),
+            cached_by: last_shared_part(&question.parts)
+                .map_or_else(Vec::new, |part| owned.cache_directory.servers(part)),
         }
     }
 
@@ -199,7 +200,7 @@
         let owned = self.owned(&permit.server, now);
         let Quotas { cold, limit } = &permit.quotas;
         let again = limit.as_ref().map_or(now, |quota| {
-            let stretched = owned.turns.ask(permit.urgency, quota, now);
+            let stretched = owned.fair_share.quota_for(permit.urgency, quota, now);
             // What a box gave leave for that did so before this one fills the quota in the beginning.
             owned.arrivals.free_at(&stretched, now).max(owned.since + quota.window)
         });
@@ -207,14 +208,14 @@
         if again > now || !bears {
             return PermitReply::Denied { retry_ms: again - now };
         }
-        owned.arrivals.note(now);
-        owned.turns.given(permit.urgency);
+        owned.arrivals.record(now);
+        owned.fair_share.record_granted(permit.urgency);
         PermitReply::Granted
     }
 
-    fn owned(&mut self, server: &str, now: Millis) -> &mut Owned {
+    fn owned(&mut self, server: &str, now: Millis) -> &mut OwnedServer {
         if !self.servers.contains_key(server) {
-            self.servers.insert(server.to_owned(), Owned { since: now, ..Owned::default() });
+            self.servers.insert(server.to_owned(), OwnedServer { since: now, ..OwnedServer::default() });
         }
         self.servers.get_mut(server).expect("just inserted")
     }
@@ -226,14 +227,14 @@
         match report.update {
             SendUpdate::Sent { parts, work, memory, permitted } => {
                 if !permitted {
-                    owned.arrivals.note(now);
+                    owned.arrivals.record(now);
                 }
-                owned.begin(key, parts, work, memory, now);
+                owned.record_sent(key, parts, work, memory, now);
             }
-            SendUpdate::Read => owned.read(&key, now),
-            SendUpdate::Elsewhere { part, by } => owned.elsewhere.note(part, by),
-            SendUpdate::Late => owned.late(&key),
-            SendUpdate::Ended { ending, pause_ms } => owned.end(&key, ending, pause_ms, now),
+            SendUpdate::Read => owned.record_prefilled(&key, now),
+            SendUpdate::Elsewhere { part, by } => owned.cache_directory.record(part, by),
+            SendUpdate::Late => owned.record_late(&key),
+            SendUpdate::Ended { ending, pause_ms } => owned.record_end(&key, ending, pause_ms, now),
         }
     }
 
@@ -244,69 +245,81 @@
 }
 
 /// Id of the last part that requests may share: the last of all is a request's own.
-fn shared_last(parts: &[Part]) -> Option<u64> {
+fn last_shared_part(parts: &[Part]) -> Option<u64> {
     parts.iter().rev().nth(1).map(|part| part.id)
 }
 
-impl Owned {
-    fn begin(&mut self, key: (SocketAddr, u64), parts: Vec<Part>, work: Work, memory: u64, now: Millis) {
-        let ahead = self.left(now).plus(work.prefill);
-        let reading = if work.long { &mut self.long_reading } else { &mut self.short_reading };
-        reading.note(self.learner.speed().prefill_ms(work.prefill), now);
+impl OwnedServer {
+    fn record_sent(&mut self, key: (SocketAddr, u64), parts: Vec<Part>, work: Work, memory: u64, now: Millis) {
+        let ahead = self.remaining_prefill(now).plus(work.prefill);
+        let reading = if work.long { &mut self.long_prefill } else { &mut self.short_prefill };
+        reading.record(self.learner.speed().prefill_ms(work.prefill), now);
         self.load.record_sent(work);
-        self.kept.touch(&parts, memory, now);
-        self.stalls.note(self.learner.speed().expected_stall_ms(ahead), now);
-        for beside in self.leases.values_mut().filter(|lease| lease.read.is_some()) {
-            if ahead.tokens > beside.beside.0.tokens {
-                beside.beside = (ahead, now);
+        self.cached.touch(&parts, memory, now);
+        self.stalls.record(self.learner.speed().expected_stall_ms(ahead), now);
+        for beside in self.leases.values_mut().filter(|lease| lease.prefilled_at.is_some()) {
+            if ahead.tokens > beside.prefill_beside.0.tokens {
+                beside.prefill_beside = (ahead, now);
             }
         }
         let beside = (Prefill::default(), now);
-        let until = now + LEASE_MOST;
-        self.leases.insert(key, Lease { work, parts, sent: now, ahead, read: None, beside, late: false, until });
+        let until = now + LEASE_TTL;
+        self.leases.insert(
+            key,
+            Lease {
+                work,
+                parts,
+                sent_at: now,
+                ahead,
+                prefilled_at: None,
+                prefill_beside: beside,
+                late: false,
+                expires_at: until,
+            },
+        );
     }
 
     /// What is still to be read: prompts are read in the order in which they came, so the first may be half done.
-    fn left(&self, now: Millis) -> Prefill {
-        let unread = || self.leases.values().filter(|lease| lease.read.is_none());
-        let Some(first) = unread().min_by_key(|lease| lease.sent) else { return self.load.prefill };
-        let since = now.saturating_sub(first.sent.max(self.last_read)) as f64;
+    fn remaining_prefill(&self, now: Millis) -> Prefill {
+        let unread = || self.leases.values().filter(|lease| lease.prefilled_at.is_none());
+        let Some(first) = unread().min_by_key(|lease| lease.sent_at) else { return self.load.prefill };
+        let since = now.saturating_sub(first.sent_at.max(self.last_prefilled)) as f64;
         let takes = self.learner.speed().prefill_ms(first.work.prefill).max(1.0);
-        let left = self.load.prefill.minus(first.work.prefill.scaled((since / takes).min(MOSTLY_READ)));
+        let left = self.load.prefill.minus(first.work.prefill.scaled((since / takes).min(MAX_PARTIAL_PREFILL_RATIO)));
         Prefill { depth: unread().map(|lease| lease.work.prefill.depth).max().unwrap_or_default(), ..left }
     }
 
-    fn read(&mut self, key: &(SocketAddr, u64), now: Millis) {
-        let Some(lease) = self.leases.get_mut(key).filter(|lease| lease.read.is_none()) else { return };
-        lease.read = Some(now);
-        self.last_read = now;
+    fn record_prefilled(&mut self, key: &(SocketAddr, u64), now: Millis) {
+        let Some(lease) = self.leases.get_mut(key).filter(|lease| lease.prefilled_at.is_none()) else { return };
+        lease.prefilled_at = Some(now);
+        self.last_prefilled = now;
         self.load.record_prefilled(lease.work);
-        self.kept.mark_read(&lease.parts);
-        self.learner.record_first_event(lease.ahead, now.saturating_sub(lease.sent) as f64);
+        self.cached.mark_read(&lease.parts);
+        self.learner.record_first_event(lease.ahead, now.saturating_sub(lease.sent_at) as f64);
     }
 
-    fn late(&mut self, key: &(SocketAddr, u64)) {
+    fn record_late(&mut self, key: &(SocketAddr, u64)) {
         let Some(lease) = self.leases.get_mut(key).filter(|lease| !lease.late) else { return };
         lease.late = true;
         self.load.record_late(lease.work);
     }
 
-    fn end(&mut self, key: &(SocketAddr, u64), ending: Ending, pause_ms: u32, now: Millis) {
+    fn record_end(&mut self, key: &(SocketAddr, u64), ending: Ending, pause_ms: u32, now: Millis) {
         self.health.record(ending, now);
-        self.breaks.note(ending, now);
+        self.disconnects.record(ending, now);
         let Some(lease) = self.leases.remove(key) else { return };
-        if lease.read.is_none() {
+        if lease.prefilled_at.is_none() {
             self.load.record_prefilled(lease.work);
             // Parts that no other request waits for either are not there.
             let others = |part: &Part| self.leases.values().any(|other| other.parts.contains(part));
             let gone: Vec<Part> = lease.parts.iter().filter(|part| !others(part)).copied().collect();
-            self.kept.remove_unread(&gone);
+            self.cached.remove_unread(&gone);
         }
         if ending == Ending::Good {
-            self.learn(&lease, pause_ms, now);
+            self.update_estimator(&lease, pause_ms, now);
         }
-        if lease.read.is_some() {
-            self.ends.note(now);
+        if lease.prefilled_at.is_some() {
+            self.completions.record(now);
         }
         if !lease.late {
             self.load.record_late(lease.work);
@@ -315,10 +328,10 @@
     }
 
     /// What a whole answer shows of the server's speed.
-    fn learn(&mut self, lease: &Lease, pause_ms: u32, now: Millis) {
-        let Some(read) = lease.read else { return };
+    fn update_estimator(&mut self, lease: &Lease, pause_ms: u32, now: Millis) {
+        let Some(read) = lease.prefilled_at else { return };
         self.learner.record_answer(lease.work.out, now.saturating_sub(read) as f64);
-        let (beside, since) = lease.beside;
+        let (beside, since) = lease.prefill_beside;
         // An answer that ended before all was read says nothing of it.
         if now.saturating_sub(since) as f64 > self.learner.speed().prefill_ms(beside) {
             self.learner.record_pause(beside, f64::from(pause_ms));
@@ -327,9 +340,9 @@
 
     fn expire(&mut self, now: Millis) {
         let over: Vec<(SocketAddr, u64)> =
-            self.leases.iter().filter(|(_, lease)| lease.until < now).map(|(key, _)| *key).collect();
+            self.leases.iter().filter(|(_, lease)| lease.expires_at < now).map(|(key, _)| *key).collect();
         for key in over {
-            self.end(&key, Ending::Left, 0, now);
+            self.record_end(&key, Ending::Left, 0, now);
         }
     }
 }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -15,7 +15,7 @@
 
 /// Boxes that are assumed before others were heard of: as many as a small deployment has, so that a box
 /// that has just started takes no more than its part of the budget.
-const BOXES_AT_START: usize = 8;
+const INITIAL_BOX_COUNT: usize = 8;
 
 /// What is published and in force on this box.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
     boxes: usize,
     /// What all boxes may send to a cold server.
     allowance: ColdAllowance,
-    /// Regions of halls.
+    /// HallRegions of halls.
     regions: HallRegions,
     /// Differs from box to box.
     seed: u64,
@@ -66,7 +66,7 @@
             listed: OrdMap::new(),
             evacuated: BTreeSet::new(),
             notices: Notices::default(),
-            boxes: BOXES_AT_START,
+            boxes: INITIAL_BOX_COUNT,
             allowance: ColdAllowance::default(),
             regions: HallRegions::new(),
             seed: 0,
@@ -100,11 +100,11 @@
         for (name, pool) in &mut self.pools {
             Self::configure(pool, name, table, &self.allowance);
         }
-        self.take_servers(table, &directory.servers, evacuations, now);
+        self.apply_servers(table, &directory.servers, evacuations, now);
         if self.evacuated != evacuations.evacuated_halls() {
             self.evacuated = evacuations.evacuated_halls();
             let members = self.pools.values_mut().flat_map(Pool::members_mut);
-            members.for_each(|member| member.take_halls(evacuations, &self.regions, now));
+            members.for_each(|member| member.apply_halls(evacuations, &self.regions, now));
         }
         self.notices.expire(now);
     }
@@ -112,13 +112,13 @@
     /// Takes what the configuration says of a pool.
     fn configure(pool: &mut Pool, name: &str, table: &Table, allowance: &ColdAllowance) {
         let service = table.services.get(name);
-        pool.set_gap(table.min_gap_target(name).map_or(0.0, |gap| gap.as_secs_f64() * 1e3));
+        pool.set_gap_limit(table.min_gap_target(name).map_or(0.0, |gap| gap.as_secs_f64() * 1e3));
         pool.set_engine(service.and_then(|service| service.engine.clone()));
         pool.set_cold(service.and_then(|service| service.cold_start), allowance);
     }
 
     /// Takes the listed servers; records of others are dropped.
-    fn take_servers(
+    fn apply_servers(
         &mut self,
         table: &Table,
         listed: &OrdMap<String, Arc<Server>>,
@@ -129,14 +129,14 @@
         // All that go before all that come: a life may have another name or service than it had.
         for change in former.diff(listed) {
             match change {
-                DiffItem::Update { old: (_, old), new: (_, new) } if !same_place(old, new) => self.remove(old, now),
+                DiffItem::Update { old: (_, old), new: (_, new) } if !same_entry(old, new) => self.remove(old, now),
                 DiffItem::Remove(_, old) => self.remove(old, now),
                 DiffItem::Update { .. } | DiffItem::Add(..) => {}
             }
         }
         for change in former.diff(listed) {
             let (DiffItem::Add(_, server) | DiffItem::Update { new: (_, server), .. }) = change else { continue };
-            self.notices.list(server);
+            self.notices.on_listed(server);
             let pool = match self.pools.entry(server.service.clone()) {
                 Entry::Occupied(entry) => entry.into_mut(),
                 Entry::Vacant(entry) => {
@@ -145,23 +145,23 @@
                     pool
                 }
             };
-            let member = pool.put(server, now);
-            member.take_halls(evacuations, &self.regions, now);
-            member.take_notices(&self.notices);
+            let member = pool.upsert(server, now);
+            member.apply_halls(evacuations, &self.regions, now);
+            member.apply_notices(&self.notices);
         }
     }
 
     /// A life is no longer listed.
     fn remove(&mut self, server: &Server, now: Millis) {
-        self.notices.unlist(&server.id, now);
+        self.notices.on_unlisted(&server.id, now);
         if let Some(pool) = self.pools.get_mut(&server.service) {
             pool.remove(&server.id);
         }
     }
 
     /// Tells the pools of what a life said of itself.
-    fn tell_pools(&mut self, life: &str) {
-        self.pools.values_mut().for_each(|pool| pool.take_notices(life, &self.notices));
+    fn notify_pools(&mut self, life: &str) {
+        self.pools.values_mut().for_each(|pool| pool.apply_notices(life, &self.notices));
     }
 
     /// The listed entry of a life, if there is one.
@@ -173,24 +173,24 @@
     /// This life said that it leaves: it gets nothing any more. `listed` is what its entry says of that, if there is one. True
     /// when it wasn't known.
     pub fn record_leaving(&mut self, life: &str, listed: Option<bool>, now: Millis) -> bool {
-        let news = self.notices.leaves(life, listed, now);
+        let news = self.notices.record_leaving(life, listed, now);
         if news {
-            self.tell_pools(life);
+            self.notify_pools(life);
         }
         news
     }
 
     /// This life wants nothing from this box until then.
     pub fn record_back_off(&mut self, life: &str, until: Millis) {
-        self.notices.rests(life, until);
-        self.tell_pools(life);
+        self.notices.record_back_off(life, until);
+        self.notify_pools(life);
     }
 
     /// This life names a limit in the answer to a request that was sent to it at `sent`. What all other boxes are to be told, where
     /// this wasn't known.
     #[must_use]
     pub fn record_limit(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
-        let news = self.notices.limits(life, limit, sent, now);
+        let news = self.notices.record_limit(life, limit, sent, now);
         if news.is_some() {
             self.limit_changed(life);
         }
@@ -200,14 +200,14 @@
     /// Tells the pools of a life's limit; others are told of it while the life is listed.
     fn limit_changed(&mut self, life: &str) {
         if let Some(server) = self.listed(life).cloned() {
-            self.notices.list(&server);
+            self.notices.on_listed(&server);
         }
-        self.tell_pools(life);
+        self.notify_pools(life);
     }
 
     /// Takes what another box knows of a life's limit. True when this wasn't known.
     pub fn on_limit_update(&mut self, told: &LimitUpdate, now: Millis) -> bool {
-        let news = self.notices.hear_limit(told, now);
+        let news = self.notices.on_limit_update(told, now);
         if news {
             self.limit_changed(&told.instance);
         }
@@ -217,27 +217,27 @@
     /// What listed lives that ever named a limit say of it.
     #[must_use]
     pub fn limit_updates(&self) -> Vec<LimitUpdate> {
-        self.notices.statements()
+        self.notices.limit_updates()
     }
 
     /// Leave for a server that names a limit was denied for a request of this urgency, and is until then.
     pub fn record_denial(&mut self, service: &str, id: &str, urgency: u8, until: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.spent(id, urgency, until);
+            pool.record_denial(id, urgency, until);
         }
     }
 
     /// Only an older copy of the list has these lives, so that they may have ended: until then they get something only where
     /// no other server takes requests.
     pub fn mark_unconfirmed(&mut self, lives: &[String], until: Millis) {
-        self.notices.doubt(lives, until);
-        lives.iter().for_each(|life| self.tell_pools(life));
+        self.notices.mark_unconfirmed(lives, until);
+        lives.iter().for_each(|life| self.notify_pools(life));
     }
 
     /// This life has not ended: it has written its entry.
     pub fn confirm_instance(&mut self, life: &str) {
-        if self.notices.trust(life) {
-            self.tell_pools(life);
+        if self.notices.confirm(life) {
+            self.notify_pools(life);
         }
     }
 
@@ -250,7 +250,7 @@
     /// Lives that want nothing from this box, each with the milliseconds left.
     #[must_use]
     pub fn backing_off(&self, now: Millis) -> BTreeMap<String, Millis> {
-        self.notices.resting(now)
+        self.notices.backing_off(now)
     }
 
     /// Equal for boxes that know the same of what servers said of themselves to all boxes.
@@ -264,7 +264,7 @@
     #[must_use]
     pub fn may_send(&self, service: &str, id: &str, leave: bool, now: Millis) -> bool {
         let Some(pool) = self.pools.get(service) else { return true };
-        let open = pool.standing(id, now).is_some_and(|standing| !standing.is_blocked());
+        let open = pool.admission_state(id, now).is_some_and(|standing| !standing.is_blocked());
         open && (leave || !pool.is_limited(id))
     }
 
@@ -275,20 +275,22 @@
 
     /// Servers whose owners are worth asking before a choice, the most likely one first.
     #[must_use]
-    pub fn servers_to_query(&mut self, ask: &PlacementRequest<'_>, most: usize) -> Vec<Arc<Server>> {
-        self.pools.get_mut(ask.service).map_or_else(Vec::new, |pool| pool.plan(ask, &self.hall, most))
+    pub fn servers_to_query(&mut self, request: &PlacementRequest<'_>, most: usize) -> Vec<Arc<Server>> {
+        self.pools
+            .get_mut(request.service)
+            .map_or_else(Vec::new, |pool| pool.servers_to_query(request, &self.hall, most))
     }
 
     /// Tokens of parts that a server of this service can keep.
     #[must_use]
     pub fn cache_capacity(&self, service: &str) -> u64 {
-        self.pools.get(service).map_or(0, Pool::memory)
+        self.pools.get(service).map_or(0, Pool::cache_capacity)
     }
 
     /// Takes what the owner of a server said.
-    pub fn on_status(&mut self, service: &str, id: &str, opinion: ServerStatus, now: Millis) {
+    pub fn on_status(&mut self, service: &str, id: &str, status: ServerStatus, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.hear(id, opinion, now);
+            pool.on_status(id, status, now);
         }
     }
 
@@ -296,8 +298,8 @@
     ///
     /// # Errors
     /// [`Refusal`] when none may be tried.
-    pub fn choose(&mut self, ask: &PlacementRequest<'_>) -> Result<Choice, Refusal> {
-        self.pools.get_mut(ask.service).ok_or(Refusal::NoServer)?.choose(ask, &self.hall)
+    pub fn choose(&mut self, request: &PlacementRequest<'_>) -> Result<Choice, Refusal> {
+        self.pools.get_mut(request.service).ok_or(Refusal::NoServer)?.choose(request, &self.hall)
     }
 
     /// Counts a request for a service; to be called once for each.
@@ -321,47 +323,47 @@
     /// A request is being sent.
     pub fn record_sent(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.begin(id, work);
+            pool.record_sent(id, work);
         }
     }
 
     /// A request's prompt has been read: its first event came, or it ended.
     pub fn record_prefilled(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.read(id, work);
+            pool.record_prefilled(id, work);
         }
     }
 
     /// A pause has made a request's answer late.
     pub fn record_late(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.late(id, work);
+            pool.record_late(id, work);
         }
     }
 
     /// A server has answered a prompt, so that its parts are in the server's memory.
     pub fn record_cached(&mut self, service: &str, id: &str, prompt: &Prompt) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.confirm(id, prompt);
+            pool.record_cached(id, prompt);
         }
     }
 
     /// A send ended badly, and its end was not told yet as that.
     pub fn record_ending(&mut self, service: &str, id: &str, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.note(id, ending, now);
+            pool.record_ending(id, ending, now);
         }
     }
 
     /// A request's send has ended; [`Placement::record_prefilled`] was called before, and [`Placement::record_late`].
     pub fn record_end(&mut self, service: &str, id: &str, work: Work, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
-            pool.end(id, work, ending, now);
+            pool.record_end(id, work, ending, now);
         }
     }
 }
 
 /// True where both entries are of one life in one pool.
-fn same_place(one: &Server, other: &Server) -> bool {
+fn same_entry(one: &Server, other: &Server) -> bool {
     one.id == other.id && one.service == other.service
 }
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -1,14 +1,14 @@
 //! The servers of one service.
 
 use crate::admission::Admission;
-use crate::around::Around;
+use crate::cost::{Candidate, CostModel, Source, MIN_FETCH_TOKENS};
+use crate::demand::{Demand, Side};
 use crate::homes::homes;
 use crate::member::Member;
-use crate::need::{Need, Side};
 use crate::notices::Notices;
 use crate::order::Order;
+use crate::sample::Sample;
 use crate::split::{self, Split};
-use crate::weigh::{Candidate, Scale, Source, FETCH_LEAST};
 use crate::{
     AdmissionState, Choice, ColdAllowance, Ending, Millis, PlacementRequest, Prefill, Prompt, Quota, Quotas, Refusal,
     ServerStatus, Speed, Work,
@@ -19,46 +19,46 @@
 use std::sync::Arc;
 
 /// Part of a server's memory that kept parts are expected to fill at most.
-const KEPT_SHARE: f64 = 0.8;
+const CACHE_RATIO: f64 = 0.8;
 
 /// How many of the servers that are to keep a prompt's shared parts are always asked for: the first, those that had them
 /// before it came or take over when it goes, and those that get them while these are full. What is read there is kept where
 /// the next box looks for it: worth is 0.771, with three it is 0.767 (mean of six runs of days with bursts of long prompts).
-const HOMES_ASKED: usize = 6;
+const MAX_HOMES_QUERIED: usize = 6;
 
 /// How many servers of the other side that rank before the first home are asked for.
-const BEYOND_ASKED: usize = 2;
+const MAX_OTHER_SIDE_QUERIED: usize = 2;
 
 /// How many servers' owners keep the register of a part.
-const REGISTERS: usize = 2;
+const CACHE_DIRECTORIES_PER_PART: usize = 2;
 
 /// How many owners are asked for a prompt with few shared tokens: any server will do, and each question is two frames.
-const SHORT_ASKED: usize = 4;
+const MAX_QUERIES_SHORT_PROMPT: usize = 4;
 
 /// How much one server's speed counts at most in the mean of all, in observations.
-const SPEED_SEEN_MOST: f32 = 20.0;
+const MAX_SPEED_SAMPLES: f32 = 20.0;
 
 /// How much dearer than the cheapest a server may look, in answers that come late, to be as good to ask. Below what the
 /// other side or another hall costs a long prompt.
-const ALIKE: f64 = 0.05;
+const COST_TOLERANCE: f64 = 0.05;
 
 /// What it costs to choose a server of which nothing is known lately: about what a busy engine costs more than one at rest.
-const UNHEARD: f64 = 0.2;
+const UNKNOWN_STATUS_COST: f64 = 0.2;
 
 /// Pause between two looks at how the engines are to be divided.
-const DIVIDE_EVERY: Millis = 200;
+const SPLIT_INTERVAL: Millis = 200;
 
 /// How long what an owner said counts for how the engines are to be divided.
-const NEED_MOST: Millis = 4_000;
+const DEMAND_TTL: Millis = 4_000;
 
 /// How many servers may keep a shared part, and how many others are weighed for a request. In a pool of more than both, what it costs to
 /// choose doesn't grow with the fleet.
-const KEEPERS_MOST: usize = 256;
-const OTHERS_MOST: usize = 256;
+const MAX_HOLDERS: usize = 256;
+const MAX_OTHERS: usize = 256;
 
 /// Servers for which leave may be denied for one request before only those are chosen from that need none: each ask takes the
 /// way to another box and back.
-const DENIALS_MOST: usize = 3;
+const MAX_DENIALS: usize = 3;
 
 /// All servers of a service that aren't draining, and their records.
 #[derive(Clone, Debug, Default)]
@@ -69,7 +69,7 @@
     /// Where they stand; they are told when that is next asked.
     order: Order,
     /// Ids of those whose owners were heard. Each is a member.
-    heard: BTreeSet<String>,
+    with_status: BTreeSet<String>,
     admission: Admission,
     /// What orders servers that cost the same: boxes with others don't all choose the same one.
     seed: u64,
@@ -79,9 +79,9 @@
     cold: Option<ColdStart>,
     /// Most requests that a server of it is to get while it is cold, and while another can have them at other times too: it may
     /// have turned cold, and news of that are seconds old. None where its service says nothing of cold servers.
-    bears: Option<Quota>,
+    cold_quota: Option<Quota>,
     /// Shortest pause that answers of the service's routes bear, in milliseconds; 0 where they bear any.
-    gap_ms: f64,
+    gap_limit_ms: f64,
 }
 
 impl Pool {
@@ -96,13 +96,13 @@
     }
 
     /// Takes the shortest pause that answers bear, in milliseconds; 0 where they bear any.
-    pub(crate) fn set_gap(&mut self, gap_ms: f64) {
-        self.gap_ms = gap_ms;
+    pub(crate) fn set_gap_limit(&mut self, gap_ms: f64) {
+        self.gap_limit_ms = gap_ms;
     }
 
     /// Tokens of parts that one server is expected to keep at most.
-    pub(crate) fn memory(&self) -> u64 {
-        self.engine.as_ref().map_or(0.0, |e| e.memory_tokens as f64 * KEPT_SHARE) as u64
+    pub(crate) fn cache_capacity(&self) -> u64 {
+        self.engine.as_ref().map_or(0.0, |e| e.memory_tokens as f64 * CACHE_RATIO) as u64
     }
 
     /// Takes what its servers bear while they are cold.
@@ -111,15 +111,15 @@
             self.members.values_mut().for_each(|member| member.cold = cold);
         }
         self.cold = cold;
-        self.bears = cold.map(|cold| allowance.quota(&cold));
+        self.cold_quota = cold.map(|cold| allowance.quota(&cold));
     }
 
     /// Takes a server's entry, of a life that may be new here.
-    pub(crate) fn put(&mut self, server: &Arc<Server>, now: Millis) -> &mut Member {
+    pub(crate) fn upsert(&mut self, server: &Arc<Server>, now: Millis) -> &mut Member {
         let member = self.members.entry(server.id.clone()).or_insert_with(|| Member::new(server, now));
         self.order.replace(&member.server, server);
         member.cold = self.cold;
-        member.take_entry(server, now);
+        member.apply_entry(server, now);
         member
     }
 
@@ -127,7 +127,7 @@
     pub(crate) fn remove(&mut self, id: &str) {
         if let Some(member) = self.members.remove(id) {
             self.order.remove(&member.server);
-            self.heard.remove(id);
+            self.with_status.remove(id);
         }
     }
 
@@ -142,16 +142,16 @@
     }
 
     /// Takes what a life said of itself, if it is one of this pool's.
-    pub(crate) fn take_notices(&mut self, life: &str, notices: &Notices) {
+    pub(crate) fn apply_notices(&mut self, life: &str, notices: &Notices) {
         if let Some(member) = self.members.get_mut(life) {
-            member.take_notices(notices);
+            member.apply_notices(notices);
         }
     }
 
     /// Notes where servers stand in the pool's order since others came or went.
-    fn place(&mut self) {
+    fn update_positions(&mut self) {
         let members = &mut self.members;
-        self.order.tell_moved(|id, position| {
+        self.order.report_moved(|id, position| {
             if let Some(member) = members.get_mut(id) {
                 member.position = position;
             }
@@ -159,15 +159,15 @@
     }
 
     /// Leave for a server that names a limit was denied for a request of this urgency, and is until then.
-    pub(crate) fn spent(&mut self, id: &str, urgency: u8, until: Millis) {
+    pub(crate) fn record_denial(&mut self, id: &str, urgency: u8, until: Millis) {
         if let Some(member) = self.members.get_mut(id) {
-            member.spend(urgency, until);
+            member.record_denial(urgency, until);
         }
     }
 
     /// What is in force for a server; none where it isn't listed.
-    pub(crate) fn standing(&self, id: &str, now: Millis) -> Option<AdmissionState> {
-        self.members.get(id).map(|member| member.standing(now))
+    pub(crate) fn admission_state(&self, id: &str, now: Millis) -> Option<AdmissionState> {
+        self.members.get(id).map(|member| member.admission_state(now))
     }
 
     /// True where a server names a limit, so that each request needs leave.
@@ -176,114 +176,120 @@
     }
 
     /// Looks at what the pool's work takes, now and then, and divides the engines by it.
-    fn divide(&mut self, now: Millis) {
-        if now < self.split.at() + DIVIDE_EVERY {
+    fn update_split(&mut self, now: Millis) {
+        if now < self.split.updated_at() + SPLIT_INTERVAL {
             return;
         }
         let mut sides = [Side::default(), Side::default()];
-        for member in self.members.values().filter(|member| !member.standing(now).is_closed()) {
-            let side = &mut sides[usize::from(self.split.reads(member.position))];
+        for member in self.members.values().filter(|member| !member.admission_state(now).is_closed()) {
+            let side = &mut sides[usize::from(self.split.prefers_long(member.position))];
             side.engines += 1.0;
-            if let Some(opinion) = member.heard_within(NEED_MOST, now) {
-                side.hear(opinion, member.server.slots);
+            if let Some(status) = member.status_within(DEMAND_TTL, now) {
+                side.add(status, member.server.slots);
             }
         }
         let engines = sides[0].engines + sides[1].engines;
-        let need = sides.iter().fold(Need::default(), |need, side| need.and(side.need(engines)));
-        self.split.follow(need, now);
+        let need = sides.iter().fold(Demand::default(), |need, side| need.plus(side.demand(engines)));
+        self.split.update(need, now);
     }
 
     /// Servers whose owners are worth asking: those that are to keep the prompt's shared parts, then the cheapest.
-    pub(crate) fn plan(&mut self, ask: &PlacementRequest<'_>, hall: &str, most: usize) -> Vec<Arc<Server>> {
-        self.place();
-        let (around, among) = self.among(ask);
-        let scale = self.scale(ask, hall, &around, &among);
-        let mut candidates: Vec<_> = among.iter().map(|member| scale.weigh(member)).collect();
-        by_cost(&mut candidates, ask);
-        let shares = ask.prompt.is_some_and(|prompt| prompt.shared_tokens() >= FETCH_LEAST);
-        let likely = if shares { keepers(&scale) } else { Vec::new() };
+    pub(crate) fn servers_to_query(
+        &mut self,
+        request: &PlacementRequest<'_>,
+        hall: &str,
+        most: usize,
+    ) -> Vec<Arc<Server>> {
+        self.update_positions();
+        let (sample, eligible) = self.eligible(request);
+        let scale = self.cost_model(request, hall, &sample, &eligible);
+        let mut candidates: Vec<_> = eligible.iter().map(|member| scale.candidate(member)).collect();
+        sort_by_cost(&mut candidates, request);
+        let shares = request.prompt.is_some_and(|prompt| prompt.shared_tokens() >= MIN_FETCH_TOKENS);
+        let likely = if shares { likely_holders(&scale) } else { Vec::new() };
         let cheap = candidates.iter().map(|candidate| candidate.member);
         let others = cheap.filter(|member| !likely.iter().any(|keeper| keeper.server.id == member.server.id));
         likely
             .iter()
             .copied()
             .chain(others)
-            .take(if shares { most } else { most.min(SHORT_ASKED) })
+            .take(if shares { most } else { most.min(MAX_QUERIES_SHORT_PROMPT) })
             .map(|member| Arc::clone(&member.server))
             .collect()
     }
 
     /// The servers that may keep a shared part: the same on every box.
-    fn around_part(&self, part: u64) -> Around<'_> {
-        if self.members.len() <= KEEPERS_MOST + OTHERS_MOST {
-            return Around::all(self.members.values());
+    fn part_sample(&self, part: u64) -> Sample<'_> {
+        if self.members.len() <= MAX_HOLDERS + MAX_OTHERS {
+            return Sample::all(self.members.values());
         }
         let from = routing::rank(part, "");
-        let following: Vec<(u64, &str)> = self.order.following(from, KEEPERS_MOST).collect();
+        let following: Vec<(u64, &str)> = self.order.following(from, MAX_HOLDERS).collect();
         let span = following.last().map_or(0, |(hash, _)| hash.wrapping_sub(from));
         let servers = following.into_iter().filter_map(|(_, id)| self.members.get(id)).collect();
-        Around { servers, from, span }
+        Sample { servers, from, span }
     }
 
     /// The servers that are looked at for a request, where all have few.
-    fn around(&self, ask: &PlacementRequest<'_>) -> Around<'_> {
-        let own = ask.prompt.and_then(|prompt| prompt.parts.last()).map_or(self.seed, |part| part.id);
-        let shared = ask.prompt.and_then(Prompt::last_shared).unwrap_or(own);
-        let mut around = self.around_part(shared);
-        if around.servers.len() < self.members.len() {
-            let drawn = self.order.following(routing::rank(own, "own"), OTHERS_MOST);
+    fn sample(&self, request: &PlacementRequest<'_>) -> Sample<'_> {
+        let own = request.prompt.and_then(|prompt| prompt.parts.last()).map_or(self.seed, |part| part.id);
+        let shared = request.prompt.and_then(Prompt::last_shared).unwrap_or(own);
+        let mut sample = self.part_sample(shared);
+        if sample.servers.len() < self.members.len() {
+            let drawn = self.order.following(routing::rank(own, "own"), MAX_OTHERS);
             let drawn = drawn.filter_map(|(_, id)| self.members.get(id));
-            let others: Vec<&Member> = drawn.filter(|member| !around.keeps(member)).collect();
-            around.servers.extend(others);
+            let others: Vec<&Member> = drawn.filter(|member| !sample.keeps(member)).collect();
+            sample.servers.extend(others);
         }
-        around
+        sample
     }
 
-    fn scale<'a>(
+    fn cost_model<'a>(
         &'a self,
-        ask: &'a PlacementRequest<'_>,
+        request: &'a PlacementRequest<'_>,
         hall: &'a str,
-        around: &Around<'a>,
-        among: &[&'a Member],
-    ) -> Scale<'a> {
-        let heard = self.heard.iter().filter_map(|id| self.members.get(id));
-        let speed = Speed::mean(heard.filter_map(Member::speed), SPEED_SEEN_MOST);
-        let longness = ask.prompt.map_or(0.0, |prompt| {
+        sample: &Sample<'a>,
+        eligible: &[&'a Member],
+    ) -> CostModel<'a> {
+        let heard = self.with_status.iter().filter_map(|id| self.members.get(id));
+        let speed = Speed::mean(heard.filter_map(Member::speed), MAX_SPEED_SAMPLES);
+        let longness = request.prompt.map_or(0.0, |prompt| {
             split::longness(
                 speed.prefill_ms(Prefill::tail(prompt.tokens, prompt.tokens, speed.chunk_tokens())),
-                self.gap_ms,
+                self.gap_limit_ms,
             )
         });
         let long = split::is_long(longness);
-        let keepers = || among.iter().copied().filter(|member| around.keeps(member));
-        let ranked = ask.prompt.map_or_else(Vec::new, |prompt| homes(keepers(), prompt));
-        let side: Vec<&Member> = ranked.iter().copied().filter(|m| self.split.reads(m.position) == long).collect();
-        Scale {
-            ask,
+        let keepers = || eligible.iter().copied().filter(|member| sample.keeps(member));
+        let ranked = request.prompt.map_or_else(Vec::new, |prompt| homes(keepers(), prompt));
+        let side: Vec<&Member> =
+            ranked.iter().copied().filter(|m| self.split.prefers_long(m.position) == long).collect();
+        CostModel {
+            request,
             engine: self.engine.as_ref(),
             speed,
             split: self.split,
             longness,
             hall,
-            failing_least: among.iter().map(|member| member.health.failure_ratio()).fold(1.0, f64::min),
+            min_failure_ratio: eligible.iter().map(|member| member.health.failure_ratio()).fold(1.0, f64::min),
             homes: if side.is_empty() { ranked.clone() } else { side },
             ranked,
-            source: self.source(ask, around),
+            source: self.source(request, sample),
         }
     }
 
     /// The server that surely has read the most of the prompt's shared parts, as far as this box has heard.
-    fn source<'a>(&'a self, ask: &PlacementRequest<'_>, around: &Around<'a>) -> Option<Source<'a>> {
-        let shared = ask.prompt?.shared();
+    fn source<'a>(&'a self, request: &PlacementRequest<'_>, sample: &Sample<'a>) -> Option<Source<'a>> {
+        let shared = request.prompt?.shared();
         let read = |m: &Member| {
-            m.kept.confirmed_prefix(shared).max(ask.status(&m.server.id).map_or(0, |o| o.confirmed_tokens))
+            m.cached.confirmed_prefix(shared).max(request.status(&m.server.id).map_or(0, |o| o.confirmed_tokens))
         };
-        let give = around.servers.iter().copied().filter(|member| may_give(member, ask));
+        let give = sample.servers.iter().copied().filter(|member| may_serve_fetch(member, request));
         let best = give.max_by_key(|m| (read(m), self.rank(m)))?;
-        let all = ask.prompt?.shared_tokens();
+        let all = request.prompt?.shared_tokens();
         let tokens = read(best).min(all);
         if tokens < all {
-            if let Some(member) = self.registered(ask) {
+            if let Some(member) = self.source_from_directory(request) {
                 return Some(Source { member, tokens: all });
             }
         }
@@ -291,64 +297,66 @@
     }
 
     /// A server that read the prompt's last shared part, by the part's register.
-    fn registered(&self, ask: &PlacementRequest<'_>) -> Option<&Member> {
-        let ids = ask.statuses.iter().flat_map(|(_, opinion)| &opinion.cached_by);
-        ids.filter_map(|id| self.members.get(id)).find(|member| may_give(member, ask))
+    fn source_from_directory(&self, request: &PlacementRequest<'_>) -> Option<&Member> {
+        let ids = request.statuses.iter().flat_map(|(_, status)| &status.cached_by);
+        ids.filter_map(|id| self.members.get(id)).find(|member| may_serve_fetch(member, request))
     }
 
     /// The servers whose owners keep the register of a part: the same for every box, however it divides the engines. Two,
     /// so that it is there when one of them has gone or a new server ranks first.
-    fn registers(&self, part: u64, now: Millis) -> Vec<&Member> {
-        let mut open = self.around_part(part).servers;
-        open.retain(|member| !member.standing(now).is_closed());
+    fn cache_directories(&self, part: u64, now: Millis) -> Vec<&Member> {
+        let mut open = self.part_sample(part).servers;
+        open.retain(|member| !member.admission_state(now).is_closed());
         let rank = |member: &&Member| Reverse(routing::rank(part, &member.server.id));
-        if open.len() > REGISTERS {
-            open.select_nth_unstable_by_key(REGISTERS - 1, rank);
-            open.truncate(REGISTERS);
+        if open.len() > CACHE_DIRECTORIES_PER_PART {
+            open.select_nth_unstable_by_key(CACHE_DIRECTORIES_PER_PART - 1, rank);
+            open.truncate(CACHE_DIRECTORIES_PER_PART);
         }
         open
     }
 
     /// The registers to be told of a choice: of one that reads or fetches shared parts away from there.
-    fn told(&self, best: &Candidate<'_>, ask: &PlacementRequest<'_>) -> Vec<(Arc<Server>, u64)> {
-        let Some(prompt) = ask.prompt.filter(|prompt| prompt.shared_tokens() >= FETCH_LEAST) else { return Vec::new() };
+    fn directories_to_notify(&self, best: &Candidate<'_>, request: &PlacementRequest<'_>) -> Vec<(Arc<Server>, u64)> {
+        let Some(prompt) = request.prompt.filter(|prompt| prompt.shared_tokens() >= MIN_FETCH_TOKENS) else {
+            return Vec::new();
+        };
         let own = u64::from(prompt.tokens.saturating_sub(prompt.shared_tokens()));
         let Some(part) = prompt.shared().last().filter(|_| best.fetch || best.work.prefill.tokens > own) else {
             return Vec::new();
         };
-        let registers = self.registers(part.id, ask.now).into_iter();
+        let registers = self.cache_directories(part.id, request.now).into_iter();
         let others = registers.filter(|register| register.server.id != best.member.server.id);
         others.map(|register| (Arc::clone(&register.server), part.id)).collect()
     }
 
     /// Takes what the owner of a server said.
-    pub(crate) fn hear(&mut self, id: &str, opinion: ServerStatus, now: Millis) {
+    pub(crate) fn on_status(&mut self, id: &str, status: ServerStatus, now: Millis) {
         if let Some(member) = self.members.get_mut(id) {
-            member.heard = Some((opinion, now));
-            self.heard.insert(id.to_owned());
+            member.status = Some((status, now));
+            self.with_status.insert(id.to_owned());
         }
     }
 
     /// The servers that are looked at for a request, and those of them that may have it: of all servers, where none of few may.
-    fn among(&self, ask: &PlacementRequest<'_>) -> (Around<'_>, Vec<&Member>) {
-        let around = self.around(ask);
-        let open = self.open(&around.servers, ask);
-        if !open.is_empty() || around.servers.len() == self.members.len() {
-            return (around, open);
+    fn eligible(&self, request: &PlacementRequest<'_>) -> (Sample<'_>, Vec<&Member>) {
+        let sample = self.sample(request);
+        let open = self.eligible_of(&sample.servers, request);
+        if !open.is_empty() || sample.servers.len() == self.members.len() {
+            return (sample, open);
         }
-        let all = Around::all(self.members.values());
-        let open = self.open(&all.servers, ask);
+        let all = Sample::all(self.members.values());
+        let open = self.eligible_of(&all.servers, request);
         (all, open)
     }
 
     /// Those of these servers that may have a request.
-    fn open<'a>(&self, around: &[&'a Member], ask: &PlacementRequest<'_>) -> Vec<&'a Member> {
-        let mut sound = Vec::with_capacity(around.len());
+    fn eligible_of<'a>(&self, sample: &[&'a Member], request: &PlacementRequest<'_>) -> Vec<&'a Member> {
+        let mut sound = Vec::with_capacity(sample.len());
         let (mut doubted, mut paused) = (Vec::new(), Vec::new());
-        for member in around.iter().copied().filter(|member| self.may_have(member, ask)) {
-            match member.standing(ask.now) {
+        for member in sample.iter().copied().filter(|member| self.may_receive(member, request)) {
+            match member.admission_state(request.now) {
                 AdmissionState::Open => sound.push(member),
-                _ if self.full(member, ask) => {}
+                _ if self.is_full(member, request) => {}
                 AdmissionState::Cold | AdmissionState::Limited => sound.push(member),
                 AdmissionState::Unconfirmed => doubted.push(member),
                 AdmissionState::Paused => paused.push(member),
@@ -358,63 +366,65 @@
         match (sound.is_empty(), doubted.is_empty()) {
             (false, _) => sound,
             (true, false) => doubted,
-            (true, true) => soonest(&paused),
+            (true, true) => first_to_resume(&paused),
         }
     }
 
     /// True when a request may go to this server, whatever is in force for it.
-    fn may_have(&self, member: &Member, ask: &PlacementRequest<'_>) -> bool {
+    fn may_receive(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
         let id = &member.server.id;
-        ask.allows_region(member.region.as_deref()) && !ask.tried.contains(id) && !ask.denied.contains(id)
+        request.allows_region(member.region.as_deref()) && !request.tried.contains(id) && !request.denied.contains(id)
     }
 
     /// True when a server that gets requests with leave only gets no more, as far as is known without asking for it.
-    fn full(&self, member: &Member, ask: &PlacementRequest<'_>) -> bool {
-        let Quotas { cold, limit } = member.quotas(self.bears, ask.now);
-        let spent = limit.is_some() && (ask.now < member.spent_until(ask.urgency) || ask.denied.len() >= DENIALS_MOST);
-        spent || (cold.is_some() && (ask.denied.len() >= DENIALS_MOST || self.crowded(member, ask)))
+    fn is_full(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
+        let Quotas { cold, limit } = member.quotas(self.cold_quota, request.now);
+        let spent = limit.is_some()
+            && (request.now < member.denied_until(request.urgency) || request.denied.len() >= MAX_DENIALS);
+        spent || (cold.is_some() && (request.denied.len() >= MAX_DENIALS || self.is_at_cold_quota(member, request)))
     }
 
     /// True when so many were sent to the server within a second that it would fall over if it had just turned cold.
-    fn crowded(&self, member: &Member, ask: &PlacementRequest<'_>) -> bool {
-        let full =
-            |bears: Quota| ask.status(&member.server.id).is_some_and(|opinion| opinion.arrivals >= bears.max_requests);
-        self.bears.is_some_and(full)
+    fn is_at_cold_quota(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
+        let full = |bears: Quota| {
+            request.status(&member.server.id).is_some_and(|status| status.arrivals >= bears.max_requests)
+        };
+        self.cold_quota.is_some_and(full)
     }
 
     /// The server with the least cost. `hall` is this box's.
-    pub(crate) fn choose(&mut self, ask: &PlacementRequest<'_>, hall: &str) -> Result<Choice, Refusal> {
-        self.admission.note(ask.urgency, ask.now);
-        self.place();
-        self.divide(ask.now);
-        let (around, among) = self.among(ask);
-        if among.is_empty() {
-            return Err(self.nobody(ask));
+    pub(crate) fn choose(&mut self, request: &PlacementRequest<'_>, hall: &str) -> Result<Choice, Refusal> {
+        self.admission.record(request.urgency, request.now);
+        self.update_positions();
+        self.update_split(request.now);
+        let (sample, eligible) = self.eligible(request);
+        if eligible.is_empty() {
+            return Err(self.refusal_without_candidates(request));
         }
-        let scale = self.scale(ask, hall, &around, &among);
-        let candidates = self.candidates(ask, &among, &scale);
+        let scale = self.cost_model(request, hall, &sample, &eligible);
+        let candidates = self.candidates(request, &eligible, &scale);
         // What was sent before is not refused: it may have run.
         let admitted =
-            |c: &&Candidate<'_>| !ask.tried.is_empty() || self.admission.admits(ask, c.expected.slot_wait_ms);
-        let crowded = |c: &Candidate<'_>| self.crowded(c.member, ask);
+            |c: &&Candidate<'_>| !request.tried.is_empty() || self.admission.admits(request, c.expected.slot_wait_ms);
+        let crowded = |c: &Candidate<'_>| self.is_at_cold_quota(c.member, request);
         let cheaper = |a: &&Candidate<'_>, b: &&Candidate<'_>| {
             let cheaper = crowded(a).cmp(&crowded(b)).then_with(|| a.cost().total_cmp(&b.cost()));
             cheaper.then_with(|| self.rank(a.member).cmp(&self.rank(b.member)))
         };
         let Some(best) = candidates.iter().filter(admitted).min_by(cheaper) else {
-            return Err(refusal(&candidates));
+            return Err(overload_refusal(&candidates));
         };
         let choice = Choice {
             server: Arc::clone(&best.member.server),
             fetch: if best.fetch { scale.source.map(|s| s.member.server.address) } else { None },
             work: best.work,
             estimate: best.expected,
-            load: best.member.load(ask.now).clone(),
-            candidates: among.len(),
-            cache_directories: self.told(best, ask),
-            permit_quotas: Some(best.member.quotas(self.bears, ask.now)).filter(|quotas| !quotas.is_empty()),
+            load: best.member.load(request.now).clone(),
+            candidates: eligible.len(),
+            cache_directories: self.directories_to_notify(best, request),
+            permit_quotas: Some(best.member.quotas(self.cold_quota, request.now)).filter(|quotas| !quotas.is_empty()),
         };
-        self.chosen(&choice, ask);
+        self.record_choice(&choice, request);
         Ok(choice)
     }
 
@@ -423,18 +433,20 @@
     }
 
     /// Why there is no server to choose from.
-    fn nobody(&self, ask: &PlacementRequest<'_>) -> Refusal {
-        let home = self.members.values().filter(|member| ask.allows_region(member.region.as_deref()));
-        let open = || home.clone().filter(|member| !member.standing(ask.now).is_blocked());
-        if open().any(|member| member.cold(ask.now)) {
+    fn refusal_without_candidates(&self, request: &PlacementRequest<'_>) -> Refusal {
+        let home = self.members.values().filter(|member| request.allows_region(member.region.as_deref()));
+        let open = || home.clone().filter(|member| !member.admission_state(request.now).is_blocked());
+        if open().any(|member| member.is_cold(request.now)) {
             return Refusal::Cold;
         }
         let limited = open().filter(|member| member.limit.quota().is_some());
-        if let Some(back_ms) = limited.map(|member| member.spent_until(ask.urgency).saturating_sub(ask.now)).min() {
+        if let Some(back_ms) =
+            limited.map(|member| member.denied_until(request.urgency).saturating_sub(request.now)).min()
+        {
             return Refusal::Limited { retry_ms: back_ms };
         }
-        let resting = home.filter(|member| member.standing(ask.now) == AdmissionState::BackingOff);
-        let soonest = resting.map(|member| member.rest_until - ask.now).min();
+        let resting = home.filter(|member| member.admission_state(request.now) == AdmissionState::BackingOff);
+        let soonest = resting.map(|member| member.back_off_until - request.now).min();
         soonest.map_or(Refusal::NoServer, |back_ms| Refusal::BackingOff { retry_ms: back_ms })
     }
 
@@ -445,105 +457,109 @@
     /// is read again read elsewhere.
     fn candidates<'a>(
         &self,
-        ask: &PlacementRequest<'_>,
-        among: &[&'a Member],
-        scale: &Scale<'a>,
+        request: &PlacementRequest<'_>,
+        eligible: &[&'a Member],
+        scale: &CostModel<'a>,
     ) -> Vec<Candidate<'a>> {
-        let heard = |m: &&&'a Member| ask.status(&m.server.id).is_some() && !self.crowded(m, ask);
-        let mut candidates: Vec<Candidate<'a>> = among.iter().filter(heard).map(|member| scale.weigh(member)).collect();
+        let heard = |m: &&&'a Member| request.status(&m.server.id).is_some() && !self.is_at_cold_quota(m, request);
+        let mut candidates: Vec<Candidate<'a>> =
+            eligible.iter().filter(heard).map(|member| scale.candidate(member)).collect();
         if candidates.is_empty() {
-            return among.iter().map(|member| scale.weigh(member)).collect();
+            return eligible.iter().map(|member| scale.candidate(member)).collect();
         }
-        let unheard = |home: &&&'a Member| ask.status(&home.server.id).is_none();
+        let unheard = |home: &&&'a Member| request.status(&home.server.id).is_none();
         if let Some(home) = scale.homes.first().filter(unheard) {
-            let mut candidate = scale.weigh(home);
-            candidate.expected.cost += UNHEARD;
+            let mut candidate = scale.candidate(home);
+            candidate.expected.cost += UNKNOWN_STATUS_COST;
             candidates.push(candidate);
         }
         candidates
     }
 
     /// Notes what a choice changes: a try after a pause, and the parts that will be kept.
-    fn chosen(&mut self, choice: &Choice, ask: &PlacementRequest<'_>) {
-        let most = self.memory();
+    fn record_choice(&mut self, choice: &Choice, request: &PlacementRequest<'_>) {
+        let most = self.cache_capacity();
         let Some(member) = self.members.get_mut(&choice.server.id) else { return };
-        if member.health.is_half_open(ask.now) {
-            member.health.begin_probe(ask.now);
+        if member.health.is_half_open(request.now) {
+            member.health.begin_probe(request.now);
         }
-        if let Some(prompt) = ask.prompt {
-            member.kept.touch(&prompt.parts, most, ask.now);
+        if let Some(prompt) = request.prompt {
+            member.cached.touch(&prompt.parts, most, request.now);
         }
     }
 
-    pub(crate) fn begin(&mut self, id: &str, work: Work) {
+    pub(crate) fn record_sent(&mut self, id: &str, work: Work) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.record_sent(work);
+            member.own_load.record_sent(work);
         }
     }
 
-    pub(crate) fn read(&mut self, id: &str, work: Work) {
+    pub(crate) fn record_prefilled(&mut self, id: &str, work: Work) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.record_prefilled(work);
+            member.own_load.record_prefilled(work);
         }
     }
 
-    pub(crate) fn late(&mut self, id: &str, work: Work) {
+    pub(crate) fn record_late(&mut self, id: &str, work: Work) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.record_late(work);
+            member.own_load.record_late(work);
         }
     }
 
-    pub(crate) fn confirm(&mut self, id: &str, prompt: &Prompt) {
+    pub(crate) fn record_cached(&mut self, id: &str, prompt: &Prompt) {
         if let Some(member) = self.members.get_mut(id) {
-            member.kept.mark_read(&prompt.parts);
+            member.cached.mark_read(&prompt.parts);
         }
     }
 
-    pub(crate) fn note(&mut self, id: &str, ending: Ending, now: Millis) {
+    pub(crate) fn record_ending(&mut self, id: &str, ending: Ending, now: Millis) {
         if let Some(member) = self.members.get_mut(id) {
-            member.ended(ending, now);
+            member.record_ending(ending, now);
         }
     }
 
-    pub(crate) fn end(&mut self, id: &str, work: Work, ending: Ending, now: Millis) {
+    pub(crate) fn record_end(&mut self, id: &str, work: Work, ending: Ending, now: Millis) {
         if let Some(member) = self.members.get_mut(id) {
-            member.own.record_end(work);
-            member.ended(ending, now);
+            member.own_load.record_end(work);
+            member.record_ending(ending, now);
         }
     }
 }
 
 /// The servers that likely keep the prompt's shared parts: its first homes, and those of the other side that are its homes
 /// where a box divides the servers a little otherwise, or did so before.
-fn keepers<'a>(scale: &Scale<'a>) -> Vec<&'a Member> {
+fn likely_holders<'a>(scale: &CostModel<'a>) -> Vec<&'a Member> {
     let Some(first) = scale.homes.first() else { return Vec::new() };
-    let beyond = scale.ranked.iter().take_while(|member| member.server.id != first.server.id).take(BEYOND_ASKED);
-    scale.homes.iter().take(HOMES_ASKED).chain(beyond).copied().collect()
+    let beyond =
+        scale.ranked.iter().take_while(|member| member.server.id != first.server.id).take(MAX_OTHER_SIDE_QUERIED);
+    scale.homes.iter().take(MAX_HOMES_QUERIED).chain(beyond).copied().collect()
 }
 
 /// True when parts of the prompt may be fetched from a server.
-fn may_give(member: &Member, ask: &PlacementRequest<'_>) -> bool {
-    !member.paused(ask.now) && member.rest_until <= ask.now && ask.allows_region(member.region.as_deref())
+fn may_serve_fetch(member: &Member, request: &PlacementRequest<'_>) -> bool {
+    !member.is_paused(request.now)
+        && member.back_off_until <= request.now
+        && request.allows_region(member.region.as_deref())
 }
 
 /// Why none of the candidates is chosen.
-fn refusal(candidates: &[Candidate<'_>]) -> Refusal {
+fn overload_refusal(candidates: &[Candidate<'_>]) -> Refusal {
     let waits = candidates.iter().map(|candidate| candidate.expected.slot_wait_ms);
     waits.min_by(f64::total_cmp).map_or(Refusal::NoServer, |wait_ms| Refusal::Overloaded { wait_ms })
 }
 
 /// Sorts by cost, those that cost about the least in an order that differs from request to request: what this box knows of
 /// most servers is old, and those that it asks first would get all it sends.
-fn by_cost(candidates: &mut [Candidate<'_>], ask: &PlacementRequest<'_>) {
+fn sort_by_cost(candidates: &mut [Candidate<'_>], request: &PlacementRequest<'_>) {
     let least = candidates.iter().map(Candidate::cost).fold(f64::INFINITY, f64::min);
-    let draw = ask.prompt.and_then(|prompt| prompt.parts.last()).map_or(0, |part| part.id);
-    let beyond = |candidate: &Candidate<'_>| (candidate.cost() - least - ALIKE).max(0.0);
+    let draw = request.prompt.and_then(|prompt| prompt.parts.last()).map_or(0, |part| part.id);
+    let beyond = |candidate: &Candidate<'_>| (candidate.cost() - least - COST_TOLERANCE).max(0.0);
     let rank = |candidate: &Candidate<'_>| routing::rank(draw, &candidate.member.server.id);
     // The bits of numbers that aren't negative are in the order of the numbers.
     candidates.sort_by_cached_key(|candidate| (beyond(candidate).to_bits(), rank(candidate)));
 }
 
 /// Of servers that are all paused, the one whose pause ends first.
-fn soonest<'a>(paused: &[&'a Member]) -> Vec<&'a Member> {
+fn first_to_resume<'a>(paused: &[&'a Member]) -> Vec<&'a Member> {
     paused.iter().copied().min_by_key(|m| m.health.pause_until()).into_iter().collect()
 }
--- a/crates/placement/src/quarantine.rs
+++ b/crates/placement/src/quarantine.rs
@@ -18,43 +18,43 @@
 /// How many servers must have ended under a request before it is held. With two, 42 of 50,600 requests that came once were held
 /// in 20 drawn days of lost halls and crashes, with three 1; the guilty one ended as many servers as it takes
 /// (`placement/tests/quarantine.rs`).
-const ENDS_MOST: usize = 3;
+const TERMINATIONS_TO_HOLD: usize = 3;
 
 /// How long after a server's end was seen an answer of it disproves that, in milliseconds: what it sent before may be read late, by a
 /// box that had no processor for some tenths of a second.
-const DISPROVED_AFTER: i64 = 1_000;
+const DISPROOF_DELAY_MS: i64 = 1_000;
 
 /// When a held request is let through once, counted from when it was held. Early where servers ended while it ran at several: a
 /// lost hall may have ended them, and all that could have shown its innocence. On drawn days on which all servers end together
 /// once, 1,233 of 21,500 arrivals of a request that runs everywhere were refused, 3,713 with five seconds, 5,377 without it.
-const TRIAL_EARLY: i64 = 1_000;
+const EARLY_TRIAL_DELAY_MS: i64 = 1_000;
 
 /// The same where servers ended one after the other, each after it was sent there.
-const TRIAL: i64 = 120_000;
+const TRIAL_DELAY_MS: i64 = 120_000;
 
 /// The same for the second and last time; each may end one more server.
-const TRIAL_LAST: i64 = 1_800_000;
+const LAST_TRIAL_DELAY_MS: i64 = 1_800_000;
 
 /// How long ends count. A day: by then servers have been mended or replaced.
-const KEPT_FOR: i64 = 86_400_000;
+const SUSPECT_TTL_MS: i64 = 86_400_000;
 
 /// Pause between two searches for what is no longer kept.
-const EXPIRE_EVERY: i64 = 10_000;
+const EXPIRE_INTERVAL_MS: i64 = 10_000;
 
 /// Ends that are kept of one request: more than are needed to hold it, for those who look for the cause.
-const ENDS_KEPT: usize = 6;
+const MAX_TERMINATIONS: usize = 6;
 
 /// Requests that are remembered, about 300 bytes each. A hall's loss makes some thousand suspects; those that are held are
 /// dropped last.
-const SUSPECTS_MOST: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 
 /// The part of them that is dropped when there are more.
-const DROPPED: usize = SUSPECTS_MOST / 4;
+const EVICTION_BATCH: usize = MAX_SUSPECTS / 4;
 
 /// Shortest and longest time after which the caller of a held request is asked back: long, since it won't run, but one that was held by
 /// mistake may be let through within seconds.
-const BACK_LEAST: i64 = 5_000;
-const BACK_MOST: i64 = 3_600_000;
+const MIN_RETRY_MS: i64 = 5_000;
+const MAX_RETRY_MS: i64 = 3_600_000;
 
 /// A server's end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -139,7 +139,7 @@
 
 /// A server's end by this box's clock.
 #[derive(Clone, Debug)]
-struct Ended {
+struct SeenTermination {
     server: String,
     sent: i64,
     at: i64,
@@ -149,7 +149,7 @@
 struct Suspect {
     survivals: u32,
     /// In the order in which they ended.
-    ends: Vec<Ended>,
+    ends: Vec<SeenTermination>,
     trials: u8,
     /// When the last of this happened.
     changed: i64,
@@ -166,9 +166,9 @@
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     /// When servers answered last, by id of their life.
-    answered: HashMap<String, i64>,
+    last_answers: HashMap<String, i64>,
     /// Ids of servers whose end some suspect names; may name more.
-    named: HashSet<String>,
+    terminated_servers: HashSet<String>,
     /// Sum over what other boxes must know too.
     digest: u64,
     expire_at: i64,
@@ -200,29 +200,30 @@
     pub fn on_record(&mut self, record: &SuspectRecord, now: Millis) -> Change {
         let now = now as i64;
         self.make_room(record.request);
-        let answered = &self.answered;
-        let disproved = |end: &Ended| answered.get(&end.server).is_some_and(|at| *at >= end.at + DISPROVED_AFTER);
+        let answered = &self.last_answers;
+        let disproved =
+            |end: &SeenTermination| answered.get(&end.server).is_some_and(|at| *at >= end.at + DISPROOF_DELAY_MS);
         let suspect = self.suspects.entry(record.request).or_default();
-        let (held, told) = (suspect.held(), suspect.told(record.request));
-        if !suspect.take(record, now, disproved) {
-            if suspect.is_nothing() {
+        let (held, told) = (suspect.is_held(), suspect.digest(record.request));
+        if !suspect.apply(record, now, disproved) {
+            if suspect.is_empty() {
                 self.suspects.remove(&record.request);
             }
             return Change::Unchanged;
         }
         suspect.changed = suspect.changed.max(now - record.ago as i64);
-        self.named.extend(record.ends.iter().map(|end| end.server.clone()));
+        self.terminated_servers.extend(record.ends.iter().map(|end| end.server.clone()));
         let record = suspect.record(record.request, now);
-        self.digest = self.digest.wrapping_sub(told).wrapping_add(suspect.told(record.request));
-        Change::of(held, suspect.held(), record)
+        self.digest = self.digest.wrapping_sub(told).wrapping_add(suspect.digest(record.request));
+        Change::of(held, suspect.is_held(), record)
     }
 
     /// A server answers this box. What is disproved by that, and what others must know of it; nothing where no end of it was
     /// seen.
     pub fn record_answer(&mut self, server: &str, now: Millis) -> Vec<Change> {
-        match self.answered.get_mut(server) {
+        match self.last_answers.get_mut(server) {
             Some(at) => *at = now as i64,
-            None => drop(self.answered.insert(server.to_owned(), now as i64)),
+            None => drop(self.last_answers.insert(server.to_owned(), now as i64)),
         }
         self.disprove(server, now as i64)
     }
@@ -230,7 +231,7 @@
     /// Another box says that a server answers it.
     pub fn on_liveness_evidence(&mut self, sign: &LivenessEvidence, now: Millis) -> Vec<Change> {
         let at = now as i64 - sign.ago as i64;
-        let answered = self.answered.entry(sign.server.clone()).or_insert(at);
+        let answered = self.last_answers.entry(sign.server.clone()).or_insert(at);
         *answered = at.max(*answered);
         self.disprove(&sign.server, now as i64)
     }
@@ -240,8 +241,8 @@
     pub fn evidence_against(&self, record: &SuspectRecord, now: Millis) -> Vec<LivenessEvidence> {
         let now = now as i64;
         let sign = |end: &Termination| {
-            let at = self.answered.get(&end.server)?;
-            let disproves = *at >= now - end.ago as i64 + DISPROVED_AFTER;
+            let at = self.last_answers.get(&end.server)?;
+            let disproves = *at >= now - end.ago as i64 + DISPROOF_DELAY_MS;
             disproves.then(|| LivenessEvidence { server: end.server.clone(), ago: (now - at).max(0) as Millis })
         };
         record.ends.iter().filter_map(sign).collect()
@@ -249,29 +250,29 @@
 
     /// Forgets when servers answered that are no longer listed.
     pub fn retain_servers(&mut self, listed: impl Fn(&str) -> bool) {
-        self.answered.retain(|server, _| listed(server));
+        self.last_answers.retain(|server, _| listed(server));
     }
 
     /// Strikes out ends of a server from before it answered.
     fn disprove(&mut self, server: &str, now: i64) -> Vec<Change> {
-        if !self.named.contains(server) {
+        if !self.terminated_servers.contains(server) {
             return Vec::new();
         }
-        let Some(answered) = self.answered.get(server) else { return Vec::new() };
-        let false_end = |end: &Ended| end.server == server && *answered >= end.at + DISPROVED_AFTER;
+        let Some(answered) = self.last_answers.get(server) else { return Vec::new() };
+        let false_end = |end: &SeenTermination| end.server == server && *answered >= end.at + DISPROOF_DELAY_MS;
         let mut changes = Vec::new();
         for (request, suspect) in &mut self.suspects {
             if !suspect.ends.iter().any(false_end) {
                 continue;
             }
-            let (held, told) = (suspect.held(), suspect.told(*request));
+            let (held, told) = (suspect.is_held(), suspect.digest(*request));
             suspect.ends.retain(|end| !false_end(end));
-            self.digest = self.digest.wrapping_sub(told).wrapping_add(suspect.told(*request));
-            changes.push(Change::of(held, suspect.held(), suspect.record(*request, now)));
+            self.digest = self.digest.wrapping_sub(told).wrapping_add(suspect.digest(*request));
+            changes.push(Change::of(held, suspect.is_held(), suspect.record(*request, now)));
         }
-        self.suspects.retain(|_, suspect| !suspect.is_nothing());
+        self.suspects.retain(|_, suspect| !suspect.is_empty());
         if !self.suspects.values().any(|suspect| suspect.ends.iter().any(|end| end.server == server)) {
-            self.named.remove(server);
+            self.terminated_servers.remove(server);
         }
         changes
     }
@@ -281,12 +282,14 @@
     pub fn verdict(&self, request: Fingerprint, first: bool, now: Millis) -> Verdict {
         let now = now as i64;
         let Some(suspect) = self.suspects.get(&request) else { return Verdict::Free };
-        let Some(since) = suspect.held_since().filter(|since| now < since + KEPT_FOR) else { return Verdict::Free };
+        let Some(since) = suspect.held_since().filter(|since| now < since + SUSPECT_TTL_MS) else {
+            return Verdict::Free;
+        };
         if first && suspect.trial_after().is_some_and(|after| now >= since + after) {
             return Verdict::Trial;
         }
         // As long again as it has been held.
-        let retry_ms = (now - since).clamp(BACK_LEAST, BACK_MOST) as Millis;
+        let retry_ms = (now - since).clamp(MIN_RETRY_MS, MAX_RETRY_MS) as Millis;
         Verdict::Held { retry_ms }
     }
 
@@ -307,48 +310,49 @@
     /// What a box that has just come must know: what is held, and what was found innocent.
     #[must_use]
     pub fn records(&self, now: Millis) -> Vec<SuspectRecord> {
-        let told = self.suspects.iter().filter(|(_, suspect)| suspect.held() || suspect.survivals > 0);
+        let told = self.suspects.iter().filter(|(_, suspect)| suspect.is_held() || suspect.survivals > 0);
         told.map(|(request, suspect)| suspect.record(*request, now as i64)).collect()
     }
 
     /// The requests that are held.
     pub fn held(&self) -> impl Iterator<Item = Fingerprint> + '_ {
-        self.suspects.iter().filter(|(_, suspect)| suspect.held()).map(|(request, _)| *request)
+        self.suspects.iter().filter(|(_, suspect)| suspect.is_held()).map(|(request, _)| *request)
     }
 
     /// Equal on boxes that hold the same.
     pub fn digest(&mut self, now: Millis) -> u64 {
         let now = now as i64;
         if now >= self.expire_at && !self.suspects.is_empty() {
-            self.expire_at = now + EXPIRE_EVERY;
-            self.retain(|suspect| now < suspect.changed + KEPT_FOR);
+            self.expire_at = now + EXPIRE_INTERVAL_MS;
+            self.retain(|suspect| now < suspect.changed + SUSPECT_TTL_MS);
         }
         self.digest
     }
 
     /// Drops those that matter least when there are too many: with few ends, and long ago.
     fn make_room(&mut self, request: Fingerprint) {
-        if self.suspects.len() < SUSPECTS_MOST || self.suspects.contains_key(&request) {
+        if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
         }
-        let weight = |suspect: &Suspect| (suspect.held(), suspect.ends.len(), suspect.changed);
+        let weight = |suspect: &Suspect| (suspect.is_held(), suspect.ends.len(), suspect.changed);
         let mut weights: Vec<_> = self.suspects.values().map(weight).collect();
-        let (_, least, _) = weights.select_nth_unstable(DROPPED);
+        let (_, least, _) = weights.select_nth_unstable(EVICTION_BATCH);
         let least = *least;
         self.retain(|suspect| weight(suspect) > least);
     }
 
     fn retain(&mut self, keep: impl Fn(&Suspect) -> bool) {
         self.suspects.retain(|_, suspect| keep(suspect));
-        let told = self.suspects.iter().map(|(request, suspect)| suspect.told(*request));
+        let told = self.suspects.iter().map(|(request, suspect)| suspect.digest(*request));
         self.digest = told.fold(0, u64::wrapping_add);
-        self.named = self.suspects.values().flat_map(|suspect| &suspect.ends).map(|end| end.server.clone()).collect();
+        self.terminated_servers =
+            self.suspects.values().flat_map(|suspect| &suspect.ends).map(|end| end.server.clone()).collect();
     }
 }
 
 impl Suspect {
     /// Takes what was told. False when all of it was known, or is disproved.
-    fn take(&mut self, record: &SuspectRecord, now: i64, disproved: impl Fn(&Ended) -> bool) -> bool {
+    fn apply(&mut self, record: &SuspectRecord, now: i64, disproved: impl Fn(&SeenTermination) -> bool) -> bool {
         if record.survivals < self.survivals {
             return false;
         }
@@ -358,15 +362,15 @@
         }
         for end in &record.ends {
             let [sent, at] = [end.sent, end.ago].map(|ago| now - ago as i64);
-            let ended = Ended { server: end.server.clone(), sent, at };
+            let ended = SeenTermination { server: end.server.clone(), sent, at };
             if !disproved(&ended) && self.ends.iter().all(|known| known.server != end.server) {
                 self.ends.push(ended);
                 news = true;
             }
         }
         self.ends.sort_unstable_by_key(|end| end.at);
-        while self.ends.len() > ENDS_KEPT {
-            self.ends.remove(self.least());
+        while self.ends.len() > MAX_TERMINATIONS {
+            self.ends.remove(self.least_significant());
         }
         news |= record.trials > self.trials;
         self.trials = self.trials.max(record.trials);
@@ -375,20 +379,20 @@
 
     /// Since when it is held; none where it isn't.
     fn held_since(&self) -> Option<i64> {
-        self.ends.get(ENDS_MOST - 1).map(|end| end.at)
+        self.ends.get(TERMINATIONS_TO_HOLD - 1).map(|end| end.at)
     }
 
-    fn held(&self) -> bool {
-        self.ends.len() >= ENDS_MOST
+    fn is_held(&self) -> bool {
+        self.ends.len() >= TERMINATIONS_TO_HOLD
     }
 
     /// True when nothing is to be remembered of it.
-    fn is_nothing(&self) -> bool {
+    fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.survivals == 0
     }
 
     /// The places in `ends` of servers that ended one after the other: each was sent the request after the one before had ended.
-    fn in_turn(&self) -> Vec<usize> {
+    fn sequential(&self) -> Vec<usize> {
         let mut last = i64::MIN;
         let mut places = Vec::new();
         for (place, end) in self.ends.iter().enumerate() {
@@ -401,24 +405,25 @@
     }
 
     /// The place of the end that says least: the last that did not come in turn, or else the last of all.
-    fn least(&self) -> usize {
-        let in_turn = self.in_turn();
+    fn least_significant(&self) -> usize {
+        let in_turn = self.sequential();
         (0..self.ends.len()).rev().find(|place| !in_turn.contains(place)).unwrap_or(self.ends.len() - 1)
     }
 
     /// When it may be tried, counted from when it was held; none where it was tried often enough.
     fn trial_after(&self) -> Option<i64> {
         match self.trials {
-            0 if self.in_turn().len() < ENDS_MOST => Some(TRIAL_EARLY),
-            0 => Some(TRIAL),
-            1 => Some(TRIAL_LAST),
+            0 if self.sequential().len() < TERMINATIONS_TO_HOLD => Some(EARLY_TRIAL_DELAY_MS),
+            0 => Some(TRIAL_DELAY_MS),
+            1 => Some(LAST_TRIAL_DELAY_MS),
             _ => None,
         }
     }
 
     fn record(&self, request: Fingerprint, now: i64) -> SuspectRecord {
         let ago = |at: i64| (now - at).max(0) as Millis;
-        let end = |end: &Ended| Termination { server: end.server.clone(), sent: ago(end.sent), ago: ago(end.at) };
+        let end =
+            |end: &SeenTermination| Termination { server: end.server.clone(), sent: ago(end.sent), ago: ago(end.at) };
         SuspectRecord {
             request,
             survivals: self.survivals,
@@ -429,8 +434,8 @@
     }
 
     /// What it adds to the digest: nothing while it is a mere suspect.
-    fn told(&self, request: Fingerprint) -> u64 {
-        let held = self.held();
+    fn digest(&self, request: Fingerprint) -> u64 {
+        let held = self.is_held();
         if !held && self.survivals == 0 {
             return 0;
         }
--- a/crates/placement/src/rate.rs
+++ b/crates/placement/src/rate.rs
@@ -4,7 +4,7 @@
 
 /// After so many milliseconds work counts a third: long enough to smooth over single requests, which come a few a second
 /// to one engine, and short enough to follow a burst of some seconds.
-const MEMORY: f64 = 3_000.0;
+const TIME_CONSTANT_MS: f64 = 3_000.0;
 
 /// Milliseconds of work, a sum that fades.
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,17 +16,17 @@
 
 impl Rate {
     /// Work of so many milliseconds came now.
-    pub(crate) fn note(&mut self, work_ms: f64, now: Millis) {
-        self.sum = self.left(now) + work_ms;
+    pub(crate) fn record(&mut self, work_ms: f64, now: Millis) {
+        self.sum = self.decayed(now) + work_ms;
         self.at = now;
     }
 
     /// The part of the time that it takes; above 1 where more came than can be done.
-    pub(crate) fn share(&self, now: Millis) -> f32 {
-        (self.left(now) / MEMORY) as f32
+    pub(crate) fn ratio(&self, now: Millis) -> f32 {
+        (self.decayed(now) / TIME_CONSTANT_MS) as f32
     }
 
-    fn left(&self, now: Millis) -> f64 {
-        self.sum * (-(now.saturating_sub(self.at) as f64) / MEMORY).exp()
+    fn decayed(&self, now: Millis) -> f64 {
+        self.sum * (-(now.saturating_sub(self.at) as f64) / TIME_CONSTANT_MS).exp()
     }
 }
--- a/crates/placement/src/ask.rs
+++ b/crates/placement/src/request.rs
@@ -25,7 +25,7 @@
     pub tried: &'a [String],
     /// Ids of servers for which no leave was given.
     pub denied: &'a [String],
-    /// Regions in which it may run, by its route and by its customer; both bind.
+    /// HallRegions in which it may run, by its route and by its customer; both bind.
     pub allowed_regions: [Option<&'a AllowedRegions>; 2],
     /// What owners said for this request, by server id.
     pub statuses: &'a [(String, ServerStatus)],
@@ -43,7 +43,7 @@
     /// What the owner of this server said for this request.
     #[must_use]
     pub fn status(&self, id: &str) -> Option<&ServerStatus> {
-        self.statuses.iter().find(|(server, _)| server == id).map(|(_, opinion)| opinion)
+        self.statuses.iter().find(|(server, _)| server == id).map(|(_, status)| status)
     }
 }
 
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -5,10 +5,10 @@
 
 /// Part of the shared slack that all boxes together may use; the rest covers what a box can't know,
 /// as how many others there are.
-const SLACK_USED: f64 = 0.7;
+const SLACK_RATIO: f64 = 0.7;
 
 /// Part of the share of requests that second sends may reach.
-const RATIO_USED: f64 = 0.8;
+const RETRY_RATIO_FACTOR: f64 = 0.8;
 
 /// This box's part of the bound on second sends to one service, over a sliding window.
 #[derive(Clone, Debug)]
@@ -20,37 +20,37 @@
     /// Length of the window.
     window: Millis,
     /// Times of first and of second sends within the window.
-    first: VecDeque<Millis>,
-    second: VecDeque<Millis>,
+    requests: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
 }
 
 impl RetryBudget {
     /// A budget of `ratio` second sends for each first and `slack` besides, over `window`.
     #[must_use]
     pub fn new(ratio: f64, slack: f64, window: Millis) -> Self {
-        Self { ratio, slack, window, first: VecDeque::new(), second: VecDeque::new() }
+        Self { ratio, slack, window, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
     /// Counts a first send.
     pub fn record_request(&mut self, now: Millis) {
-        self.first.push_back(now);
-        self.forget(now);
+        self.requests.push_back(now);
+        self.expire(now);
     }
 
     /// Takes a second send if this box, one of `boxes`, may make one.
     pub fn take_retry(&mut self, boxes: usize, now: Millis) -> bool {
-        self.forget(now);
-        let own_slack = self.slack * SLACK_USED / boxes.max(1) as f64;
-        let allowed = own_slack + self.ratio * RATIO_USED * self.first.len() as f64;
-        if self.second.len() as f64 + 1.0 > allowed {
+        self.expire(now);
+        let own_slack = self.slack * SLACK_RATIO / boxes.max(1) as f64;
+        let allowed = own_slack + self.ratio * RETRY_RATIO_FACTOR * self.requests.len() as f64;
+        if self.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        self.second.push_back(now);
+        self.retries.push_back(now);
         true
     }
 
-    fn forget(&mut self, now: Millis) {
-        for times in [&mut self.first, &mut self.second] {
+    fn expire(&mut self, now: Millis) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|at| at + self.window < now) {
                 times.pop_front();
             }
--- a/crates/placement/src/speed.rs
+++ b/crates/placement/src/speed.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Observations of its own that count as much as what is known of other engines of the same pool.
-const ENOUGH: f32 = 4.0;
+const PRIOR_SAMPLES: f32 = 4.0;
 
 /// How fast an engine reads prompts and answers, and how long its reading holds up the answers beside it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -83,10 +83,10 @@
         let mut mean = Self::default();
         for speed in speeds {
             let weight = speed.seen.min(most);
-            mean.blend_reading(speed, share(weight, mean.seen));
+            mean.blend_reading(speed, weight_ratio(weight, mean.seen));
             mean.seen += weight;
             let weight = speed.stalls_seen.min(most);
-            mean.blend_stalls(speed, share(weight, mean.stalls_seen));
+            mean.blend_stalls(speed, weight_ratio(weight, mean.stalls_seen));
             mean.stalls_seen += weight;
         }
         mean
@@ -96,8 +96,8 @@
     #[must_use]
     pub fn or_fallback(&self, other: &Self) -> Self {
         let mut blend = *self;
-        blend.blend_reading(other, share(ENOUGH, self.seen));
-        blend.blend_stalls(other, share(ENOUGH, self.stalls_seen));
+        blend.blend_reading(other, weight_ratio(PRIOR_SAMPLES, self.seen));
+        blend.blend_stalls(other, weight_ratio(PRIOR_SAMPLES, self.stalls_seen));
         blend
     }
 
@@ -120,7 +120,7 @@
 }
 
 /// The part that `weight` is of itself and what was there before.
-fn share(weight: f32, before: f32) -> f32 {
+fn weight_ratio(weight: f32, before: f32) -> f32 {
     if weight <= 0.0 {
         return 0.0;
     }
--- a/crates/placement/src/stalls.rs
+++ b/crates/placement/src/stalls.rs
@@ -1,6 +1,6 @@
 //! How long the reading of prompts has lately held up the answers beside it.
 
-use crate::harm::exceeds;
+use crate::impact::exceeds;
 use crate::Millis;
 use std::collections::VecDeque;
 
@@ -8,7 +8,7 @@
 const WINDOW: Millis = 3_000;
 
 /// Most stalls that are kept; more in the window are as bad as these.
-const MOST: usize = 48;
+const MAX_STALLS: usize = 48;
 
 /// The expected stalls of one server within the last seconds.
 #[derive(Clone, Debug, Default)]
@@ -18,8 +18,8 @@
 
 impl Stalls {
     /// Reading that began now is expected to make a pause of so many milliseconds.
-    pub(crate) fn note(&mut self, pause_ms: f64, now: Millis) {
-        if self.recent.len() == MOST {
+    pub(crate) fn record(&mut self, pause_ms: f64, now: Millis) {
+        if self.recent.len() == MAX_STALLS {
             self.recent.pop_front();
         }
         self.recent.push_back((now, pause_ms as u32));
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -42,9 +42,9 @@
     now: u64,
     prompt: &Prompt,
     tried: &[String],
-    opinions: &[(String, ServerStatus)],
+    statuses: &[(String, ServerStatus)],
 ) -> Choice {
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
         target: AIM,
@@ -54,17 +54,17 @@
         tried,
         denied: &[],
         allowed_regions: [None, None],
-        statuses: opinions,
+        statuses: statuses,
         now,
     };
-    placement.choose(&ask).expect("a server")
+    placement.choose(&request).expect("a server")
 }
 
-fn choose(placement: &mut Placement, prompt: &Prompt, opinions: &[(String, ServerStatus)]) -> Choice {
-    choose_at(placement, 1_000, prompt, &[], opinions)
+fn choose(placement: &mut Placement, prompt: &Prompt, statuses: &[(String, ServerStatus)]) -> Choice {
+    choose_at(placement, 1_000, prompt, &[], statuses)
 }
 
-fn opinion(running: u32, unread: u64, kept: u32, read: u32) -> ServerStatus {
+fn status(running: u32, unread: u64, kept: u32, read: u32) -> ServerStatus {
     let reading = Prefill { tokens: unread, ..Prefill::default() };
     ServerStatus {
         load: Load { running, prefill: reading, ..Load::default() },
@@ -101,7 +101,7 @@
 fn a_server_whose_owner_was_not_heard_is_not_taken_for_idle() {
     let mut placement = placement(servers(3));
     let home = choose(&mut placement, &prompt(7, 100), &[]).server.id.clone();
-    let heard = vec![(home.clone(), opinion(20, 40_000, 13_000, 13_000))];
+    let heard = vec![(home.clone(), status(20, 40_000, 13_000, 13_000))];
     assert_eq!(choose(&mut placement, &prompt(7, 101), &heard).server.id, home);
 }
 
@@ -111,7 +111,7 @@
         let mut placement = placement(servers(2));
         let home = choose(&mut placement, &prompt(7, 100), &[]).server.clone();
         let other = if home.id == "s0" { "s1" } else { "s0" };
-        let heard = [(home.id.clone(), opinion(64, 2_000_000, 13_000, read)), (other.to_owned(), opinion(0, 0, 0, 0))];
+        let heard = [(home.id.clone(), status(64, 2_000_000, 13_000, read)), (other.to_owned(), status(0, 0, 0, 0))];
         let chosen = choose(&mut placement, &prompt(7, 101), &heard);
         assert_eq!(chosen.server.id, other);
         assert_eq!(chosen.fetch, fetches.then_some(home.address));
@@ -125,7 +125,7 @@
     let home = choose(&mut placement.clone(), &prompt(7, 100), &[]).server.clone();
     let holder = servers(3).into_iter().find(|s| s.id != home.id).expect("another server");
     // As after the home's restart: it has nothing, and the one that stood in for it is busy.
-    let heard = [(home.id.clone(), opinion(0, 0, 0, 0)), (holder.id.clone(), opinion(64, 3_000_000, 13_000, 13_000))];
+    let heard = [(home.id.clone(), status(0, 0, 0, 0)), (holder.id.clone(), status(64, 3_000_000, 13_000, 13_000))];
     let chosen = choose(&mut placement, &prompt(7, 101), &heard);
     assert_eq!(chosen.server.id, home.id);
     assert_eq!(chosen.fetch, Some(holder.address));
@@ -146,7 +146,7 @@
         );
     }
     let prompt = prompt(7, 102);
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
         target: AIM,
@@ -159,7 +159,7 @@
         statuses: &[],
         now: 0,
     };
-    let asked: Vec<String> = placement.servers_to_query(&ask, 4).iter().map(|server| server.id.clone()).collect();
+    let asked: Vec<String> = placement.servers_to_query(&request, 4).iter().map(|server| server.id.clone()).collect();
     assert_eq!(asked[..2], [home, next]);
     assert_eq!(asked.len(), 4);
 }
@@ -170,7 +170,8 @@
     let mut asked = std::collections::HashSet::new();
     for own in 0..100 {
         let prompt = quick_prompt(1_000 + own);
-        asked.extend(placement.servers_to_query(&quick_ask(&prompt, &[]), 9).iter().map(|server| server.id.clone()));
+        asked
+            .extend(placement.servers_to_query(&quick_request(&prompt, &[]), 9).iter().map(|server| server.id.clone()));
     }
     assert!(asked.len() >= 36, "{} of 40 are asked by 100 requests", asked.len());
 }
@@ -186,7 +187,7 @@
 }
 
 /// An ask whose answer may pause only for [`QUICK_GAP`].
-fn quick_ask<'a>(prompt: &'a Prompt, opinions: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
+fn quick_request<'a>(prompt: &'a Prompt, statuses: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
     PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
@@ -197,7 +198,7 @@
         tried: &[],
         denied: &[],
         allowed_regions: [None, None],
-        statuses: opinions,
+        statuses: statuses,
         now: 1_000,
     }
 }
@@ -222,8 +223,8 @@
 fn chosen(prompt: &Prompt, s0: ServerStatus, s1: ServerStatus) -> String {
     let heard = [("s0".to_owned(), s0), ("s1".to_owned(), s1)];
     let mut placement = placement(servers(2));
-    for (id, opinion) in &heard {
-        placement.on_status(MODEL, id, opinion.clone(), 1_000);
+    for (id, status) in &heard {
+        placement.on_status(MODEL, id, status.clone(), 1_000);
     }
     choose(&mut placement, prompt, &heard).server.id.clone()
 }
@@ -256,14 +257,14 @@
 fn an_answer_runs_where_reading_stalls_it_less() {
     for stalled in ["s0", "s1"] {
         let mut placement = placement(servers(2));
-        let opinion_of =
+        let status_of =
             |id: &str| ServerStatus { stalls_per_s: if id == stalled { 1.0 } else { 0.0 }, ..paced(9, 400.0) };
-        let heard = ["s0", "s1"].map(|id| (id.to_owned(), opinion_of(id)));
-        for (id, opinion) in &heard {
-            placement.on_status(MODEL, id, opinion.clone(), 1_000);
+        let heard = ["s0", "s1"].map(|id| (id.to_owned(), status_of(id)));
+        for (id, status) in &heard {
+            placement.on_status(MODEL, id, status.clone(), 1_000);
         }
         let prompt = quick_prompt(100);
-        let chosen = placement.choose(&quick_ask(&prompt, &heard)).expect("a server");
+        let chosen = placement.choose(&quick_request(&prompt, &heard)).expect("a server");
         assert_ne!(chosen.server.id, stalled);
         assert_eq!((chosen.work.gap_ms, chosen.work.out), (300, 200));
     }
@@ -288,12 +289,12 @@
     for shared in 0..30 {
         let mut placement = placement(servers(9));
         let home = choose(&mut placement.clone(), &prompt(shared, 100), &[]).server.id.clone();
-        let others = placement.servers_to_query(&quick_ask(&prompt(shared, 100), &[]), 9);
+        let others = placement.servers_to_query(&quick_request(&prompt(shared, 100), &[]), 9);
         let heard: Vec<_> =
-            others.iter().filter(|s| s.id != home).map(|s| (s.id.clone(), opinion(3, 2_000, 0, 0))).collect();
+            others.iter().filter(|s| s.id != home).map(|s| (s.id.clone(), status(3, 2_000, 0, 0))).collect();
         assert_eq!(choose(&mut placement, &prompt(shared, 100), &heard).server.id, home);
         // Where another has read them, that one is as good.
-        let kept: Vec<_> = heard.iter().map(|(id, _)| (id.clone(), opinion(3, 2_000, 13_000, 13_000))).collect();
+        let kept: Vec<_> = heard.iter().map(|(id, _)| (id.clone(), status(3, 2_000, 13_000, 13_000))).collect();
         assert_ne!(choose(&mut placement, &prompt(shared, 100), &kept).server.id, home);
     }
 }
@@ -303,7 +304,7 @@
     let home = choose(&mut placement(servers(9)), &prompt(7, 100), &[]).server.clone();
     let other = if home.id == "s0" { "s1" } else { "s0" };
     for (waiting, moves) in [(20_000, false), (50_000, true)] {
-        let heard = [(home.id.clone(), opinion(5, waiting, 13_000, 13_000)), (other.to_owned(), opinion(5, 0, 0, 0))];
+        let heard = [(home.id.clone(), status(5, waiting, 13_000, 13_000)), (other.to_owned(), status(5, 0, 0, 0))];
         let chosen = choose(&mut placement(servers(9)), &prompt(7, 101), &heard);
         assert_eq!(chosen.fetch, moves.then_some(home.address), "{waiting} tokens wait at home");
     }
@@ -313,9 +314,9 @@
 fn for_a_prompt_with_few_shared_tokens_four_owners_are_asked() {
     let mut placement = placement(servers(9));
     let prompt = quick_prompt(100);
-    assert_eq!(placement.servers_to_query(&quick_ask(&prompt, &[]), 9).len(), 4);
+    assert_eq!(placement.servers_to_query(&quick_request(&prompt, &[]), 9).len(), 4);
     let long = deep_prompt(7);
-    assert_eq!(placement.servers_to_query(&quick_ask(&long, &[]), 9).len(), 9);
+    assert_eq!(placement.servers_to_query(&quick_request(&long, &[]), 9).len(), 9);
 }
 
 /// What is said of two servers of 64 places that so many requests have or wait for, of which one ends every 100 ms.
@@ -327,9 +328,9 @@
 
 /// How long a quick request would have to wait for a place; none if it is sent.
 fn refused(placement: &mut Placement, running: u32, urgency: u8, now: u64) -> Option<f64> {
-    let (prompt, opinions) = (quick_prompt(100), places(running));
-    let ask = PlacementRequest { urgency, now, ..quick_ask(&prompt, &opinions) };
-    match placement.choose(&ask) {
+    let (prompt, statuses) = (quick_prompt(100), places(running));
+    let request = PlacementRequest { urgency, now, ..quick_request(&prompt, &statuses) };
+    match placement.choose(&request) {
         Ok(_) => None,
         Err(Refusal::Overloaded { wait_ms }) => Some(wait_ms),
         Err(other) => panic!("there are servers: {other:?}"),
@@ -356,8 +357,8 @@
     };
     for urgency in [0, 3] {
         let (mut placement, prompt) = (placement(servers(2)), prompt(7, 100));
-        let opinions = [("s0".to_owned(), full.clone()), ("s1".to_owned(), opinion(0, 0, 0, 0))];
-        let choice = placement.choose(&PlacementRequest { urgency, ..quick_ask(&prompt, &opinions) });
+        let statuses = [("s0".to_owned(), full.clone()), ("s1".to_owned(), status(0, 0, 0, 0))];
+        let choice = placement.choose(&PlacementRequest { urgency, ..quick_request(&prompt, &statuses) });
         assert_eq!(choice.expect("a place").server.id, "s1");
     }
 }
@@ -390,21 +391,25 @@
             ..ServerStatus::default()
         }
     };
-    let opinions = [("s0".to_owned(), said(200, 60)), ("s1".to_owned(), said(0, 90))];
-    let urgent = placement.choose(&quick_ask(&prompt, &opinions)).expect("a place of the less urgent");
+    let statuses = [("s0".to_owned(), said(200, 60)), ("s1".to_owned(), said(0, 90))];
+    let urgent = placement.choose(&quick_request(&prompt, &statuses)).expect("a place of the less urgent");
     assert_eq!(urgent.server.id, "s0");
-    let lesser = placement.choose(&PlacementRequest { urgency: 1, ..quick_ask(&prompt, &opinions) });
+    let lesser = placement.choose(&PlacementRequest { urgency: 1, ..quick_request(&prompt, &statuses) });
     assert!(matches!(lesser, Err(Refusal::Overloaded { .. })), "{lesser:?}");
     let free = [("s0".to_owned(), said(10, 54)), ("s1".to_owned(), said(0, 63))];
-    assert_eq!(placement.choose(&quick_ask(&prompt, &free)).expect("a place").server.id, "s1", "nobody is displaced");
+    assert_eq!(
+        placement.choose(&quick_request(&prompt, &free)).expect("a place").server.id,
+        "s1",
+        "nobody is displaced"
+    );
 }
 
 #[test]
 fn a_request_that_was_sent_already_is_not_refused_for_want_of_a_place() {
     let mut placement = placement(servers(2));
-    let (prompt, opinions, tried) = (quick_prompt(100), places(100), ["s0".to_owned()]);
-    let ask = PlacementRequest { tried: &tried, ..quick_ask(&prompt, &opinions) };
-    assert_eq!(placement.choose(&ask).expect("a server").server.id, "s1");
+    let (prompt, statuses, tried) = (quick_prompt(100), places(100), ["s0".to_owned()]);
+    let request = PlacementRequest { tried: &tried, ..quick_request(&prompt, &statuses) };
+    assert_eq!(placement.choose(&request).expect("a server").server.id, "s1");
 }
 
 #[test]
@@ -431,7 +436,7 @@
 #[test]
 fn plain_requests_stay_in_the_hall_unless_it_is_busy() {
     let mut placement = placement(vec![server(0, "here", false), server(1, "there", false)]);
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         service: MODEL,
         prompt: None,
         target: AIM,
@@ -444,9 +449,9 @@
         statuses: &[],
         now: 0,
     };
-    assert_eq!(placement.choose(&ask).expect("a server").server.id, "s0");
+    assert_eq!(placement.choose(&request).expect("a server").server.id, "s0");
     for _ in 0..70 {
         placement.record_sent(MODEL, "s0", Work::default());
     }
-    assert_eq!(placement.choose(&ask).expect("a server").server.id, "s1");
+    assert_eq!(placement.choose(&request).expect("a server").server.id, "s1");
 }
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -44,9 +44,9 @@
     Prompt { model: "m".to_owned(), tokens: 7_000, max_out_tokens: 60, out_tokens_hint: None, parts }
 }
 
-fn ask<'a>(
+fn request<'a>(
     prompt: &'a Prompt,
-    opinions: &'a [(String, ServerStatus)],
+    statuses: &'a [(String, ServerStatus)],
     denied: &'a [String],
     now: u64,
 ) -> PlacementRequest<'a> {
@@ -60,7 +60,7 @@
         tried: &[],
         denied,
         allowed_regions: [None, None],
-        statuses: opinions,
+        statuses: statuses,
         now,
     }
 }
@@ -92,9 +92,9 @@
         self.numbers
     }
 
-    fn opinions(&mut self, index: usize, prompt: &Prompt, now: u64) -> Vec<(String, ServerStatus)> {
-        let planned = self.boxes[index].servers_to_query(&ask(prompt, &[], &[], now), 9);
-        let mut opinions = Vec::new();
+    fn statuses(&mut self, index: usize, prompt: &Prompt, now: u64) -> Vec<(String, ServerStatus)> {
+        let planned = self.boxes[index].servers_to_query(&request(prompt, &[], &[], now), 9);
+        let mut statuses = Vec::new();
         for server in planned {
             let question = StatusQuery {
                 number: self.number(),
@@ -102,11 +102,11 @@
                 parts: prompt.parts.clone(),
                 gap_ms: 0,
             };
-            let opinion = self.owner.on_query(&question, now);
-            self.boxes[index].on_status(MODEL, &server.id, opinion.clone(), now);
-            opinions.push((server.id.clone(), opinion));
+            let status = self.owner.on_query(&question, now);
+            self.boxes[index].on_status(MODEL, &server.id, status.clone(), now);
+            statuses.push((server.id.clone(), status));
         }
-        opinions
+        statuses
     }
 
     /// One request at one box, as the program sends it.
@@ -114,10 +114,10 @@
         let (shared, own) = (self.rng.random_range(0..6), self.rng.random());
         let prompt = prompt(shared, own);
         let heard = index >= self.cut_off;
-        let opinions = if heard { self.opinions(index, &prompt, now) } else { Vec::new() };
+        let statuses = if heard { self.statuses(index, &prompt, now) } else { Vec::new() };
         let mut denied = Vec::new();
         let choice = loop {
-            match self.boxes[index].choose(&ask(&prompt, &opinions, &denied, now)) {
+            match self.boxes[index].choose(&request(&prompt, &statuses, &denied, now)) {
                 Ok(choice) => {
                     let Some(quotas) = choice.permit_quotas else { break choice };
                     let permit =
@@ -220,18 +220,18 @@
     let servers = || (0..2).map(|index| life(index, 1, 0)).collect();
     update(&mut placement, servers(), &["hall-0"], 1_000);
     let prompt = prompt(1, 2);
-    let during = placement.choose(&ask(&prompt, &[], &[], 1_500)).expect("the other hall's server");
+    let during = placement.choose(&request(&prompt, &[], &[], 1_500)).expect("the other hall's server");
     assert_eq!((during.server.name.as_str(), during.permit_quotas), ("s1", None));
     update(&mut placement, servers(), &[], 9_000);
     let tried = ["s1@1".to_owned()];
     let given_back =
-        placement.choose(&PlacementRequest { tried: &tried, ..ask(&prompt, &[], &[], 9_100) }).expect("a server");
+        placement.choose(&PlacementRequest { tried: &tried, ..request(&prompt, &[], &[], 9_100) }).expect("a server");
     assert!(given_back.permit_quotas.is_some());
     let warm =
-        placement.choose(&PlacementRequest { tried: &tried, ..ask(&prompt, &[], &[], 12_100) }).expect("a server");
+        placement.choose(&PlacementRequest { tried: &tried, ..request(&prompt, &[], &[], 12_100) }).expect("a server");
     assert_eq!(warm.permit_quotas, None);
     update(&mut placement, servers(), &["hall-0", "hall-1"], 20_000);
-    assert_eq!(placement.choose(&ask(&prompt, &[], &[], 20_001)).expect_err("no hall"), Refusal::NoServer);
+    assert_eq!(placement.choose(&request(&prompt, &[], &[], 20_001)).expect_err("no hall"), Refusal::NoServer);
 }
 
 #[test]
@@ -239,7 +239,7 @@
     let mut placement = placement();
     update(&mut placement, vec![life(0, 1, 0)], &[], 0);
     let leave = |placement: &mut Placement, now: u64| {
-        placement.choose(&ask(&prompt(1, 2), &[], &[], now)).expect("a server").permit_quotas.is_some()
+        placement.choose(&request(&prompt(1, 2), &[], &[], now)).expect("a server").permit_quotas.is_some()
     };
     assert!(!leave(&mut placement, 10));
     placement.record_ending(MODEL, "s0@1", Ending::Broken, 20);
@@ -254,16 +254,16 @@
     let mut placement = placement();
     update(&mut placement, vec![life(0, 1, 0)], &[], 0);
     let known = prompt(1, 2);
-    placement.choose(&ask(&known, &[], &[], 10)).expect("a server");
+    placement.choose(&request(&known, &[], &[], 10)).expect("a server");
     placement.record_cached(MODEL, "s0@1", &known);
     placement.record_ending(MODEL, "s0@1", Ending::Unreached, 20);
     update(&mut placement, vec![life(0, 2, 0)], &[], 30);
-    let chosen = placement.choose(&ask(&prompt(1, 3), &[], &[], 40)).expect("it isn't paused");
+    let chosen = placement.choose(&request(&prompt(1, 3), &[], &[], 40)).expect("it isn't paused");
     assert_eq!((chosen.server.id.as_str(), chosen.permit_quotas), ("s0@2", None));
     assert_eq!(chosen.load.running, 0);
     // Late news of the former life change nothing.
     placement.record_ending(MODEL, "s0@1", Ending::Broken, 50);
-    assert_eq!(placement.choose(&ask(&prompt(1, 4), &[], &[], 60)).expect("a server").permit_quotas, None);
+    assert_eq!(placement.choose(&request(&prompt(1, 4), &[], &[], 60)).expect("a server").permit_quotas, None);
     let mut owner = Owner::default();
     let from = SocketAddr::from(([10, 1, 0, 1], 80));
     let sent =
@@ -271,6 +271,6 @@
     owner.on_report(from, SendReport { number: 1, server: "s0@1".to_owned(), update: sent }, 10);
     owner.on_report(from, SendReport { number: 1, server: "s0@1".to_owned(), update: SendUpdate::Read }, 40);
     let asked = StatusQuery { number: 2, server: "s0@2".to_owned(), parts: known.parts, gap_ms: 0 };
-    let opinion = owner.on_query(&asked, 50);
-    assert_eq!((opinion.load.running, opinion.cached_tokens, opinion.confirmed_tokens, opinion.arrivals), (0, 0, 0, 0));
+    let status = owner.on_query(&asked, 50);
+    assert_eq!((status.load.running, status.cached_tokens, status.confirmed_tokens, status.arrivals), (0, 0, 0, 0));
 }
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -35,7 +35,7 @@
 fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&AllowedRegions>) -> (String, String) {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
     let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-    let ask = PlacementRequest {
+    let request = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
         target: Duration::from_millis(1_500),
@@ -48,8 +48,8 @@
         statuses: &[],
         now: 1_000,
     };
-    let planned = placement.servers_to_query(&ask, 9);
-    let chosen = placement.choose(&ask).expect("a server");
+    let planned = placement.servers_to_query(&request, 9);
+    let chosen = placement.choose(&request).expect("a server");
     (chosen.server.id.clone(), planned[0].id.clone())
 }
 
@@ -87,7 +87,7 @@
     for own in 0..300 {
         let parts = vec![Part { id: 5, tokens: 100 }, Part { id: 1_000 + own, tokens: 300 }];
         let prompt = Prompt { model: "m".to_owned(), tokens: 400, max_out_tokens: 200, out_tokens_hint: None, parts };
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
             target: Duration::from_millis(1_500),
@@ -100,7 +100,7 @@
             statuses: &[],
             now: 1_000,
         };
-        sent.extend(one.servers_to_query(&ask, 9).iter().map(|server| server.id.clone()));
+        sent.extend(one.servers_to_query(&request, 9).iter().map(|server| server.id.clone()));
     }
     assert!(sent.len() > SERVERS / 3, "{} servers are looked at", sent.len());
 }
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -48,7 +48,7 @@
     (0..count).map(|index| server(index, "hall")).collect()
 }
 
-fn ask(denied: &[String], now: u64) -> PlacementRequest<'_> {
+fn request(denied: &[String], now: u64) -> PlacementRequest<'_> {
     PlacementRequest {
         service: MODEL,
         prompt: None,
@@ -177,31 +177,31 @@
     }
 
     /// What owners say of the likeliest servers.
-    fn opinions(&mut self, from: usize, prompt: &Prompt) -> Vec<(String, ServerStatus)> {
+    fn statuses(&mut self, from: usize, prompt: &Prompt) -> Vec<(String, ServerStatus)> {
         let planned = self.boxes[from]
-            .servers_to_query(&PlacementRequest { prompt: Some(prompt), ..ask(&[], self.now) }, SERVERS);
-        let mut opinions = Vec::new();
+            .servers_to_query(&PlacementRequest { prompt: Some(prompt), ..request(&[], self.now) }, SERVERS);
+        let mut statuses = Vec::new();
         for server in planned {
             let (number, id) = (self.number(), server.id.clone());
             let question = StatusQuery { number, server: id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-            let opinion = self.owner.on_query(&question, self.now);
-            self.boxes[from].on_status(MODEL, &id, opinion.clone(), self.now);
-            opinions.push((id, opinion));
+            let status = self.owner.on_query(&question, self.now);
+            self.boxes[from].on_status(MODEL, &id, status.clone(), self.now);
+            statuses.push((id, status));
         }
-        opinions
+        statuses
     }
 
     /// One request at one box, as the program sends it.
     fn request(&mut self, from: usize) {
         let prompt = prompt(self.rng.random_range(0..self.shared), self.rng.random());
-        let opinions = self.opinions(from, &prompt);
+        let statuses = self.statuses(from, &prompt);
         let lesser = usize::from(!self.rng.random_bool(self.urgent));
         let urgency = [0, 6][lesser];
         let mut denied = Vec::new();
         loop {
-            let ask =
-                PlacementRequest { prompt: Some(&prompt), statuses: &opinions, urgency, ..ask(&denied, self.now) };
-            let choice = match self.boxes[from].choose(&ask) {
+            let request =
+                PlacementRequest { prompt: Some(&prompt), statuses: &statuses, urgency, ..request(&denied, self.now) };
+            let choice = match self.boxes[from].choose(&request) {
                 Ok(choice) => choice,
                 Err(Refusal::Limited { .. }) => {
                     self.refused += 1;
@@ -442,7 +442,7 @@
 }
 
 fn quotas(placement: &mut Placement, now: u64) -> Option<Quotas> {
-    placement.choose(&ask(&[], now)).expect("a server").permit_quotas
+    placement.choose(&request(&[], now)).expect("a server").permit_quotas
 }
 
 #[test]
@@ -528,7 +528,7 @@
     assert!(placement.may_send(MODEL, "s0", true, 20));
     placement.record_back_off("s0", 5_000);
     assert!(!placement.may_send(MODEL, "s0", true, 30));
-    assert_eq!(placement.choose(&ask(&[], 30)).expect_err("it rests"), Refusal::BackingOff { retry_ms: 4_970 });
+    assert_eq!(placement.choose(&request(&[], 30)).expect_err("it rests"), Refusal::BackingOff { retry_ms: 4_970 });
     let later = Server { id: "s0@7".to_owned(), ..server(0, "hall") };
     update(&mut placement, &table(None), vec![later], &[], 40);
     assert_eq!(quotas(&mut placement, 50), None, "a later life is another server");
@@ -539,12 +539,12 @@
     let mut placement = placement(servers(2));
     placement.on_limit_update(&named(1.0), 0);
     placement.on_limit_update(&LimitUpdate { instance: "s1".to_owned(), ..named(0.5) }, 0);
-    assert!(placement.choose(&ask(&[], 10)).is_ok());
+    assert!(placement.choose(&request(&[], 10)).is_ok());
     placement.record_denial(MODEL, "s0", 0, 700);
     placement.record_denial(MODEL, "s1", 0, 1_500);
-    assert_eq!(placement.choose(&ask(&[], 100)).expect_err("spent"), Refusal::Limited { retry_ms: 600 });
-    assert!(placement.choose(&ask(&[], 700)).is_ok());
+    assert_eq!(placement.choose(&request(&[], 100)).expect_err("spent"), Refusal::Limited { retry_ms: 600 });
+    assert!(placement.choose(&request(&[], 700)).is_ok());
     // Another limit is another matter.
     placement.on_limit_update(&LimitUpdate { version: 2, ..named(5.0) }, 200);
-    assert!(placement.choose(&ask(&[], 210)).is_ok());
+    assert!(placement.choose(&request(&[], 210)).is_ok());
 }
--- a/crates/placement/tests/notices.rs
+++ b/crates/placement/tests/notices.rs
@@ -21,7 +21,7 @@
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     update(&mut placement, &table(None), servers(count), &[], 0);
     // It has read the part that all prompts share.
-    placement.choose(&ask(None, &[], 0)).expect("a server");
+    placement.choose(&request(None, &[], 0)).expect("a server");
     placement.record_cached(MODEL, "s1", &prompt(0));
     placement
 }
@@ -31,7 +31,7 @@
     Prompt { model: "m".to_owned(), tokens: 7_000, max_out_tokens: 60, out_tokens_hint: None, parts }
 }
 
-fn ask<'a>(prompt: Option<&'a Prompt>, opinions: &'a [(String, ServerStatus)], now: u64) -> PlacementRequest<'a> {
+fn request<'a>(prompt: Option<&'a Prompt>, statuses: &'a [(String, ServerStatus)], now: u64) -> PlacementRequest<'a> {
     PlacementRequest {
         service: MODEL,
         prompt,
@@ -42,7 +42,7 @@
         tried: &[],
         denied: &[],
         allowed_regions: [None, None],
-        statuses: opinions,
+        statuses: statuses,
         now,
     }
 }
@@ -69,13 +69,13 @@
     let mut ways = Ways::default();
     for own in 2..40 {
         let prompt = prompt(own);
-        ways.note(placement.choose(&ask(Some(&prompt), &[], now)));
-        let planned = placement.servers_to_query(&ask(Some(&prompt), &[], now), 9);
+        ways.note(placement.choose(&request(Some(&prompt), &[], now)));
+        let planned = placement.servers_to_query(&request(Some(&prompt), &[], now), 9);
         // All but one have much to do, so that the one without the shared part is chosen now and then.
-        let opinion = |id: &str| if id == "s1" { busy() } else { ServerStatus::default() };
-        let opinions: Vec<_> = planned.iter().map(|server| (server.id.clone(), opinion(&server.id))).collect();
-        ways.note(placement.choose(&ask(Some(&prompt), &opinions, now)));
-        ways.note(placement.choose(&ask(None, &[], now)));
+        let status = |id: &str| if id == "s1" { busy() } else { ServerStatus::default() };
+        let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), status(&server.id))).collect();
+        ways.note(placement.choose(&request(Some(&prompt), &statuses, now)));
+        ways.note(placement.choose(&request(None, &[], now)));
         ways.used.extend(planned.iter().map(|server| server.id.clone()));
     }
     ways
@@ -169,16 +169,16 @@
     let mut placement = placement(2);
     placement.record_back_off("s0", 5_000);
     placement.record_back_off("s1", 3_000);
-    let refusal = placement.choose(&ask(None, &[], 1_000)).expect_err("all rest");
+    let refusal = placement.choose(&request(None, &[], 1_000)).expect_err("all rest");
     assert_eq!(refusal, Refusal::BackingOff { retry_ms: 2_000 });
     // One that failed lately doesn't get what a resting one would have got; it is the last resort of nobody else.
     for now in [1_000, 1_001] {
         placement.record_ending(MODEL, "s1", Ending::Broken, now);
     }
-    assert!(matches!(placement.choose(&ask(None, &[], 1_002)), Err(Refusal::BackingOff { .. })));
+    assert!(matches!(placement.choose(&request(None, &[], 1_002)), Err(Refusal::BackingOff { .. })));
     placement.record_leaving("s0", Some(false), 1_002);
     placement.record_leaving("s1", Some(false), 1_002);
-    assert_eq!(placement.choose(&ask(None, &[], 1_002)).expect_err("all leave"), Refusal::NoServer);
+    assert_eq!(placement.choose(&request(None, &[], 1_002)).expect_err("all leave"), Refusal::NoServer);
 }
 
 #[test]
@@ -187,9 +187,9 @@
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = Server { cold_ms: 10_000, ..server(0, "hall") };
     update(&mut placement, &table(cold), vec![cold_server], &[], 0);
-    assert!(placement.choose(&ask(None, &[], 10)).is_ok_and(|choice| choice.permit_quotas.is_some()));
+    assert!(placement.choose(&request(None, &[], 10)).is_ok_and(|choice| choice.permit_quotas.is_some()));
     placement.record_back_off("s0", 3_000);
-    assert_eq!(placement.choose(&ask(None, &[], 10)).expect_err("rests"), Refusal::BackingOff { retry_ms: 2_990 });
+    assert_eq!(placement.choose(&request(None, &[], 10)).expect_err("rests"), Refusal::BackingOff { retry_ms: 2_990 });
 }
 
 #[test]
--- a/crates/placement/tests/owner.rs
+++ b/crates/placement/tests/owner.rs
@@ -13,7 +13,7 @@
     vec![Part { id: 1, tokens: 10_000 }, Part { id: 2, tokens: 500 }]
 }
 
-fn ask(owner: &mut Owner, now: u64) -> ServerStatus {
+fn status(owner: &mut Owner, now: u64) -> ServerStatus {
     owner.on_query(&StatusQuery { number: 99, server: "s".to_owned(), parts: parts(), gap_ms: 200 }, now)
 }
 
@@ -38,8 +38,8 @@
 #[test]
 fn a_question_alone_changes_nothing() {
     let mut owner = Owner::default();
-    let first = ask(&mut owner, 0);
-    assert_eq!(ask(&mut owner, 1), first);
+    let first = status(&mut owner, 0);
+    assert_eq!(status(&mut owner, 1), first);
     assert_eq!((first.load.running, first.cached_tokens, first.confirmed_tokens), (0, 0, 0));
 }
 
@@ -47,14 +47,14 @@
 fn a_send_counts_from_its_beginning_to_its_end() {
     let mut owner = Owner::default();
     tell(&mut owner, 1, sent(), 0);
-    let waiting = ask(&mut owner, 0);
+    let waiting = status(&mut owner, 0);
     assert_eq!((waiting.load.running, waiting.load.prefill.tokens, waiting.load.held), (1, 10_500, 11_000));
     assert_eq!((waiting.cached_tokens, waiting.confirmed_tokens), (10_500, 0));
     tell(&mut owner, 1, SendUpdate::Read, 2);
-    let reading = ask(&mut owner, 3);
+    let reading = status(&mut owner, 3);
     assert_eq!((reading.load.running, reading.load.prefill.tokens, reading.confirmed_tokens), (1, 0, 10_500));
     tell(&mut owner, 1, ended(Ending::Good), 4);
-    let after = ask(&mut owner, 5);
+    let after = status(&mut owner, 5);
     assert_eq!((after.load.running, after.load.held, after.confirmed_tokens), (0, 0, 10_500));
 }
 
@@ -64,9 +64,9 @@
     tell(&mut owner, 1, sent(), 0);
     tell(&mut owner, 2, sent(), 0);
     tell(&mut owner, 1, ended(Ending::Left), 1);
-    assert_eq!(ask(&mut owner, 2).cached_tokens, 10_500, "another request still waits for them");
+    assert_eq!(status(&mut owner, 2).cached_tokens, 10_500, "another request still waits for them");
     tell(&mut owner, 2, ended(Ending::Broken), 3);
-    let after = ask(&mut owner, 4);
+    let after = status(&mut owner, 4);
     assert_eq!((after.cached_tokens, after.load.running, after.load.prefill.tokens), (0, 0, 0));
 }
 
@@ -74,7 +74,7 @@
 fn a_lease_whose_box_has_died_ends_by_itself() {
     let mut owner = Owner::default();
     tell(&mut owner, 1, sent(), 0);
-    assert_eq!(ask(&mut owner, 61_000).load.running, 0);
+    assert_eq!(status(&mut owner, 61_000).load.running, 0);
 }
 
 #[test]
@@ -84,7 +84,7 @@
     tell(&mut owner, 1, ended(Ending::Good), 1);
     tell(&mut owner, 1, ended(Ending::Good), 2);
     tell(&mut owner, 7, SendUpdate::Read, 3);
-    assert_eq!(ask(&mut owner, 4).load.running, 0);
+    assert_eq!(status(&mut owner, 4).load.running, 0);
 }
 
 #[test]
@@ -94,8 +94,8 @@
         tell(&mut owner, number, sent(), 0);
         tell(&mut owner, number, ended(Ending::Broken), 1);
     }
-    assert!(ask(&mut owner, 2).paused);
-    assert!(!ask(&mut owner, 1_000).paused);
+    assert!(status(&mut owner, 2).paused);
+    assert!(!status(&mut owner, 1_000).paused);
 }
 
 #[test]
@@ -103,9 +103,9 @@
     let mut owner = Owner::default();
     tell(&mut owner, 1, sent(), 0);
     owner.retain(|id| id == "s");
-    assert_eq!(ask(&mut owner, 1).load.running, 1);
+    assert_eq!(status(&mut owner, 1).load.running, 1);
     owner.retain(|id| id != "s");
-    assert_eq!((ask(&mut owner, 2).load.running, ask(&mut owner, 2).cached_tokens), (0, 0));
+    assert_eq!((status(&mut owner, 2).load.running, status(&mut owner, 2).cached_tokens), (0, 0));
 }
 
 /// A request of 200 tokens to generate whose answer bears pauses of so many milliseconds.
@@ -123,21 +123,21 @@
     for number in 1..=3 {
         tell(&mut owner, number, sent_with(work(500, if number == 3 { 300 } else { 200 })), 0);
     }
-    assert_eq!(ask(&mut owner, 1).load.gap_limits, [(200, 2), (300, 1)].into());
+    assert_eq!(status(&mut owner, 1).load.gap_limits, [(200, 2), (300, 1)].into());
     tell(&mut owner, 1, SendUpdate::Late, 2);
     tell(&mut owner, 1, SendUpdate::Late, 2);
-    assert_eq!(ask(&mut owner, 3).load.gap_limits, [(200, 1), (300, 1)].into());
+    assert_eq!(status(&mut owner, 3).load.gap_limits, [(200, 1), (300, 1)].into());
     for number in 1..=3 {
         tell(&mut owner, number, ended(Ending::Good), 4);
     }
-    assert_eq!(ask(&mut owner, 5).load, Load::default());
+    assert_eq!(status(&mut owner, 5).load, Load::default());
 }
 
 #[test]
 fn what_is_left_to_read_shrinks_while_it_is_read() {
     let mut owner = Owner::default();
     tell(&mut owner, 1, sent_with(work(10_000, 0)), 0);
-    let at = |owner: &mut Owner, now| ask(owner, now).load.prefill.tokens;
+    let at = |owner: &mut Owner, now| status(owner, now).load.prefill.tokens;
     let (begun, half, long_after) = (at(&mut owner, 0), at(&mut owner, 130), at(&mut owner, 5_000));
     assert!(begun == 10_000 && (4_000..7_000).contains(&half) && long_after > 0, "{begun} {half} {long_after}");
 }
@@ -167,7 +167,7 @@
     for (read_ms, pause_ms) in [(25, 200), (50, 400), (12, 60), (50, 150)] {
         let mut owner = Owner::default();
         watch(&mut owner, 40, read_ms, pause_ms);
-        let speed = ask(&mut owner, 0).speed;
+        let speed = status(&mut owner, 0).speed;
         let long = Prefill::tail(20_000, 20_000, speed.chunk_tokens());
         let (read, stall) = (speed.prefill_ms(long), speed.expected_stall_ms(long));
         let near = |value: f64, truth: f64| (value / truth - 1.0).abs() < 0.15;
@@ -181,8 +181,8 @@
     let mut owner = Owner::default();
     watch(&mut owner, 25, 25, 300);
     let later = 100_000;
-    assert_eq!(ask(&mut owner, later).stalls_per_s, 0.0);
+    assert_eq!(status(&mut owner, later).stalls_per_s, 0.0);
     tell(&mut owner, 999, sent_with(work(30_000, 0)), later);
-    assert!(ask(&mut owner, later + 1).stalls_per_s > 0.2, "pauses of 300 ms are too long for 200");
-    assert_eq!(ask(&mut owner, later + 10_000).stalls_per_s, 0.0, "what was long ago says nothing");
+    assert!(status(&mut owner, later + 1).stalls_per_s > 0.2, "pauses of 300 ms are too long for 200");
+    assert_eq!(status(&mut owner, later + 10_000).stalls_per_s, 0.0, "what was long ago says nothing");
 }
--- a/crates/placement/tests/register.rs
+++ b/crates/placement/tests/register.rs
@@ -29,7 +29,7 @@
 /// A box's question to the owners of nine servers, of which the first five, that are asked for the prompt's parts, have their
 /// hands full, and its choice.
 fn choose(one: &mut Placement, owner: &mut Owner, prompt: &Prompt, now: u64) -> Choice {
-    let ask = |opinions| PlacementRequest {
+    let request = |statuses| PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
         target: Duration::from_millis(2_500),
@@ -39,22 +39,22 @@
         tried: &[],
         denied: &[],
         allowed_regions: [None, None],
-        statuses: opinions,
+        statuses: statuses,
         now,
     };
-    let planned = one.servers_to_query(&ask(&[]), 9);
-    let mut opinions = Vec::new();
+    let planned = one.servers_to_query(&request(&[]), 9);
+    let mut statuses = Vec::new();
     for (place, server) in planned.iter().enumerate() {
         let question = StatusQuery { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-        let mut opinion = owner.on_query(&question, now);
+        let mut status = owner.on_query(&question, now);
         if place < 5 {
             let reading = Prefill { tokens: 4_000_000, ..Prefill::default() };
-            opinion.load = Load { running: 60, prefill: reading, ..Load::default() };
+            status.load = Load { running: 60, prefill: reading, ..Load::default() };
         }
-        one.on_status(MODEL, &server.id, opinion.clone(), now);
-        opinions.push((server.id.clone(), opinion));
+        one.on_status(MODEL, &server.id, status.clone(), now);
+        statuses.push((server.id.clone(), status));
     }
-    one.choose(&ask(&opinions)).expect("a server")
+    one.choose(&request(&statuses)).expect("a server")
 }
 
 #[test]
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -128,7 +128,7 @@
         let tokens = shared.tokens + own;
         let prompt = Prompt { model: "m".to_owned(), tokens, max_out_tokens: 200, out_tokens_hint: Some(150), parts };
         let gap_ms = if quick { GAP_MS } else { 4 * GAP_MS };
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
             target: Duration::from_millis(2_000),
@@ -141,19 +141,19 @@
             statuses: &[],
             now,
         };
-        let mut opinions = Vec::new();
-        for server in self.placement.servers_to_query(&ask, 9) {
+        let mut statuses = Vec::new();
+        for server in self.placement.servers_to_query(&request, 9) {
             let question = StatusQuery {
                 number: 1,
                 server: server.id.clone(),
                 parts: prompt.parts.clone(),
                 gap_ms: gap_ms as u32,
             };
-            let opinion = self.owner.on_query(&question, now);
-            self.placement.on_status(MODEL, &server.id, opinion.clone(), now);
-            opinions.push((server.id.clone(), opinion));
+            let status = self.owner.on_query(&question, now);
+            self.placement.on_status(MODEL, &server.id, status.clone(), now);
+            statuses.push((server.id.clone(), status));
         }
-        let Ok(choice) = self.placement.choose(&PlacementRequest { statuses: &opinions, ..ask }) else { return };
+        let Ok(choice) = self.placement.choose(&PlacementRequest { statuses: &statuses, ..request }) else { return };
         let id = choice.server.id.clone();
         let sent =
             SendUpdate::Sent { parts: prompt.parts.clone(), work: choice.work, memory: 400_000, permitted: false };
--- a/crates/placement/tests/update.rs
+++ b/crates/placement/tests/update.rs
@@ -52,7 +52,7 @@
         let parts = vec![Part { id: number, tokens: 13_000 }, Part { id: 10_000 + number, tokens: 3_000 }];
         let prompt =
             Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             service: MODEL,
             prompt: Some(&prompt),
             target: Duration::from_millis(1_500),
@@ -65,8 +65,8 @@
             statuses: &[],
             now,
         };
-        let planned = placement.servers_to_query(&ask, 9).iter().map(|server| server.id.clone()).collect();
-        let chosen = placement.clone().choose(&ask).ok().map(|choice| choice.server.id.clone());
+        let planned = placement.servers_to_query(&request, 9).iter().map(|server| server.id.clone()).collect();
+        let chosen = placement.clone().choose(&request).ok().map(|choice| choice.server.id.clone());
         (planned, chosen)
     };
     (0..10).map(choose).collect()
