--- a/crates/placement/src/arrivals.rs
+++ b/crates/placement/src/arrivals.rs
@@ -32,8 +32,8 @@
     /// When one more may be sent by this quota: now, or when the oldest of those that fill it no longer counts.
     pub(crate) fn free_at(&mut self, quota: &Quota, now: Millis) -> Millis {
         self.longest = self.longest.max(quota.window);
-        let Some(most) = usize::try_from(quota.max_requests).ok().filter(|most| *most > 0) else { return Millis::MAX };
-        let filling = self.times.len().checked_sub(most).map(|first| self.times[first] + quota.window);
-        filling.map_or(now, |at| at.max(now))
+        let Some(max) = usize::try_from(quota.max_requests).ok().filter(|max| *max > 0) else { return Millis::MAX };
+        let filled_until = self.times.len().checked_sub(max).map(|first| self.times[first] + quota.window);
+        filled_until.map_or(now, |at| at.max(now))
     }
 }
--- a/crates/placement/src/cached_parts.rs
+++ b/crates/placement/src/cached_parts.rs
@@ -33,20 +33,20 @@
         self.count(parts, |entry| entry.read)
     }
 
-    fn count(&self, parts: &[Part], fits: impl Fn(&Entry) -> bool) -> u32 {
-        let kept = parts.iter().take_while(|part| self.parts.get(&part.id).is_some_and(&fits));
-        kept.map(|part| part.tokens).sum()
+    fn count(&self, parts: &[Part], matches: impl Fn(&Entry) -> bool) -> u32 {
+        let cached = parts.iter().take_while(|part| self.parts.get(&part.id).is_some_and(&matches));
+        cached.map(|part| part.tokens).sum()
     }
 
     /// Notes that `parts` are being used; forgets the oldest beyond `most` tokens.
-    pub fn touch(&mut self, parts: &[Part], most: u64, now: Millis) {
+    pub fn touch(&mut self, parts: &[Part], max_tokens: u64, now: Millis) {
         for part in parts {
             let read = self.parts.get(&part.id).is_some_and(|entry| entry.read);
             let old = self.parts.insert(part.id, Entry { tokens: part.tokens, used: now, read });
             self.tokens += u64::from(part.tokens);
             self.tokens -= old.map_or(0, |entry| u64::from(entry.tokens));
         }
-        while self.tokens > most {
+        while self.tokens > max_tokens {
             let oldest = self.parts.iter().min_by_key(|(id, entry)| (entry.used, **id)).map(|(id, _)| *id);
             let Some(entry) = oldest.and_then(|id| self.parts.remove(&id)) else { return };
             self.tokens -= u64::from(entry.tokens);
--- a/crates/placement/src/cold.rs
+++ b/crates/placement/src/cold.rs
@@ -35,9 +35,9 @@
     /// Most requests that a cold server is to get: below the bound for bursts, and no more than the bound without its slack where
     /// they go on.
     pub(crate) fn quota(&self, cold: &ColdStart) -> Quota {
-        let lasting = cold.requests_per_s * self.ratio;
-        let burst = lasting + self.slack - UNCOUNTED_PER_S;
-        Quota { max_requests: burst.min(lasting * COLD_WINDOW as f64 / 1e3).max(0.0) as u32, window: COLD_WINDOW }
+        let sustained = cold.requests_per_s * self.ratio;
+        let burst = sustained + self.slack - UNCOUNTED_PER_S;
+        Quota { max_requests: burst.min(sustained * COLD_WINDOW as f64 / 1e3).max(0.0) as u32, window: COLD_WINDOW }
     }
 }
 
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -39,7 +39,7 @@
 /// A member that could be chosen, with its cost.
 pub(crate) struct Candidate<'a> {
     pub(crate) member: &'a Member,
-    pub(crate) expected: CostEstimate,
+    pub(crate) estimate: CostEstimate,
     /// What the request adds there, after a fetch if one is worth it.
     pub(crate) work: Work,
     pub(crate) fetch: bool,
@@ -48,7 +48,7 @@
 impl Candidate<'_> {
     /// What the choice would cost, in answers that come late.
     pub(crate) fn cost(&self) -> f64 {
-        self.expected.cost
+        self.estimate.cost
     }
 }
 
@@ -94,13 +94,13 @@
     /// A server with its cost.
     pub(crate) fn candidate<'m>(&self, member: &'m Member) -> Candidate<'m> {
         let base = (member.health.failure_ratio() - self.min_failure_ratio) * FAILURE_COST + self.distance_cost(member);
-        let said = self.request.status(&member.server.id);
-        let load = said.map_or_else(|| member.load(self.request.now), |status| &status.load);
+        let status = self.request.status(&member.server.id);
+        let load = status.map_or_else(|| member.load(self.request.now), |status| &status.load);
         match self.request.prompt {
             Some(prompt) => self.prompt_candidate(member, load, prompt, base),
             None => {
-                let expected = CostEstimate { cost: base + plain_wait_cost(member, load), ..CostEstimate::default() };
-                Candidate { member, expected, work: Work::default(), fetch: false }
+                let estimate = CostEstimate { cost: base + plain_wait_cost(member, load), ..CostEstimate::default() };
+                Candidate { member, estimate, work: Work::default(), fetch: false }
             }
         }
     }
@@ -117,27 +117,27 @@
         let speed = member.speed().map_or(self.speed, |own| own.or_fallback(&self.speed));
         let plan = self.prefill_plan(member, prompt);
         let work = self.work(prompt, plan.unread, &speed);
-        let place_ms = self.slot_wait_ms(member, load);
-        let reading_ms = speed.prefill_ms(load.prefill.plus(work.prefill));
-        let wait_ms = f64::from(speed.base_ms) + reading_ms.max(place_ms);
-        let aim_ms = self.request.target.as_secs_f64() * 1e3;
-        let wait = WAIT_WEIGHT * wait_ms / aim_ms.max(1.0) + impact::first_event_late(wait_ms, aim_ms);
+        let slot_wait_ms = self.slot_wait_ms(member, load);
+        let prefill_ms = speed.prefill_ms(load.prefill.plus(work.prefill));
+        let wait_ms = f64::from(speed.base_ms) + prefill_ms.max(slot_wait_ms);
+        let target_ms = self.request.target.as_secs_f64() * 1e3;
+        let wait_cost = WAIT_WEIGHT * wait_ms / target_ms.max(1.0) + impact::first_event_late(wait_ms, target_ms);
         let took_ms = f64::from(work.out) * f64::from(speed.out_ms);
-        let stalled = impact::stall_probability(f64::from(member.stalls_per_s(self.request.now)), took_ms);
+        let stall_probability = impact::stall_probability(f64::from(member.stalls_per_s(self.request.now)), took_ms);
         let memory = self.engine.map_or(u64::MAX, |engine| engine.memory_tokens);
-        let others =
+        let others_late =
             impact::others_late(load, &work, &speed) + impact::preemptions(load, &work, memory, member.server.slots);
-        let cost = base + wait + stalled + others + plan.cost + self.other_side_cost(member);
-        let expected = CostEstimate {
+        let cost = base + wait_cost + stall_probability + others_late + plan.cost + self.other_side_cost(member);
+        let estimate = CostEstimate {
             cost,
             wait_ms,
-            slot_wait_ms: place_ms,
-            stall_probability: stalled,
-            others_late: others,
+            slot_wait_ms,
+            stall_probability,
+            others_late,
             long_share: self.split.share(),
             speed,
         };
-        Candidate { member, expected, work, fetch: plan.fetch }
+        Candidate { member, estimate, work, fetch: plan.fetch }
     }
 
     /// What it costs to be on the side of the engines that is meant for others.
@@ -150,10 +150,11 @@
     fn slot_wait_ms(&self, member: &Member, load: &Load) -> f64 {
         let before = load.not_displaced_by(self.request.urgency);
         let ends = f64::from(before.saturating_add(1).saturating_sub(member.server.slots));
-        let end_ms = self.request.status(&member.server.id).map_or(0.0, |status| status.completion_interval_ms);
+        let interval_ms = self.request.status(&member.server.id).map_or(0.0, |status| status.completion_interval_ms);
         // Where none ended lately, none is expected to.
-        let end_ms = if end_ms > 0.0 { f64::from(end_ms) } else { self.request.target.as_secs_f64() * 1e3 };
-        ends * end_ms
+        let interval_ms =
+            if interval_ms > 0.0 { f64::from(interval_ms) } else { self.request.target.as_secs_f64() * 1e3 };
+        ends * interval_ms
     }
 
     /// What a request adds to the load of a server that has `unread` of its tokens to read.
@@ -170,24 +171,26 @@
 
     fn prefill_plan(&self, member: &Member, prompt: &Prompt) -> PrefillPlan {
         let shared = prompt.shared_tokens();
-        let said = self.request.status(&member.server.id);
-        let kept = member.cached.cached_prefix(&prompt.parts).max(said.map_or(0, |status| status.cached_tokens));
-        let unread = prompt.tokens.saturating_sub(kept);
+        let status = self.request.status(&member.server.id);
+        let cached = member.cached.cached_prefix(&prompt.parts).max(status.map_or(0, |status| status.cached_tokens));
+        let unread = prompt.tokens.saturating_sub(cached);
         let at_home = self.homes.first().is_some_and(|home| home.server.id == member.server.id);
-        if at_home && said.is_none() {
+        if at_home && status.is_none() {
             // Where the owner is not heard, it is taken that other boxes sent the parts there already.
             let unread = unread.min(prompt.tokens.saturating_sub(shared));
             return PrefillPlan { unread, fetch: false, cost: 0.0 };
         }
         // What is read at home for the first time is not read again.
-        let again = |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REPEATED_PREFILL_COST_PER_K };
+        let repeated_cost =
+            |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REPEATED_PREFILL_COST_PER_K };
         let source = self.source.filter(|source| source.member.server.id != member.server.id);
-        if let Some(source) = source.filter(|source| source.tokens >= kept + MIN_FETCH_TOKENS) {
-            let fetched = source.tokens - kept;
-            let cost = f64::from(fetched) / 1_000.0 * FETCH_COST_PER_K + again(shared.saturating_sub(source.tokens));
+        if let Some(source) = source.filter(|source| source.tokens >= cached + MIN_FETCH_TOKENS) {
+            let fetched = source.tokens - cached;
+            let cost =
+                f64::from(fetched) / 1_000.0 * FETCH_COST_PER_K + repeated_cost(shared.saturating_sub(source.tokens));
             return PrefillPlan { unread: unread.saturating_sub(fetched), fetch: true, cost };
         }
-        PrefillPlan { unread, fetch: false, cost: again(shared.saturating_sub(kept)) }
+        PrefillPlan { unread, fetch: false, cost: repeated_cost(shared.saturating_sub(cached)) }
     }
 }
 
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -35,8 +35,8 @@
     }
 
     /// The part of the pool that it takes, where engines are to spend so much of their time reading.
-    pub(crate) fn engines_needed(self, reading_most: f64) -> f64 {
-        (self.prefill / reading_most).max(self.slots / MAX_SLOT_RATIO)
+    pub(crate) fn engines_needed(self, max_prefill_ratio: f64) -> f64 {
+        (self.prefill / max_prefill_ratio).max(self.slots / MAX_SLOT_RATIO)
     }
 }
 
@@ -66,20 +66,20 @@
 impl Side {
     /// Takes what the owner of one of them said.
     pub(crate) fn add(&mut self, status: &ServerStatus, slots: u32) {
-        let places = f64::from(slots.max(1));
+        let slots = f64::from(slots.max(1));
         let short = status.load.running.saturating_sub(status.load.long);
         self.reporting += 1.0;
         self.demand = self.demand.plus(Demand {
-            long: Usage { prefill: status.long_prefill_ratio.into(), slots: f64::from(status.load.long) / places },
-            short: Usage { prefill: status.short_prefill_ratio.into(), slots: f64::from(short) / places },
+            long: Usage { prefill: status.long_prefill_ratio.into(), slots: f64::from(status.load.long) / slots },
+            short: Usage { prefill: status.short_prefill_ratio.into(), slots: f64::from(short) / slots },
         });
     }
 
     /// What the work on this side takes, in parts of a pool of so many engines.
-    pub(crate) fn demand(&self, of: f64) -> Demand {
+    pub(crate) fn demand(&self, pool_size: f64) -> Demand {
         if self.reporting == 0.0 {
             return Demand::default();
         }
-        self.demand.scaled(self.engines / self.reporting / of)
+        self.demand.scaled(self.engines / self.reporting / pool_size)
     }
 }
--- a/crates/placement/src/impact.rs
+++ b/crates/placement/src/impact.rs
@@ -11,13 +11,13 @@
 const CERTAIN_WAIT_RATIO: f64 = 0.6;
 
 /// The chance that the first event comes after the aim.
-pub(crate) fn first_event_late(wait_ms: f64, aim_ms: f64) -> f64 {
-    ((wait_ms / aim_ms.max(1.0) - CERTAIN_WAIT_RATIO) / (1.0 - CERTAIN_WAIT_RATIO)).clamp(0.0, 1.0)
+pub(crate) fn first_event_late(wait_ms: f64, target_ms: f64) -> f64 {
+    ((wait_ms / target_ms.max(1.0) - CERTAIN_WAIT_RATIO) / (1.0 - CERTAIN_WAIT_RATIO)).clamp(0.0, 1.0)
 }
 
 /// The chance that something expected to be so much, as a pause or the memory that answers will fill, is more than `most`.
-pub(crate) fn exceeds(expected: f64, most: f64) -> f64 {
-    ((expected / most.max(1.0) - 1.0 + UNCERTAINTY_RATIO) / (2.0 * UNCERTAINTY_RATIO)).clamp(0.0, 1.0)
+pub(crate) fn exceeds(expected: f64, limit: f64) -> f64 {
+    ((expected / limit.max(1.0) - 1.0 + UNCERTAINTY_RATIO) / (2.0 * UNCERTAINTY_RATIO)).clamp(0.0, 1.0)
 }
 
 /// The chance that one of the stalls that come `per_second` makes an answer late that takes so long.
@@ -26,8 +26,8 @@
 }
 
 /// How many of those that run are put back and read again: for want of memory before they have ended, or of a place.
-pub(crate) fn preemptions(load: &Load, work: &Work, memory: u64, places: u32) -> f64 {
-    let displaces = load.running >= places && load.not_displaced_by(work.urgency) < places;
+pub(crate) fn preemptions(load: &Load, work: &Work, memory: u64, slots: u32) -> f64 {
+    let displaces = load.running >= slots && load.not_displaced_by(work.urgency) < slots;
     exceeds((load.held + u64::from(work.held)) as f64, memory as f64) + if displaces { 1.0 } else { 0.0 }
 }
 
--- a/crates/placement/src/least_squares.rs
+++ b/crates/placement/src/least_squares.rs
@@ -41,12 +41,12 @@
 
     /// Something with these features took so long. What took less than expected counts by `shorter`: below 1, the line
     /// runs above the middle of what is observed.
-    pub(crate) fn update(&mut self, features: &[f64; N], took_ms: f64, shorter: f64) {
+    pub(crate) fn update(&mut self, features: &[f64; N], took_ms: f64, shorter_weight: f64) {
         let expected = dot(features, &self.weights);
         let scale = expected.max(MIN_SCALE_MS);
         let features = features.map(|value| value / scale);
         let error = ((took_ms - expected) / scale).clamp(-MAX_ERROR_RATIO, MAX_ERROR_RATIO);
-        let error = if error < 0.0 { error * shorter } else { error };
+        let error = if error < 0.0 { error * shorter_weight } else { error };
         let carried = self.covariance.map(|row| dot(&row, &features));
         let denominator = FORGETTING_FACTOR * NOISE_VARIANCE + dot(&features, &carried);
         let gain = carried.map(|value| value / denominator);
@@ -62,9 +62,9 @@
     /// Forgetting must not let the trust in a direction that is never seen fade without bound.
     fn bound_covariance(&mut self) {
         for index in 0..N {
-            let most = PRIOR_VARIANCE * self.weights[index].powi(2) + f64::MIN_POSITIVE;
-            if self.covariance[index][index] > most {
-                let shrink = (most / self.covariance[index][index]).sqrt();
+            let max = PRIOR_VARIANCE * self.weights[index].powi(2) + f64::MIN_POSITIVE;
+            if self.covariance[index][index] > max {
+                let shrink = (max / self.covariance[index][index]).sqrt();
                 for other in 0..N {
                     self.covariance[index][other] *= shrink;
                     self.covariance[other][index] *= shrink;
--- a/crates/placement/src/limit.rs
+++ b/crates/placement/src/limit.rs
@@ -48,10 +48,10 @@
         if per_s >= UNLIMITED_FROM_PER_S {
             return None;
         }
-        let most = per_s.floor().max(1.0);
+        let max_requests = per_s.floor().max(1.0);
         // A conversion that saturates.
-        let within = if per_s > 0.0 { (most / per_s * 1e3).ceil() as Millis } else { MAX_WINDOW };
-        Some(Quota { max_requests: most as u32, window: within.min(MAX_WINDOW) })
+        let window = if per_s > 0.0 { (max_requests / per_s * 1e3).ceil() as Millis } else { MAX_WINDOW };
+        Some(Quota { max_requests: max_requests as u32, window: window.min(MAX_WINDOW) })
     }
 }
 
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -36,13 +36,13 @@
 impl Prefill {
     /// Reading the last `unread` tokens of a prompt, of which `stretch` are read between two events.
     #[must_use]
-    pub fn tail(unread: u32, prompt: u32, stretch: u32) -> Self {
+    pub fn tail(unread: u32, prompt: u32, chunk: u32) -> Self {
         let tokens = u64::from(unread);
         let before = u64::from(prompt) - u64::from(unread.min(prompt) / 2);
-        let last = unread.min(stretch);
-        let deep = u64::from(prompt.saturating_sub(last / 2));
+        let last = unread.min(chunk);
+        let last_depth = u64::from(prompt.saturating_sub(last / 2));
         // A short rest of a deep prompt is read with others between the same events.
-        let depth = deep * u64::from(last) / u64::from(stretch.max(1));
+        let depth = last_depth * u64::from(last) / u64::from(chunk.max(1));
         Self { tokens, attention_pairs_k: tokens * before / 1_000, depth: u32::try_from(depth).unwrap_or(u32::MAX) }
     }
 
@@ -54,10 +54,10 @@
 
     /// A part of it.
     #[must_use]
-    pub fn scaled(self, part: f64) -> Self {
+    pub fn scaled(self, ratio: f64) -> Self {
         Self {
-            tokens: (self.tokens as f64 * part) as u64,
-            attention_pairs_k: (self.attention_pairs_k as f64 * part) as u64,
+            tokens: (self.tokens as f64 * ratio) as u64,
+            attention_pairs_k: (self.attention_pairs_k as f64 * ratio) as u64,
             ..self
         }
     }
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -87,11 +87,11 @@
 
     /// Takes what it said of itself.
     pub(crate) fn apply_notices(&mut self, notices: &Notices) {
-        let life = &self.server.id;
-        self.leaving = notices.is_leaving(life);
-        self.back_off_until = notices.back_off_until(life);
-        self.unconfirmed_until = notices.unconfirmed_until(life);
-        let limit = notices.limit(life);
+        let instance = &self.server.id;
+        self.leaving = notices.is_leaving(instance);
+        self.back_off_until = notices.back_off_until(instance);
+        self.unconfirmed_until = notices.unconfirmed_until(instance);
+        let limit = notices.limit(instance);
         self.set_limit(limit);
     }
 
@@ -106,8 +106,8 @@
 
     /// Takes whether its hall is evacuated. Servers may have turned cold meanwhile, and nobody may have heard yet.
     fn set_evacuated(&mut self, evacuated: bool, now: Millis) {
-        let over = std::mem::replace(&mut self.evacuated, evacuated) && !evacuated;
-        if let Some(cold) = self.cold.as_ref().filter(|_| over) {
+        let reopened = std::mem::replace(&mut self.evacuated, evacuated) && !evacuated;
+        if let Some(cold) = self.cold.as_ref().filter(|_| reopened) {
             self.cold_until = self.cold_until.max(now + cold.duration.as_millis() as Millis);
         }
     }
@@ -116,13 +116,13 @@
     pub(crate) fn is_cold(&self, now: Millis) -> bool {
         let Some(cold) = &self.cold else { return false };
         let own = self.disconnects.elapsed(now).cold_until(cold, now);
-        let heard = self.status.as_ref().map_or(0, |(status, at)| status.disconnect.cold_until(cold, *at));
-        now < self.cold_until.max(own).max(heard)
+        let reported = self.status.as_ref().map_or(0, |(status, at)| status.disconnect.cold_until(cold, *at));
+        now < self.cold_until.max(own).max(reported)
     }
 
     /// What holds for requests to it, each of which needs leave where that is anything. `bears` is what it bears while it is cold.
-    pub(crate) fn quotas(&self, bears: Option<Quota>, now: Millis) -> Quotas {
-        Quotas { cold: bears.filter(|_| self.is_cold(now)), limit: self.limit.quota() }
+    pub(crate) fn quotas(&self, cold_quota: Option<Quota>, now: Millis) -> Quotas {
+        Quotas { cold: cold_quota.filter(|_| self.is_cold(now)), limit: self.limit.quota() }
     }
 
     /// Takes what it says that it takes.
@@ -135,8 +135,8 @@
 
     /// Its limit allows nothing until then for requests of this urgency, nor for those that are less urgent.
     pub(crate) fn record_denial(&mut self, urgency: u8, until: Millis) {
-        for known in &mut self.denied_until[class_index(urgency)..] {
-            *known = until.max(*known);
+        for denied_until in &mut self.denied_until[class_index(urgency)..] {
+            *denied_until = until.max(*denied_until);
         }
     }
 
@@ -151,8 +151,8 @@
     }
 
     /// What its owner said within the last so many milliseconds.
-    pub(crate) fn status_within(&self, most: Millis, now: Millis) -> Option<&ServerStatus> {
-        self.status.as_ref().filter(|(_, at)| now < at + most).map(|(status, _)| status)
+    pub(crate) fn status_within(&self, max_age: Millis, now: Millis) -> Option<&ServerStatus> {
+        self.status.as_ref().filter(|(_, at)| now < at + max_age).map(|(status, _)| status)
     }
 
     /// How fast its owner said that it is, whenever that was.
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -146,7 +146,7 @@
     load: Load,
     cached: CachedParts,
     health: Health,
-    learner: SpeedEstimator,
+    estimator: SpeedEstimator,
     stalls: Stalls,
     completions: Completions,
     /// Milliseconds of reading that were sent there with long prompts.
@@ -174,24 +174,23 @@
 
 impl Owner {
     /// Answers a question.
-    pub fn on_query(&mut self, question: &StatusQuery, now: Millis) -> ServerStatus {
-        let owned = self.owned(&question.server, now);
+    pub fn on_query(&mut self, query: &StatusQuery, now: Millis) -> ServerStatus {
+        let owned = self.owned(&query.server, now);
         owned.expire(now);
         ServerStatus {
-            number: question.number,
+            number: query.number,
             load: Load { prefill: owned.remaining_prefill(now), ..owned.load.clone() },
-            cached_tokens: owned.cached.cached_prefix(&question.parts),
-            confirmed_tokens: owned.cached.confirmed_prefix(&question.parts),
+            cached_tokens: owned.cached.cached_prefix(&query.parts),
+            confirmed_tokens: owned.cached.confirmed_prefix(&query.parts),
             paused: owned.health.is_paused(now),
-            speed: owned.learner.speed(),
-            stalls_per_s: owned.stalls.per_second(question.gap_ms, now),
+            speed: owned.estimator.speed(),
+            stalls_per_s: owned.stalls.per_second(query.gap_ms, now),
             completion_interval_ms: owned.completions.interval_ms(now),
             long_prefill_ratio: owned.long_prefill.ratio(now),
             short_prefill_ratio: owned.short_prefill.ratio(now),
             arrivals: owned.arrivals.count_within(COLD_WINDOW, now),
             disconnect: owned.disconnects.elapsed(now),
-            cached_by: last_shared_part(&question.parts)
-                .map_or_else(Vec::new, |part| owned.cache_directory.servers(part)),
+            cached_by: last_shared_part(&query.parts).map_or_else(Vec::new, |part| owned.cache_directory.servers(part)),
         }
     }
 
@@ -199,14 +198,14 @@
     pub fn on_permit_request(&mut self, permit: &PermitRequest, now: Millis) -> PermitReply {
         let owned = self.owned(&permit.server, now);
         let Quotas { cold, limit } = &permit.quotas;
-        let again = limit.as_ref().map_or(now, |quota| {
+        let retry_at = limit.as_ref().map_or(now, |quota| {
             let stretched = owned.fair_share.quota_for(permit.urgency, quota, now);
             // What a box gave leave for that did so before this one fills the quota in the beginning.
             owned.arrivals.free_at(&stretched, now).max(owned.since + quota.window)
         });
-        let bears = cold.as_ref().is_none_or(|quota| owned.arrivals.free_at(quota, now) <= now);
-        if again > now || !bears {
-            return PermitReply::Denied { retry_ms: again - now };
+        let cold_free = cold.as_ref().is_none_or(|quota| owned.arrivals.free_at(quota, now) <= now);
+        if retry_at > now || !cold_free {
+            return PermitReply::Denied { retry_ms: retry_at - now };
         }
         owned.arrivals.record(now);
         owned.fair_share.record_granted(permit.urgency);
@@ -253,29 +252,20 @@
     fn record_sent(&mut self, key: (SocketAddr, u64), parts: Vec<Part>, work: Work, memory: u64, now: Millis) {
         let ahead = self.remaining_prefill(now).plus(work.prefill);
         let reading = if work.long { &mut self.long_prefill } else { &mut self.short_prefill };
-        reading.record(self.learner.speed().prefill_ms(work.prefill), now);
+        reading.record(self.estimator.speed().prefill_ms(work.prefill), now);
         self.load.record_sent(work);
         self.cached.touch(&parts, memory, now);
-        self.stalls.record(self.learner.speed().expected_stall_ms(ahead), now);
-        for beside in self.leases.values_mut().filter(|lease| lease.prefilled_at.is_some()) {
-            if ahead.tokens > beside.prefill_beside.0.tokens {
-                beside.prefill_beside = (ahead, now);
+        self.stalls.record(self.estimator.speed().expected_stall_ms(ahead), now);
+        for other in self.leases.values_mut().filter(|lease| lease.prefilled_at.is_some()) {
+            if ahead.tokens > other.prefill_beside.0.tokens {
+                other.prefill_beside = (ahead, now);
             }
         }
-        let beside = (Prefill::default(), now);
-        let until = now + LEASE_TTL;
+        let prefill_beside = (Prefill::default(), now);
+        let expires_at = now + LEASE_TTL;
         self.leases.insert(
             key,
-            Lease {
-                work,
-                parts,
-                sent_at: now,
-                ahead,
-                prefilled_at: None,
-                prefill_beside: beside,
-                late: false,
-                expires_at: until,
-            },
+            Lease { work, parts, sent_at: now, ahead, prefilled_at: None, prefill_beside, late: false, expires_at },
         );
     }
 
@@ -284,7 +274,7 @@
         let unread = || self.leases.values().filter(|lease| lease.prefilled_at.is_none());
         let Some(first) = unread().min_by_key(|lease| lease.sent_at) else { return self.load.prefill };
         let since = now.saturating_sub(first.sent_at.max(self.last_prefilled)) as f64;
-        let takes = self.learner.speed().prefill_ms(first.work.prefill).max(1.0);
+        let takes = self.estimator.speed().prefill_ms(first.work.prefill).max(1.0);
         let left = self.load.prefill.minus(first.work.prefill.scaled((since / takes).min(MAX_PARTIAL_PREFILL_RATIO)));
         Prefill { depth: unread().map(|lease| lease.work.prefill.depth).max().unwrap_or_default(), ..left }
     }
@@ -295,7 +285,7 @@
         self.last_prefilled = now;
         self.load.record_prefilled(lease.work);
         self.cached.mark_read(&lease.parts);
-        self.learner.record_first_event(lease.ahead, now.saturating_sub(lease.sent_at) as f64);
+        self.estimator.record_first_event(lease.ahead, now.saturating_sub(lease.sent_at) as f64);
     }
 
     fn record_late(&mut self, key: &(SocketAddr, u64)) {
@@ -312,8 +302,8 @@
             self.load.record_prefilled(lease.work);
             // Parts that no other request waits for either are not there.
             let others = |part: &Part| self.leases.values().any(|other| other.parts.contains(part));
-            let gone: Vec<Part> = lease.parts.iter().filter(|part| !others(part)).copied().collect();
-            self.cached.remove_unread(&gone);
+            let unread: Vec<Part> = lease.parts.iter().filter(|part| !others(part)).copied().collect();
+            self.cached.remove_unread(&unread);
         }
         if ending == Ending::Good {
             self.update_estimator(&lease, pause_ms, now);
@@ -330,18 +320,18 @@
     /// What a whole answer shows of the server's speed.
     fn update_estimator(&mut self, lease: &Lease, pause_ms: u32, now: Millis) {
         let Some(read) = lease.prefilled_at else { return };
-        self.learner.record_answer(lease.work.out, now.saturating_sub(read) as f64);
+        self.estimator.record_answer(lease.work.out, now.saturating_sub(read) as f64);
         let (beside, since) = lease.prefill_beside;
         // An answer that ended before all was read says nothing of it.
-        if now.saturating_sub(since) as f64 > self.learner.speed().prefill_ms(beside) {
-            self.learner.record_pause(beside, f64::from(pause_ms));
+        if now.saturating_sub(since) as f64 > self.estimator.speed().prefill_ms(beside) {
+            self.estimator.record_pause(beside, f64::from(pause_ms));
         }
     }
 
     fn expire(&mut self, now: Millis) {
-        let over: Vec<(SocketAddr, u64)> =
+        let expired: Vec<(SocketAddr, u64)> =
             self.leases.iter().filter(|(_, lease)| lease.expires_at < now).map(|(key, _)| *key).collect();
-        for key in over {
+        for key in expired {
             self.record_end(&key, Ending::Left, 0, now);
         }
     }
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -160,58 +160,58 @@
     }
 
     /// Tells the pools of what a life said of itself.
-    fn notify_pools(&mut self, life: &str) {
-        self.pools.values_mut().for_each(|pool| pool.apply_notices(life, &self.notices));
+    fn notify_pools(&mut self, instance: &str) {
+        self.pools.values_mut().for_each(|pool| pool.apply_notices(instance, &self.notices));
     }
 
     /// The listed entry of a life, if there is one.
     #[must_use]
-    pub fn listed(&self, life: &str) -> Option<&Arc<Server>> {
-        self.pools.values().find_map(|pool| pool.server(life))
+    pub fn listed(&self, instance: &str) -> Option<&Arc<Server>> {
+        self.pools.values().find_map(|pool| pool.server(instance))
     }
 
     /// This life said that it leaves: it gets nothing any more. `listed` is what its entry says of that, if there is one. True
     /// when it wasn't known.
-    pub fn record_leaving(&mut self, life: &str, listed: Option<bool>, now: Millis) -> bool {
-        let news = self.notices.record_leaving(life, listed, now);
-        if news {
-            self.notify_pools(life);
+    pub fn record_leaving(&mut self, instance: &str, listed: Option<bool>, now: Millis) -> bool {
+        let is_new = self.notices.record_leaving(instance, listed, now);
+        if is_new {
+            self.notify_pools(instance);
         }
-        news
+        is_new
     }
 
     /// This life wants nothing from this box until then.
-    pub fn record_back_off(&mut self, life: &str, until: Millis) {
-        self.notices.record_back_off(life, until);
-        self.notify_pools(life);
+    pub fn record_back_off(&mut self, instance: &str, until: Millis) {
+        self.notices.record_back_off(instance, until);
+        self.notify_pools(instance);
     }
 
     /// This life names a limit in the answer to a request that was sent to it at `sent`. What all other boxes are to be told, where
     /// this wasn't known.
     #[must_use]
-    pub fn record_limit(&mut self, life: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
-        let news = self.notices.record_limit(life, limit, sent, now);
-        if news.is_some() {
-            self.limit_changed(life);
+    pub fn record_limit(&mut self, instance: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
+        let update = self.notices.record_limit(instance, limit, sent, now);
+        if update.is_some() {
+            self.limit_changed(instance);
         }
-        news
+        update
     }
 
     /// Tells the pools of a life's limit; others are told of it while the life is listed.
-    fn limit_changed(&mut self, life: &str) {
-        if let Some(server) = self.listed(life).cloned() {
+    fn limit_changed(&mut self, instance: &str) {
+        if let Some(server) = self.listed(instance).cloned() {
             self.notices.on_listed(&server);
         }
-        self.notify_pools(life);
+        self.notify_pools(instance);
     }
 
     /// Takes what another box knows of a life's limit. True when this wasn't known.
-    pub fn on_limit_update(&mut self, told: &LimitUpdate, now: Millis) -> bool {
-        let news = self.notices.on_limit_update(told, now);
-        if news {
-            self.limit_changed(&told.instance);
+    pub fn on_limit_update(&mut self, update: &LimitUpdate, now: Millis) -> bool {
+        let is_new = self.notices.on_limit_update(update, now);
+        if is_new {
+            self.limit_changed(&update.instance);
         }
-        news
+        is_new
     }
 
     /// What listed lives that ever named a limit say of it.
@@ -229,15 +229,15 @@
 
     /// Only an older copy of the list has these lives, so that they may have ended: until then they get something only where
     /// no other server takes requests.
-    pub fn mark_unconfirmed(&mut self, lives: &[String], until: Millis) {
-        self.notices.mark_unconfirmed(lives, until);
-        lives.iter().for_each(|life| self.notify_pools(life));
+    pub fn mark_unconfirmed(&mut self, instances: &[String], until: Millis) {
+        self.notices.mark_unconfirmed(instances, until);
+        instances.iter().for_each(|instance| self.notify_pools(instance));
     }
 
     /// This life has not ended: it has written its entry.
-    pub fn confirm_instance(&mut self, life: &str) {
-        if self.notices.confirm(life) {
-            self.notify_pools(life);
+    pub fn confirm_instance(&mut self, instance: &str) {
+        if self.notices.confirm(instance) {
+            self.notify_pools(instance);
         }
     }
 
@@ -262,10 +262,10 @@
     /// False where a request that was to go to this server must not leave this box any more: what was chosen a moment ago
     /// may have said something of itself since, or have gone. `leave` is true where leave was given for it.
     #[must_use]
-    pub fn may_send(&self, service: &str, id: &str, leave: bool, now: Millis) -> bool {
+    pub fn may_send(&self, service: &str, id: &str, permitted: bool, now: Millis) -> bool {
         let Some(pool) = self.pools.get(service) else { return true };
         let open = pool.admission_state(id, now).is_some_and(|standing| !standing.is_blocked());
-        open && (leave || !pool.is_limited(id))
+        open && (permitted || !pool.is_limited(id))
     }
 
     /// Takes how many boxes share the budget, this one included.
@@ -275,10 +275,10 @@
 
     /// Servers whose owners are worth asking before a choice, the most likely one first.
     #[must_use]
-    pub fn servers_to_query(&mut self, request: &PlacementRequest<'_>, most: usize) -> Vec<Arc<Server>> {
+    pub fn servers_to_query(&mut self, request: &PlacementRequest<'_>, max: usize) -> Vec<Arc<Server>> {
         self.pools
             .get_mut(request.service)
-            .map_or_else(Vec::new, |pool| pool.servers_to_query(request, &self.hall, most))
+            .map_or_else(Vec::new, |pool| pool.servers_to_query(request, &self.hall, max))
     }
 
     /// Tokens of parts that a server of this service can keep.
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -132,8 +132,8 @@
     }
 
     /// The entry of a life.
-    pub(crate) fn server(&self, life: &str) -> Option<&Arc<Server>> {
-        self.members.get(life).map(|member| &member.server)
+    pub(crate) fn server(&self, instance: &str) -> Option<&Arc<Server>> {
+        self.members.get(instance).map(|member| &member.server)
     }
 
     /// The records of all servers.
@@ -142,8 +142,8 @@
     }
 
     /// Takes what a life said of itself, if it is one of this pool's.
-    pub(crate) fn apply_notices(&mut self, life: &str, notices: &Notices) {
-        if let Some(member) = self.members.get_mut(life) {
+    pub(crate) fn apply_notices(&mut self, instance: &str, notices: &Notices) {
+        if let Some(member) = self.members.get_mut(instance) {
             member.apply_notices(notices);
         }
     }
@@ -189,8 +189,8 @@
             }
         }
         let engines = sides[0].engines + sides[1].engines;
-        let need = sides.iter().fold(Demand::default(), |need, side| need.plus(side.demand(engines)));
-        self.split.update(need, now);
+        let demand = sides.iter().fold(Demand::default(), |demand, side| demand.plus(side.demand(engines)));
+        self.split.update(demand, now);
     }
 
     /// Servers whose owners are worth asking: those that are to keep the prompt's shared parts, then the cheapest.
@@ -198,22 +198,22 @@
         &mut self,
         request: &PlacementRequest<'_>,
         hall: &str,
-        most: usize,
+        max: usize,
     ) -> Vec<Arc<Server>> {
         self.update_positions();
         let (sample, eligible) = self.eligible(request);
-        let scale = self.cost_model(request, hall, &sample, &eligible);
-        let mut candidates: Vec<_> = eligible.iter().map(|member| scale.candidate(member)).collect();
+        let model = self.cost_model(request, hall, &sample, &eligible);
+        let mut candidates: Vec<_> = eligible.iter().map(|member| model.candidate(member)).collect();
         sort_by_cost(&mut candidates, request);
         let shares = request.prompt.is_some_and(|prompt| prompt.shared_tokens() >= MIN_FETCH_TOKENS);
-        let likely = if shares { likely_holders(&scale) } else { Vec::new() };
+        let likely = if shares { likely_holders(&model) } else { Vec::new() };
         let cheap = candidates.iter().map(|candidate| candidate.member);
-        let others = cheap.filter(|member| !likely.iter().any(|keeper| keeper.server.id == member.server.id));
+        let others = cheap.filter(|member| !likely.iter().any(|holder| holder.server.id == member.server.id));
         likely
             .iter()
             .copied()
             .chain(others)
-            .take(if shares { most } else { most.min(MAX_QUERIES_SHORT_PROMPT) })
+            .take(if shares { max } else { max.min(MAX_QUERIES_SHORT_PROMPT) })
             .map(|member| Arc::clone(&member.server))
             .collect()
     }
@@ -260,8 +260,8 @@
             )
         });
         let long = split::is_long(longness);
-        let keepers = || eligible.iter().copied().filter(|member| sample.keeps(member));
-        let ranked = request.prompt.map_or_else(Vec::new, |prompt| homes(keepers(), prompt));
+        let holders = || eligible.iter().copied().filter(|member| sample.keeps(member));
+        let ranked = request.prompt.map_or_else(Vec::new, |prompt| homes(holders(), prompt));
         let side: Vec<&Member> =
             ranked.iter().copied().filter(|m| self.split.prefers_long(m.position) == long).collect();
         CostModel {
@@ -284,8 +284,8 @@
         let read = |m: &Member| {
             m.cached.confirmed_prefix(shared).max(request.status(&m.server.id).map_or(0, |o| o.confirmed_tokens))
         };
-        let give = sample.servers.iter().copied().filter(|member| may_serve_fetch(member, request));
-        let best = give.max_by_key(|m| (read(m), self.rank(m)))?;
+        let sources = sample.servers.iter().copied().filter(|member| may_serve_fetch(member, request));
+        let best = sources.max_by_key(|m| (read(m), self.rank(m)))?;
         let all = request.prompt?.shared_tokens();
         let tokens = read(best).min(all);
         if tokens < all {
@@ -324,9 +324,9 @@
         let Some(part) = prompt.shared().last().filter(|_| best.fetch || best.work.prefill.tokens > own) else {
             return Vec::new();
         };
-        let registers = self.cache_directories(part.id, request.now).into_iter();
-        let others = registers.filter(|register| register.server.id != best.member.server.id);
-        others.map(|register| (Arc::clone(&register.server), part.id)).collect()
+        let directories = self.cache_directories(part.id, request.now).into_iter();
+        let others = directories.filter(|directory| directory.server.id != best.member.server.id);
+        others.map(|directory| (Arc::clone(&directory.server), part.id)).collect()
     }
 
     /// Takes what the owner of a server said.
@@ -379,15 +379,15 @@
     /// True when a server that gets requests with leave only gets no more, as far as is known without asking for it.
     fn is_full(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
         let Quotas { cold, limit } = member.quotas(self.cold_quota, request.now);
-        let spent = limit.is_some()
+        let denied = limit.is_some()
             && (request.now < member.denied_until(request.urgency) || request.denied.len() >= MAX_DENIALS);
-        spent || (cold.is_some() && (request.denied.len() >= MAX_DENIALS || self.is_at_cold_quota(member, request)))
+        denied || (cold.is_some() && (request.denied.len() >= MAX_DENIALS || self.is_at_cold_quota(member, request)))
     }
 
     /// True when so many were sent to the server within a second that it would fall over if it had just turned cold.
     fn is_at_cold_quota(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
-        let full = |bears: Quota| {
-            request.status(&member.server.id).is_some_and(|status| status.arrivals >= bears.max_requests)
+        let full = |quota: Quota| {
+            request.status(&member.server.id).is_some_and(|status| status.arrivals >= quota.max_requests)
         };
         self.cold_quota.is_some_and(full)
     }
@@ -401,14 +401,14 @@
         if eligible.is_empty() {
             return Err(self.refusal_without_candidates(request));
         }
-        let scale = self.cost_model(request, hall, &sample, &eligible);
-        let candidates = self.candidates(request, &eligible, &scale);
+        let model = self.cost_model(request, hall, &sample, &eligible);
+        let candidates = self.candidates(request, &eligible, &model);
         // What was sent before is not refused: it may have run.
         let admitted =
-            |c: &&Candidate<'_>| !request.tried.is_empty() || self.admission.admits(request, c.expected.slot_wait_ms);
-        let crowded = |c: &Candidate<'_>| self.is_at_cold_quota(c.member, request);
+            |c: &&Candidate<'_>| !request.tried.is_empty() || self.admission.admits(request, c.estimate.slot_wait_ms);
+        let at_cold_quota = |c: &Candidate<'_>| self.is_at_cold_quota(c.member, request);
         let cheaper = |a: &&Candidate<'_>, b: &&Candidate<'_>| {
-            let cheaper = crowded(a).cmp(&crowded(b)).then_with(|| a.cost().total_cmp(&b.cost()));
+            let cheaper = at_cold_quota(a).cmp(&at_cold_quota(b)).then_with(|| a.cost().total_cmp(&b.cost()));
             cheaper.then_with(|| self.rank(a.member).cmp(&self.rank(b.member)))
         };
         let Some(best) = candidates.iter().filter(admitted).min_by(cheaper) else {
@@ -416,9 +416,9 @@
         };
         let choice = Choice {
             server: Arc::clone(&best.member.server),
-            fetch: if best.fetch { scale.source.map(|s| s.member.server.address) } else { None },
+            fetch: if best.fetch { model.source.map(|s| s.member.server.address) } else { None },
             work: best.work,
-            estimate: best.expected,
+            estimate: best.estimate,
             load: best.member.load(request.now).clone(),
             candidates: eligible.len(),
             cache_directories: self.directories_to_notify(best, request),
@@ -434,20 +434,20 @@
 
     /// Why there is no server to choose from.
     fn refusal_without_candidates(&self, request: &PlacementRequest<'_>) -> Refusal {
-        let home = self.members.values().filter(|member| request.allows_region(member.region.as_deref()));
-        let open = || home.clone().filter(|member| !member.admission_state(request.now).is_blocked());
+        let in_region = self.members.values().filter(|member| request.allows_region(member.region.as_deref()));
+        let open = || in_region.clone().filter(|member| !member.admission_state(request.now).is_blocked());
         if open().any(|member| member.is_cold(request.now)) {
             return Refusal::Cold;
         }
         let limited = open().filter(|member| member.limit.quota().is_some());
-        if let Some(back_ms) =
+        if let Some(retry_ms) =
             limited.map(|member| member.denied_until(request.urgency).saturating_sub(request.now)).min()
         {
-            return Refusal::Limited { retry_ms: back_ms };
+            return Refusal::Limited { retry_ms };
         }
-        let resting = home.filter(|member| member.admission_state(request.now) == AdmissionState::BackingOff);
-        let soonest = resting.map(|member| member.back_off_until - request.now).min();
-        soonest.map_or(Refusal::NoServer, |back_ms| Refusal::BackingOff { retry_ms: back_ms })
+        let resting = in_region.filter(|member| member.admission_state(request.now) == AdmissionState::BackingOff);
+        let first_back = resting.map(|member| member.back_off_until - request.now).min();
+        first_back.map_or(Refusal::NoServer, |retry_ms| Refusal::BackingOff { retry_ms })
     }
 
     /// The servers to compare, with their costs.
@@ -459,18 +459,18 @@
         &self,
         request: &PlacementRequest<'_>,
         eligible: &[&'a Member],
-        scale: &CostModel<'a>,
+        model: &CostModel<'a>,
     ) -> Vec<Candidate<'a>> {
         let heard = |m: &&&'a Member| request.status(&m.server.id).is_some() && !self.is_at_cold_quota(m, request);
         let mut candidates: Vec<Candidate<'a>> =
-            eligible.iter().filter(heard).map(|member| scale.candidate(member)).collect();
+            eligible.iter().filter(heard).map(|member| model.candidate(member)).collect();
         if candidates.is_empty() {
-            return eligible.iter().map(|member| scale.candidate(member)).collect();
+            return eligible.iter().map(|member| model.candidate(member)).collect();
         }
-        let unheard = |home: &&&'a Member| request.status(&home.server.id).is_none();
-        if let Some(home) = scale.homes.first().filter(unheard) {
-            let mut candidate = scale.candidate(home);
-            candidate.expected.cost += UNKNOWN_STATUS_COST;
+        let unknown = |home: &&&'a Member| request.status(&home.server.id).is_none();
+        if let Some(home) = model.homes.first().filter(unknown) {
+            let mut candidate = model.candidate(home);
+            candidate.estimate.cost += UNKNOWN_STATUS_COST;
             candidates.push(candidate);
         }
         candidates
@@ -478,13 +478,13 @@
 
     /// Notes what a choice changes: a try after a pause, and the parts that will be kept.
     fn record_choice(&mut self, choice: &Choice, request: &PlacementRequest<'_>) {
-        let most = self.cache_capacity();
+        let max = self.cache_capacity();
         let Some(member) = self.members.get_mut(&choice.server.id) else { return };
         if member.health.is_half_open(request.now) {
             member.health.begin_probe(request.now);
         }
         if let Some(prompt) = request.prompt {
-            member.cached.touch(&prompt.parts, most, request.now);
+            member.cached.touch(&prompt.parts, max, request.now);
         }
     }
 
@@ -528,11 +528,11 @@
 
 /// The servers that likely keep the prompt's shared parts: its first homes, and those of the other side that are its homes
 /// where a box divides the servers a little otherwise, or did so before.
-fn likely_holders<'a>(scale: &CostModel<'a>) -> Vec<&'a Member> {
-    let Some(first) = scale.homes.first() else { return Vec::new() };
-    let beyond =
-        scale.ranked.iter().take_while(|member| member.server.id != first.server.id).take(MAX_OTHER_SIDE_QUERIED);
-    scale.homes.iter().take(MAX_HOMES_QUERIED).chain(beyond).copied().collect()
+fn likely_holders<'a>(model: &CostModel<'a>) -> Vec<&'a Member> {
+    let Some(first) = model.homes.first() else { return Vec::new() };
+    let other_side =
+        model.ranked.iter().take_while(|member| member.server.id != first.server.id).take(MAX_OTHER_SIDE_QUERIED);
+    model.homes.iter().take(MAX_HOMES_QUERIED).chain(other_side).copied().collect()
 }
 
 /// True when parts of the prompt may be fetched from a server.
@@ -544,19 +544,19 @@
 
 /// Why none of the candidates is chosen.
 fn overload_refusal(candidates: &[Candidate<'_>]) -> Refusal {
-    let waits = candidates.iter().map(|candidate| candidate.expected.slot_wait_ms);
+    let waits = candidates.iter().map(|candidate| candidate.estimate.slot_wait_ms);
     waits.min_by(f64::total_cmp).map_or(Refusal::NoServer, |wait_ms| Refusal::Overloaded { wait_ms })
 }
 
 /// Sorts by cost, those that cost about the least in an order that differs from request to request: what this box knows of
 /// most servers is old, and those that it asks first would get all it sends.
 fn sort_by_cost(candidates: &mut [Candidate<'_>], request: &PlacementRequest<'_>) {
-    let least = candidates.iter().map(Candidate::cost).fold(f64::INFINITY, f64::min);
+    let min_cost = candidates.iter().map(Candidate::cost).fold(f64::INFINITY, f64::min);
     let draw = request.prompt.and_then(|prompt| prompt.parts.last()).map_or(0, |part| part.id);
-    let beyond = |candidate: &Candidate<'_>| (candidate.cost() - least - COST_TOLERANCE).max(0.0);
+    let excess = |candidate: &Candidate<'_>| (candidate.cost() - min_cost - COST_TOLERANCE).max(0.0);
     let rank = |candidate: &Candidate<'_>| routing::rank(draw, &candidate.member.server.id);
     // The bits of numbers that aren't negative are in the order of the numbers.
-    candidates.sort_by_cached_key(|candidate| (beyond(candidate).to_bits(), rank(candidate)));
+    candidates.sort_by_cached_key(|candidate| (excess(candidate).to_bits(), rank(candidate)));
 }
 
 /// Of servers that are all paused, the one whose pause ends first.
--- a/crates/placement/src/quarantine.rs
+++ b/crates/placement/src/quarantine.rs
@@ -204,7 +204,7 @@
         let disproved =
             |end: &SeenTermination| answered.get(&end.server).is_some_and(|at| *at >= end.at + DISPROOF_DELAY_MS);
         let suspect = self.suspects.entry(record.request).or_default();
-        let (held, told) = (suspect.is_held(), suspect.digest(record.request));
+        let (held, old_digest) = (suspect.is_held(), suspect.digest(record.request));
         if !suspect.apply(record, now, disproved) {
             if suspect.is_empty() {
                 self.suspects.remove(&record.request);
@@ -214,7 +214,7 @@
         suspect.changed = suspect.changed.max(now - record.ago as i64);
         self.terminated_servers.extend(record.ends.iter().map(|end| end.server.clone()));
         let record = suspect.record(record.request, now);
-        self.digest = self.digest.wrapping_sub(told).wrapping_add(suspect.digest(record.request));
+        self.digest = self.digest.wrapping_sub(old_digest).wrapping_add(suspect.digest(record.request));
         Change::of(held, suspect.is_held(), record)
     }
 
@@ -229,23 +229,23 @@
     }
 
     /// Another box says that a server answers it.
-    pub fn on_liveness_evidence(&mut self, sign: &LivenessEvidence, now: Millis) -> Vec<Change> {
-        let at = now as i64 - sign.ago as i64;
-        let answered = self.last_answers.entry(sign.server.clone()).or_insert(at);
+    pub fn on_liveness_evidence(&mut self, evidence: &LivenessEvidence, now: Millis) -> Vec<Change> {
+        let at = now as i64 - evidence.ago as i64;
+        let answered = self.last_answers.entry(evidence.server.clone()).or_insert(at);
         *answered = at.max(*answered);
-        self.disprove(&sign.server, now as i64)
+        self.disprove(&evidence.server, now as i64)
     }
 
     /// The signs that disprove what a record says, for who told it.
     #[must_use]
     pub fn evidence_against(&self, record: &SuspectRecord, now: Millis) -> Vec<LivenessEvidence> {
         let now = now as i64;
-        let sign = |end: &Termination| {
+        let evidence = |end: &Termination| {
             let at = self.last_answers.get(&end.server)?;
             let disproves = *at >= now - end.ago as i64 + DISPROOF_DELAY_MS;
             disproves.then(|| LivenessEvidence { server: end.server.clone(), ago: (now - at).max(0) as Millis })
         };
-        record.ends.iter().filter_map(sign).collect()
+        record.ends.iter().filter_map(evidence).collect()
     }
 
     /// Forgets when servers answered that are no longer listed.
@@ -265,9 +265,9 @@
             if !suspect.ends.iter().any(false_end) {
                 continue;
             }
-            let (held, told) = (suspect.is_held(), suspect.digest(*request));
+            let (held, old_digest) = (suspect.is_held(), suspect.digest(*request));
             suspect.ends.retain(|end| !false_end(end));
-            self.digest = self.digest.wrapping_sub(told).wrapping_add(suspect.digest(*request));
+            self.digest = self.digest.wrapping_sub(old_digest).wrapping_add(suspect.digest(*request));
             changes.push(Change::of(held, suspect.is_held(), suspect.record(*request, now)));
         }
         self.suspects.retain(|_, suspect| !suspect.is_empty());
@@ -310,8 +310,8 @@
     /// What a box that has just come must know: what is held, and what was found innocent.
     #[must_use]
     pub fn records(&self, now: Millis) -> Vec<SuspectRecord> {
-        let told = self.suspects.iter().filter(|(_, suspect)| suspect.is_held() || suspect.survivals > 0);
-        told.map(|(request, suspect)| suspect.record(*request, now as i64)).collect()
+        let known = self.suspects.iter().filter(|(_, suspect)| suspect.is_held() || suspect.survivals > 0);
+        known.map(|(request, suspect)| suspect.record(*request, now as i64)).collect()
     }
 
     /// The requests that are held.
@@ -343,8 +343,8 @@
 
     fn retain(&mut self, keep: impl Fn(&Suspect) -> bool) {
         self.suspects.retain(|_, suspect| keep(suspect));
-        let told = self.suspects.iter().map(|(request, suspect)| suspect.digest(*request));
-        self.digest = told.fold(0, u64::wrapping_add);
+        let digests = self.suspects.iter().map(|(request, suspect)| suspect.digest(*request));
+        self.digest = digests.fold(0, u64::wrapping_add);
         self.terminated_servers =
             self.suspects.values().flat_map(|suspect| &suspect.ends).map(|end| end.server.clone()).collect();
     }
@@ -356,8 +356,8 @@
         if record.survivals < self.survivals {
             return false;
         }
-        let mut news = record.survivals > self.survivals;
-        if news {
+        let mut is_new = record.survivals > self.survivals;
+        if is_new {
             *self = Self { survivals: record.survivals, changed: self.changed, ..Self::default() };
         }
         for end in &record.ends {
@@ -365,16 +365,16 @@
             let ended = SeenTermination { server: end.server.clone(), sent, at };
             if !disproved(&ended) && self.ends.iter().all(|known| known.server != end.server) {
                 self.ends.push(ended);
-                news = true;
+                is_new = true;
             }
         }
         self.ends.sort_unstable_by_key(|end| end.at);
         while self.ends.len() > MAX_TERMINATIONS {
             self.ends.remove(self.least_significant());
         }
-        news |= record.trials > self.trials;
+        is_new |= record.trials > self.trials;
         self.trials = self.trials.max(record.trials);
-        news
+        is_new
     }
 
     /// Since when it is held; none where it isn't.
@@ -394,20 +394,20 @@
     /// The places in `ends` of servers that ended one after the other: each was sent the request after the one before had ended.
     fn sequential(&self) -> Vec<usize> {
         let mut last = i64::MIN;
-        let mut places = Vec::new();
-        for (place, end) in self.ends.iter().enumerate() {
+        let mut indices = Vec::new();
+        for (index, end) in self.ends.iter().enumerate() {
             if end.sent >= last {
                 last = end.at;
-                places.push(place);
+                indices.push(index);
             }
         }
-        places
+        indices
     }
 
     /// The place of the end that says least: the last that did not come in turn, or else the last of all.
     fn least_significant(&self) -> usize {
         let in_turn = self.sequential();
-        (0..self.ends.len()).rev().find(|place| !in_turn.contains(place)).unwrap_or(self.ends.len() - 1)
+        (0..self.ends.len()).rev().find(|index| !in_turn.contains(index)).unwrap_or(self.ends.len() - 1)
     }
 
     /// When it may be tried, counted from when it was held; none where it was tried often enough.
--- a/crates/placement/src/speed.rs
+++ b/crates/placement/src/speed.rs
@@ -51,9 +51,9 @@
 impl Speed {
     /// Milliseconds for reading.
     #[must_use]
-    pub fn prefill_ms(&self, reading: Prefill) -> f64 {
-        let tokens = reading.tokens as f64 / 1e3 * f64::from(self.read_ms);
-        tokens + reading.attention_pairs_k as f64 / 1e3 * f64::from(self.pair_ms)
+    pub fn prefill_ms(&self, prefill: Prefill) -> f64 {
+        let tokens = prefill.tokens as f64 / 1e3 * f64::from(self.read_ms);
+        tokens + prefill.attention_pairs_k as f64 / 1e3 * f64::from(self.pair_ms)
     }
 
     /// Tokens that are read between two events at most.
@@ -64,28 +64,28 @@
 
     /// The longest pause between two events of answers beside it, in milliseconds, that reading all this makes.
     #[must_use]
-    pub fn expected_stall_ms(&self, reading: Prefill) -> f64 {
-        if reading.tokens == 0 {
+    pub fn expected_stall_ms(&self, prefill: Prefill) -> f64 {
+        if prefill.tokens == 0 {
             return 0.0;
         }
-        (self.prefill_ms(reading) + f64::from(self.calm_ms)).min(self.max_stall_ms(reading))
+        (self.prefill_ms(prefill) + f64::from(self.calm_ms)).min(self.max_stall_ms(prefill))
     }
 
     /// The longest such pause at the depth of `reading`, however much is read.
     #[must_use]
-    pub fn max_stall_ms(&self, reading: Prefill) -> f64 {
-        f64::from(self.stall_ms) + reading.depth_k() * f64::from(self.stall_depth_ms)
+    pub fn max_stall_ms(&self, prefill: Prefill) -> f64 {
+        f64::from(self.stall_ms) + prefill.depth_k() * f64::from(self.stall_depth_ms)
     }
 
     /// The mean of several, weighted by their observations up to `most` each; the default where there are none.
     #[must_use]
-    pub fn mean<'a>(speeds: impl Iterator<Item = &'a Self>, most: f32) -> Self {
+    pub fn mean<'a>(speeds: impl Iterator<Item = &'a Self>, max_samples: f32) -> Self {
         let mut mean = Self::default();
         for speed in speeds {
-            let weight = speed.seen.min(most);
+            let weight = speed.seen.min(max_samples);
             mean.blend_reading(speed, weight_ratio(weight, mean.seen));
             mean.seen += weight;
-            let weight = speed.stalls_seen.min(most);
+            let weight = speed.stalls_seen.min(max_samples);
             mean.blend_stalls(speed, weight_ratio(weight, mean.stalls_seen));
             mean.stalls_seen += weight;
         }
@@ -95,21 +95,21 @@
     /// This, as far as it rests on observations, and `other` for the rest.
     #[must_use]
     pub fn or_fallback(&self, other: &Self) -> Self {
-        let mut blend = *self;
-        blend.blend_reading(other, weight_ratio(PRIOR_SAMPLES, self.seen));
-        blend.blend_stalls(other, weight_ratio(PRIOR_SAMPLES, self.stalls_seen));
-        blend
+        let mut blended = *self;
+        blended.blend_reading(other, weight_ratio(PRIOR_SAMPLES, self.seen));
+        blended.blend_stalls(other, weight_ratio(PRIOR_SAMPLES, self.stalls_seen));
+        blended
     }
 
     fn blend_reading(&mut self, other: &Self, share: f32) {
-        for (mine, its) in [
+        for (own, other) in [
             (&mut self.base_ms, other.base_ms),
             (&mut self.read_ms, other.read_ms),
             (&mut self.pair_ms, other.pair_ms),
             (&mut self.out_ms, other.out_ms),
             (&mut self.calm_ms, other.calm_ms),
         ] {
-            *mine += (its - *mine) * share;
+            *own += (other - *own) * share;
         }
     }
 
--- a/crates/placement/src/speed_estimator.rs
+++ b/crates/placement/src/speed_estimator.rs
@@ -81,8 +81,8 @@
     }
 
     /// A first event came so long after the send, when all of `reading` had to be read before it.
-    pub fn record_first_event(&mut self, reading: Prefill, took_ms: f64) {
-        self.prefill.update(&[1.0, reading.tokens as f64 / 1e3, reading.attention_pairs_k as f64 / 1e3], took_ms, 1.0);
+    pub fn record_first_event(&mut self, prefill: Prefill, took_ms: f64) {
+        self.prefill.update(&[1.0, prefill.tokens as f64 / 1e3, prefill.attention_pairs_k as f64 / 1e3], took_ms, 1.0);
         let [base, read, pair] = self.prefill.weights().map(|weight| weight as f32);
         self.speed.base_ms = base;
         self.speed.read_ms = read;
@@ -91,19 +91,19 @@
     }
 
     /// An answer's longest pause was this long, and the most that was read beside it was `reading`.
-    pub fn record_pause(&mut self, reading: Prefill, pause_ms: f64) {
-        if reading.tokens == 0 {
+    pub fn record_pause(&mut self, prefill: Prefill, pause_ms: f64) {
+        if prefill.tokens == 0 {
             self.speed.calm_ms += (pause_ms as f32 - self.speed.calm_ms) * EWMA_WEIGHT;
             return;
         }
-        let took = self.speed.prefill_ms(reading);
+        let prefill_ms = self.speed.prefill_ms(prefill);
         self.peak.record(pause_ms);
-        if took < MIN_PREFILL_FACTOR * self.speed.max_stall_ms(reading).min(self.peak.max_ms()) {
+        if prefill_ms < MIN_PREFILL_FACTOR * self.speed.max_stall_ms(prefill).min(self.peak.max_ms()) {
             return;
         }
         // The first guess is no better than the first pauses, whichever way they differ from it.
-        let shorter = SHORTER_PAUSE_WEIGHT.max(1.0 / (1.0 + f64::from(self.speed.stalls_seen) / PRIOR_SAMPLES));
-        self.stalls.update(&[1.0, reading.depth_k()], pause_ms, shorter);
+        let weight = SHORTER_PAUSE_WEIGHT.max(1.0 / (1.0 + f64::from(self.speed.stalls_seen) / PRIOR_SAMPLES));
+        self.stalls.update(&[1.0, prefill.depth_k()], pause_ms, weight);
         let [stall, depth] = self.stalls.weights().map(|weight| weight as f32);
         self.speed.stall_ms = stall;
         self.speed.stall_depth_ms = depth;
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -64,16 +64,16 @@
     }
 
     /// Moves towards what is needed now: both sides get engines in proportion to what their work takes.
-    pub(crate) fn update(&mut self, need: Demand, now: Millis) {
-        let passed = now.saturating_sub(self.updated_at) as f64;
+    pub(crate) fn update(&mut self, demand: Demand, now: Millis) {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
         self.updated_at = now;
-        let long = need.long.engines_needed(MAX_LONG_PREFILL_RATIO);
-        let short = need.short.engines_needed(MAX_SHORT_PREFILL_RATIO);
+        let long = demand.long.engines_needed(MAX_LONG_PREFILL_RATIO);
+        let short = demand.short.engines_needed(MAX_SHORT_PREFILL_RATIO);
         if long + short < MIN_USAGE_RATIO {
             return;
         }
         let target = share(long, short);
-        self.share += (target - self.share) * (1.0 - (-passed / TIME_CONSTANT_MS).exp());
+        self.share += (target - self.share) * (1.0 - (-elapsed / TIME_CONSTANT_MS).exp());
     }
 }
 
