--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -54,7 +54,7 @@
         tried,
         denied: &[],
         allowed_regions: [None, None],
-        statuses: statuses,
+        statuses,
         now,
     };
     placement.choose(&request).expect("a server")
@@ -198,7 +198,7 @@
         tried: &[],
         denied: &[],
         allowed_regions: [None, None],
-        statuses: statuses,
+        statuses,
         now: 1_000,
     }
 }
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -60,7 +60,7 @@
         tried: &[],
         denied,
         allowed_regions: [None, None],
-        statuses: statuses,
+        statuses,
         now,
     }
 }
--- a/crates/placement/tests/notices.rs
+++ b/crates/placement/tests/notices.rs
@@ -42,7 +42,7 @@
         tried: &[],
         denied: &[],
         allowed_regions: [None, None],
-        statuses: statuses,
+        statuses,
         now,
     }
 }
--- a/crates/placement/tests/register.rs
+++ b/crates/placement/tests/register.rs
@@ -39,7 +39,7 @@
         tried: &[],
         denied: &[],
         allowed_regions: [None, None],
-        statuses: statuses,
+        statuses,
         now,
     };
     let planned = one.servers_to_query(&request(&[]), 9);
