--- a/crates/policy/src/broker/share.rs
+++ b/crates/policy/src/broker/fallback.rs
@@ -3,24 +3,24 @@
 use super::*;
 
 impl Broker {
-    pub(super) fn ask_local(&mut self, id: u64, shard: ShardId, now: Time) {
-        if !self.local.contains_key(&shard) && !self.open_local(shard) {
-            self.refuse(id);
+    pub(super) fn request_local_slot(&mut self, id: u64, shard: ShardId, now: Time) {
+        if !self.local_schedulers.contains_key(&shard) && !self.open_local_scheduler(shard) {
+            self.refuse_request(id);
             return;
         }
         let Some(pending) = self.lessee.pending.get_mut(&id) else { return };
         pending.shard = shard;
         pending.owner = self.me;
         pending.local = true;
-        pending.sent = now;
-        pending.ask.remote = false;
-        pending.ask.age_ms = now.since(pending.arrived) as u32;
-        let ask = pending.ask.clone();
-        let said = self.local.get_mut(&shard).map(|d| d.request_slot(self.me, ask, now));
-        self.carry_out_local(said.unwrap_or_default());
+        pending.first_sent = now;
+        pending.request.remote = false;
+        pending.request.age_ms = now.since(pending.arrived) as u32;
+        let request = pending.request.clone();
+        let decisions = self.local_schedulers.get_mut(&shard).map(|s| s.request_slot(self.me, request, now));
+        self.apply_local_decisions(decisions.unwrap_or_default());
     }
 
-    fn open_local(&mut self, shard: ShardId) -> bool {
+    fn open_local_scheduler(&mut self, shard: ShardId) -> bool {
         let Some(spec) = self.layout.shards.get(&shard) else { return false };
         let layout = Rc::clone(&self.layout);
         let mut decider: Box<dyn Scheduler> = match self.mode {
@@ -30,35 +30,36 @@
             }
             SchedulingMode::Owner => {
                 let mut own = Shard::new(spec, layout);
-                own.set_servers(spec, |upstream, id| self.own_slots(upstream.slots, id));
+                own.set_servers(spec, |upstream, id| self.local_slots(upstream.slots, id));
                 own.servers.iter_mut().for_each(|s| s.slot_limit = f64::from(s.slots));
                 let detail = format!("shard={shard} slots={}", own.servers.iter().map(|s| s.slots).sum::<u32>());
                 self.out.push(Action::Log(Event::LocalFallback, detail));
                 Box::new(own)
             }
         };
-        self.leaving.iter().for_each(|server| decider.set_leaving(*server, true));
-        self.local.insert(shard, decider);
+        self.leaving_servers.iter().for_each(|server| decider.set_leaving(*server, true));
+        self.local_schedulers.insert(shard, decider);
         true
     }
 
     /// Each slot belongs to one live box of the hall when no owner is in reach, so shares don't overlap.
-    fn own_slots(&self, slots: u32, server: ServerId) -> u32 {
+    fn local_slots(&self, slots: u32, server: ServerId) -> u32 {
         let boxes = self.hall_boxes();
-        let thing = |slot: u32| (u64::from(server.0) << 16) | u64::from(slot);
-        (0..slots).filter(|slot| owner(thing(*slot), boxes) == Some(self.me)).count() as u32
+        let key = |slot: u32| (u64::from(server.0) << 16) | u64::from(slot);
+        (0..slots).filter(|slot| owner(key(*slot), boxes) == Some(self.me)).count() as u32
     }
 
     /// Shares change with the boxes that are alive; one that isn't in use is made anew when needed.
-    pub(super) fn resize_local(&mut self) {
+    pub(super) fn drop_idle_local_schedulers(&mut self) {
         if self.mode != SchedulingMode::Owner {
             return;
         }
-        let used: Vec<ShardId> = self.lessee.held.values().filter(|g| g.local).map(|g| g.shard).collect();
+        let used: Vec<ShardId> = self.lessee.leases.values().filter(|g| g.local).map(|g| g.shard).collect();
         let waits = |id: &ShardId| self.lessee.pending.values().any(|p| p.local && p.shard == *id);
-        let idle: Vec<ShardId> = self.local.keys().filter(|id| !used.contains(id) && !waits(id)).copied().collect();
+        let idle: Vec<ShardId> =
+            self.local_schedulers.keys().filter(|id| !used.contains(id) && !waits(id)).copied().collect();
         for id in idle {
-            self.local.remove(&id);
+            self.local_schedulers.remove(&id);
         }
     }
 
@@ -74,78 +75,78 @@
             if self.owner_of(shard).is_none() {
                 continue;
             }
-            match self.avoided.get(&shard).copied() {
-                None => self.return_asks(shard, usize::MAX, now),
+            match self.unresponsive_owners.get(&shard).copied() {
+                None => self.move_to_owner(shard, usize::MAX, now),
                 Some(until) if now >= until => {
-                    self.avoided.insert(shard, now.after(AVOID_MS));
-                    self.return_asks(shard, 1, now);
+                    self.unresponsive_owners.insert(shard, now.after(OWNER_RETRY_DELAY_MS));
+                    self.move_to_owner(shard, 1, now);
                 }
                 Some(_) => {}
             }
         }
     }
 
-    fn return_asks(&mut self, shard: ShardId, most: usize, now: Time) {
+    fn move_to_owner(&mut self, shard: ShardId, most: usize, now: Time) {
         let here = self.lessee.pending.iter().filter(|(_, p)| p.local && p.shard == shard);
         let ids: Vec<u64> = here.map(|(id, _)| *id).take(most).collect();
         for id in ids {
-            let said = self.local.get_mut(&shard).map(|d| d.cancel(self.me, id, now));
-            self.carry_out_local(said.unwrap_or_default());
+            let decisions = self.local_schedulers.get_mut(&shard).map(|s| s.cancel(self.me, id, now));
+            self.apply_local_decisions(decisions.unwrap_or_default());
             // Its place may have come up just now.
             if self.lessee.pending.get(&id).is_some_and(|p| p.local) {
-                self.send_ask(id, shard, now);
+                self.send_request(id, shard, now);
             }
         }
     }
 
-    pub(super) fn fall_back(&mut self, now: Time) {
-        let silent = |p: &Pending, target: u64| {
-            let patience = FALLBACK_MS.min(target / FALLBACK_DIVISOR).max(1);
-            match p.heard {
-                None => now.since(p.sent) >= patience,
-                Some(heard) => now.since(heard) >= SILENCE_MS,
+    pub(super) fn bypass_silent_owners(&mut self, now: Time) {
+        let silent = |p: &PendingRequest, target: u64| {
+            let patience = OWNER_TIMEOUT_MS.min(target / OWNER_TIMEOUT_TARGET_DIVISOR).max(1);
+            match p.confirmed {
+                None => now.since(p.first_sent) >= patience,
+                Some(at) => now.since(at) >= OWNER_SILENCE_TIMEOUT_MS,
             }
         };
         let gone: Vec<u64> = self
             .lessee
             .pending
             .iter()
-            .filter(|(_, p)| !p.local && silent(p, self.layout.class(p.ask.class).first_token_ms))
+            .filter(|(_, p)| !p.local && silent(p, self.layout.class(p.request.class).first_token_ms))
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
-            self.pass_by_owner(id, now);
+            self.bypass_owner(id, now);
         }
     }
 
     /// Asks once more where an answer may have been lost; an owner says the same again.
-    pub(super) fn ask_again(&mut self, now: Time) {
+    pub(super) fn resend_requests(&mut self, now: Time) {
         let mut again = Vec::new();
         for pending in self.lessee.pending.values_mut().filter(|p| !p.local) {
-            if now.since(pending.asked) < ASK_AGAIN_MS {
+            if now.since(pending.last_sent) < RESEND_INTERVAL_MS {
                 continue;
             }
-            pending.asked = now;
-            pending.ask.age_ms = now.since(pending.arrived) as u32;
-            again.push((pending.owner, Message::RequestSlot(pending.shard, pending.ask.clone())));
+            pending.last_sent = now;
+            pending.request.age_ms = now.since(pending.arrived) as u32;
+            again.push((pending.owner, Message::RequestSlot(pending.shard, pending.request.clone())));
         }
         for (owner, message) in again {
-            self.tell(owner, message);
+            self.send(owner, message);
         }
     }
 
-    fn pass_by_owner(&mut self, id: u64, now: Time) {
+    fn bypass_owner(&mut self, id: u64, now: Time) {
         let Some(pending) = self.lessee.pending.get_mut(&id) else { return };
         let (shard, owner) = (pending.shard, pending.owner);
-        let hall = spec_hall(&self.layout, shard).to_owned();
+        let hall = shard_hall(&self.layout, shard).to_owned();
         if hall != self.hall {
-            pending.tried.push(hall);
+            pending.tried_halls.push(hall);
         }
-        let own_hall = !pending.ask.remote;
-        self.tell(owner, Message::Cancel(shard, id));
+        let own_hall = !pending.request.remote;
+        self.send(owner, Message::Cancel(shard, id));
         if own_hall {
-            self.avoided.insert(shard, now.after(AVOID_MS));
-            self.ask_local(id, shard, now);
+            self.unresponsive_owners.insert(shard, now.after(OWNER_RETRY_DELAY_MS));
+            self.request_local_slot(id, shard, now);
         } else {
             self.route(id, now);
         }
--- a/crates/policy/src/broker/callers.rs
+++ b/crates/policy/src/broker/requests.rs
@@ -5,13 +5,13 @@
 impl Broker {
     /// A caller's request wants a slot. The answer comes as an action with the number given back.
     pub fn acquire(&mut self, acquire: Acquire, now: Time) -> (u64, Vec<Action>) {
-        self.wake(now);
+        self.check_for_pause(now);
         let id = self.lessee.next_id();
-        if let Err(reason) = self.may_try(acquire.cause) {
+        if let Err(reason) = self.check_retry_budget(acquire.cause) {
             self.out.push(Action::Refused(id, Refusal { reason, retry_ms: 1_000 }));
             return (id, self.drain(now));
         }
-        let ask = SlotRequest {
+        let request = SlotRequest {
             id,
             class: acquire.class,
             customer: acquire.customer,
@@ -23,19 +23,19 @@
             remote: false,
             avoid: acquire.avoid,
         };
-        let pending = Pending {
-            ask,
+        let pending = PendingRequest {
+            request,
             serves: acquire.serves,
             shard: ShardId::default(),
             owner: self.me,
             local: false,
-            sent: now,
-            asked: now,
-            heard: None,
+            first_sent: now,
+            last_sent: now,
+            confirmed: None,
             arrived: acquire.arrived,
-            spill: None,
-            spilled: now,
-            tried: Vec::new(),
+            spillover: None,
+            last_spillover: now,
+            tried_halls: Vec::new(),
             refusal: None,
         };
         self.lessee.pending.insert(id, pending);
@@ -43,10 +43,10 @@
         (id, self.drain(now))
     }
 
-    fn may_try(&mut self, cause: Cause) -> Result<(), Reason> {
+    fn check_retry_budget(&mut self, cause: Cause) -> Result<(), Reason> {
         match cause {
-            Cause::First => self.budget.record_first_attempt(),
-            Cause::Failure if !self.budget.try_spend() => return Err(Reason::NoBudget),
+            Cause::First => self.retry_budget.record_first_attempt(),
+            Cause::Failure if !self.retry_budget.try_spend() => return Err(Reason::NoBudget),
             Cause::Failure | Cause::Recall => {}
         }
         Ok(())
@@ -56,17 +56,17 @@
     #[must_use]
     pub fn admit_request(&mut self, customer: CustomerId, now: Time) -> bool {
         let quota = self.layout.quota(customer);
-        self.meter.admit(customer, quota, now)
+        self.usage_meter.admit(customer, quota, now)
     }
 
     /// A caller's request that had entered has ended with `tokens` tokens.
     pub fn finish_request(&mut self, customer: CustomerId, tokens: u64, now: Time) {
-        self.meter.finish(customer, tokens, now);
+        self.usage_meter.finish(customer, tokens, now);
     }
 
     /// The caller went away while its request waited, or before its lease was used.
     pub fn abandon(&mut self, id: u64, now: Time) -> Vec<Action> {
-        self.wake(now);
+        self.check_for_pause(now);
         if let Some(pending) = self.lessee.pending.remove(&id) {
             self.cancel(&pending, now);
         }
@@ -77,52 +77,53 @@
 
     /// A lease is no longer needed.
     pub fn return_lease(&mut self, id: u64, report: Report, now: Time) -> Vec<Action> {
-        self.wake(now);
+        self.check_for_pause(now);
         self.return_held_lease(id, report, now);
         self.drain(now)
     }
 
     fn return_held_lease(&mut self, id: u64, report: Report, now: Time) {
-        let Some(grant) = self.lessee.held.remove(&id) else { return };
+        let Some(grant) = self.lessee.leases.remove(&id) else { return };
         let back = LeaseReturn { id, report };
         if grant.local {
-            let said = self.local.get_mut(&grant.shard).map(|d| d.return_lease(self.me, &back, now));
-            self.carry_out_local(said.unwrap_or_default());
+            let decisions = self.local_schedulers.get_mut(&grant.shard).map(|s| s.return_lease(self.me, &back, now));
+            self.apply_local_decisions(decisions.unwrap_or_default());
         } else {
-            self.tell(grant.granter, Message::Return(grant.shard, vec![back.clone()]));
+            self.send(grant.granter, Message::Return(grant.shard, vec![back.clone()]));
         }
         // A new owner may have been told of this lease meanwhile.
         let owner = self.owner_of(grant.shard).filter(|o| *o != grant.granter || grant.local);
         if let (Some(owner), SchedulingMode::Owner) = (owner, self.mode) {
-            self.tell(owner, Message::Return(grant.shard, vec![back]));
+            self.send(owner, Message::Return(grant.shard, vec![back]));
         }
     }
 
-    pub(super) fn cancel(&mut self, pending: &Pending, now: Time) {
-        if let Some((shard, owner)) = pending.spill {
-            self.tell(owner, Message::Cancel(shard, pending.ask.id));
+    pub(super) fn cancel(&mut self, pending: &PendingRequest, now: Time) {
+        if let Some((shard, owner)) = pending.spillover {
+            self.send(owner, Message::Cancel(shard, pending.request.id));
         }
         if !pending.local {
-            self.tell(pending.owner, Message::Cancel(pending.shard, pending.ask.id));
+            self.send(pending.owner, Message::Cancel(pending.shard, pending.request.id));
             return;
         }
-        let said = self.local.get_mut(&pending.shard).map(|d| d.cancel(self.me, pending.ask.id, now));
-        self.carry_out_local(said.unwrap_or_default());
+        let decisions =
+            self.local_schedulers.get_mut(&pending.shard).map(|s| s.cancel(self.me, pending.request.id, now));
+        self.apply_local_decisions(decisions.unwrap_or_default());
     }
 
     /// Finds the next hall for an ask: its own first, then others; refuses when none is left.
     pub(super) fn route(&mut self, id: u64, now: Time) {
         let Some(pending) = self.lessee.pending.get(&id) else { return };
         let own = self.layout.shards_in(&self.hall, &pending.serves);
-        let own_tried = pending.tried.contains(&self.hall);
+        let own_tried = pending.tried_halls.contains(&self.hall);
         if !own.is_empty() && !own_tried {
-            let shard = self.home_shard(own, id);
-            self.place(id, shard, now);
+            let shard = self.shard_for_request(own, id);
+            self.schedule_in_hall(id, shard, now);
             return;
         }
-        match self.spill_shard(pending) {
-            Some(shard) => self.send_ask(id, shard, now),
-            None => self.refuse(id),
+        match self.next_hall_shard(pending) {
+            Some(shard) => self.send_request(id, shard, now),
+            None => self.refuse_request(id),
         }
     }
 
@@ -130,57 +131,57 @@
     ///
     /// Where boxes are many, each keeps to one shard, so that it has leases to renew at few owners; in the
     /// order of their names they are dealt out evenly. Where they are few, each uses all in turn.
-    fn home_shard(&self, shards: &[ShardId], id: u64) -> ShardId {
+    fn shard_for_request(&self, shards: &[ShardId], id: u64) -> ShardId {
         let boxes = self.hall_boxes();
         let place = boxes.iter().position(|b| *b == self.me);
-        let many = boxes.len() >= HOME_BOXES * shards.len();
+        let many = boxes.len() >= MIN_AFFINITY_BOXES_PER_SHARD * shards.len();
         let turn = place.filter(|_| many).unwrap_or(id as usize);
         shards[turn % shards.len()]
     }
 
     /// Asks another hall as well for what has waited a part of its target in its own. The first grant wins.
-    pub(super) fn spill_over(&mut self, now: Time) {
+    pub(super) fn start_spillovers(&mut self, now: Time) {
         if self.mode != SchedulingMode::Owner || self.layout.shards.len() < 2 {
             return;
         }
-        let pressed = |p: &Pending| {
-            let target = self.layout.class(p.ask.class).first_token_ms;
-            let wait = (target / SPILL_DIVISOR).clamp(SPILL_LEAST_MS, SPILL_MOST_MS);
-            !p.ask.remote && p.spill.is_none() && now.since(p.spilled) >= wait
+        let pressed = |p: &PendingRequest| {
+            let target = self.layout.class(p.request.class).first_token_ms;
+            let wait = (target / SPILLOVER_TARGET_DIVISOR).clamp(MIN_SPILLOVER_DELAY_MS, MAX_SPILLOVER_DELAY_MS);
+            !p.request.remote && p.spillover.is_none() && now.since(p.last_spillover) >= wait
         };
         let ids: Vec<u64> = self.lessee.pending.iter().filter(|(_, p)| pressed(p)).map(|(id, _)| *id).collect();
         for id in ids {
-            self.spill_one(id, now);
+            self.start_spillover(id, now);
         }
     }
 
-    fn spill_one(&mut self, id: u64, now: Time) {
+    fn start_spillover(&mut self, id: u64, now: Time) {
         let Some(pending) = self.lessee.pending.get(&id) else { return };
-        let turn = pending.ask.id.wrapping_add(now.0 / SPILL_LEAST_MS);
-        let target = self.other_hall(pending, turn).and_then(|shard| Some((shard, self.owner_of(shard)?)));
+        let turn = pending.request.id.wrapping_add(now.0 / MIN_SPILLOVER_DELAY_MS);
+        let target = self.shard_in_other_hall(pending, turn).and_then(|shard| Some((shard, self.owner_of(shard)?)));
         let Some(pending) = self.lessee.pending.get_mut(&id) else { return };
-        pending.spilled = now;
+        pending.last_spillover = now;
         let Some((shard, owner)) = target else { return };
-        pending.spill = Some((shard, owner));
+        pending.spillover = Some((shard, owner));
         let age_ms = now.since(pending.arrived) as u32;
-        let ask = SlotRequest { remote: true, age_ms, ..pending.ask.clone() };
-        self.tell(owner, Message::RequestSlot(shard, ask));
+        let request = SlotRequest { remote: true, age_ms, ..pending.request.clone() };
+        self.send(owner, Message::RequestSlot(shard, request));
     }
 
     /// The other hall no longer needs to answer.
-    fn drop_spill(&mut self, id: u64) {
-        let spill = self.lessee.pending.get_mut(&id).and_then(|p| p.spill.take());
+    fn cancel_spillover(&mut self, id: u64) {
+        let spill = self.lessee.pending.get_mut(&id).and_then(|p| p.spillover.take());
         if let Some((shard, owner)) = spill {
-            self.tell(owner, Message::Cancel(shard, id));
+            self.send(owner, Message::Cancel(shard, id));
         }
     }
 
     /// A shard of another hall that is in reach and hasn't refused the request.
-    fn other_hall(&self, pending: &Pending, turn: u64) -> Option<ShardId> {
+    fn shard_in_other_hall(&self, pending: &PendingRequest, turn: u64) -> Option<ShardId> {
         let halls = self.layout.halls_for(&pending.serves);
         let open = |hall: &&&str| {
             **hall != self.hall
-                && !pending.tried.iter().any(|t| t == **hall)
+                && !pending.tried_halls.iter().any(|t| t == **hall)
                 && self.boxes.get(**hall).is_some_and(|b| !b.is_empty())
         };
         let open: Vec<&&str> = halls.iter().filter(open).collect();
@@ -189,45 +190,45 @@
         shards.get(turn as usize % shards.len().max(1)).copied()
     }
 
-    fn spill_shard(&self, pending: &Pending) -> Option<ShardId> {
-        let others_tried = pending.tried.iter().filter(|h| **h != self.hall).count();
-        if self.mode != SchedulingMode::Owner || others_tried >= SPILL_MOST {
+    fn next_hall_shard(&self, pending: &PendingRequest) -> Option<ShardId> {
+        let others_tried = pending.tried_halls.iter().filter(|h| **h != self.hall).count();
+        if self.mode != SchedulingMode::Owner || others_tried >= MAX_OTHER_HALLS {
             return None;
         }
-        self.other_hall(pending, pending.ask.id)
+        self.shard_in_other_hall(pending, pending.request.id)
     }
 
-    pub(super) fn refuse(&mut self, id: u64) {
+    pub(super) fn refuse_request(&mut self, id: u64) {
         let Some(pending) = self.lessee.pending.remove(&id) else { return };
         let none = Refusal { reason: Reason::NoServer, retry_ms: 1_000 };
         self.out.push(Action::Refused(id, pending.refusal.unwrap_or(none)));
     }
 
     /// Puts an ask where it can be decided in this hall: at the owner, or at this box alone.
-    fn place(&mut self, id: u64, shard: ShardId, now: Time) {
-        let avoided = self.avoided.get(&shard).is_some_and(|until| now < *until);
+    fn schedule_in_hall(&mut self, id: u64, shard: ShardId, now: Time) {
+        let avoided = self.unresponsive_owners.get(&shard).is_some_and(|until| now < *until);
         let reachable = self.owner_of(shard).is_some();
         if self.mode == SchedulingMode::Owner && reachable && !avoided {
-            self.send_ask(id, shard, now);
+            self.send_request(id, shard, now);
         } else {
-            self.ask_local(id, shard, now);
+            self.request_local_slot(id, shard, now);
         }
     }
 
-    pub(super) fn send_ask(&mut self, id: u64, shard: ShardId, now: Time) {
+    pub(super) fn send_request(&mut self, id: u64, shard: ShardId, now: Time) {
         let Some(owner) = self.owner_of(shard) else { return };
-        let remote = spec_hall(&self.layout, shard) != self.hall;
-        self.drop_spill(id);
+        let remote = shard_hall(&self.layout, shard) != self.hall;
+        self.cancel_spillover(id);
         let Some(pending) = self.lessee.pending.get_mut(&id) else { return };
         pending.shard = shard;
         pending.owner = owner;
         pending.local = false;
-        pending.sent = now;
-        pending.asked = now;
-        pending.heard = None;
-        pending.ask.remote = remote;
-        pending.ask.age_ms = now.since(pending.arrived) as u32;
-        let ask = pending.ask.clone();
-        self.tell(owner, Message::RequestSlot(shard, ask));
+        pending.first_sent = now;
+        pending.last_sent = now;
+        pending.confirmed = None;
+        pending.request.remote = remote;
+        pending.request.age_ms = now.since(pending.arrived) as u32;
+        let request = pending.request.clone();
+        self.send(owner, Message::RequestSlot(shard, request));
     }
 }
--- a/crates/policy/src/key_history.rs
+++ b/crates/policy/src/key_history.rs
@@ -12,7 +12,7 @@
 pub const KEY_RETENTION_MS: u64 = 600_000;
 
 /// Most keys in one memory. When it is full the oldest go, and the memory says it is younger.
-const KEYS_MOST: usize = 1_000_000;
+const MAX_KEYS: usize = 1_000_000;
 
 /// Allowance for clocks that differ, in milliseconds. A memory younger than this proves nothing.
 pub const MAX_CLOCK_SKEW_MS: u64 = 2_000;
@@ -58,25 +58,25 @@
 
     /// Answers a claim, and remembers the key unless it was known.
     pub fn claim(&mut self, claim: &Claim, now: Time) -> Verdict {
-        self.forget(now);
+        self.expire_old(now);
         if let Some((delivery, verdict)) = self.keys.get(&claim.key) {
             // The same delivery asks again when an answer was lost.
             return if *delivery == claim.delivery { *verdict } else { Verdict::Repeat };
         }
-        let verdict = if self.proves(claim, now) { Verdict::Fresh } else { Verdict::Unproved };
+        let verdict = if self.is_provably_new(claim, now) { Verdict::Fresh } else { Verdict::Unproved };
         self.keys.insert(claim.key, (claim.delivery, verdict));
         self.order.push_back((now, claim.key));
         verdict
     }
 
     /// True when a key that isn't in the memory was certainly never used.
-    fn proves(&self, claim: &Claim, now: Time) -> bool {
-        let memory_ms = now.since(self.since);
+    fn is_provably_new(&self, claim: &Claim, now: Time) -> bool {
+        let history_ms = now.since(self.since);
         match claim.age_ms {
             Some(age) => {
-                age + MAX_CLOCK_SKEW_MS < KEY_RETENTION_MS && age.saturating_add(MAX_CLOCK_SKEW_MS) <= memory_ms
+                age + MAX_CLOCK_SKEW_MS < KEY_RETENTION_MS && age.saturating_add(MAX_CLOCK_SKEW_MS) <= history_ms
             }
-            None => memory_ms >= KEY_RETENTION_MS,
+            None => history_ms >= KEY_RETENTION_MS,
         }
     }
 
@@ -87,15 +87,15 @@
         }
     }
 
-    fn forget(&mut self, now: Time) {
+    fn expire_old(&mut self, now: Time) {
         while let Some((at, key)) = self.order.front().copied() {
-            let crowded = self.order.len() >= KEYS_MOST;
-            if !crowded && now.since(at) < KEY_RETENTION_MS {
+            let full = self.order.len() >= MAX_KEYS;
+            if !full && now.since(at) < KEY_RETENTION_MS {
                 return;
             }
             self.order.pop_front();
             self.keys.remove(&key);
-            if crowded {
+            if full {
                 self.since = self.since.max(at);
             }
         }
--- a/crates/policy/src/lessee.rs
+++ b/crates/policy/src/lessee.rs
@@ -40,9 +40,9 @@
 
 /// An ask that has no answer yet.
 #[derive(Clone, Debug)]
-pub struct Pending {
+pub struct PendingRequest {
     /// As it was asked for; `age_ms` is set anew at each sending.
-    pub ask: SlotRequest,
+    pub request: SlotRequest,
     /// The model or plain service.
     pub serves: String,
     /// Where it waits.
@@ -52,19 +52,19 @@
     /// It waits at this box's own small share.
     pub local: bool,
     /// When it was first sent to `owner`.
-    pub sent: Time,
+    pub first_sent: Time,
     /// When it was last sent, the first time or again.
-    pub asked: Time,
+    pub last_sent: Time,
     /// When `owner` was last heard of about it.
-    pub heard: Option<Time>,
+    pub confirmed: Option<Time>,
     /// When the call came in.
     pub arrived: Time,
     /// Another hall's shard and owner that were asked as well, while it waits in its own.
-    pub spill: Option<(ShardId, BoxId)>,
+    pub spillover: Option<(ShardId, BoxId)>,
     /// When another hall was last asked as well.
-    pub spilled: Time,
+    pub last_spillover: Time,
     /// Halls that have refused it.
-    pub tried: Vec<String>,
+    pub tried_halls: Vec<String>,
     /// The refusal of this box's own hall, which the caller gets in the end.
     pub refusal: Option<Refusal>,
 }
@@ -86,45 +86,45 @@
 #[derive(Clone, Debug, Default)]
 pub struct Lessee {
     /// Asks without an answer, by number.
-    pub pending: BTreeMap<u64, Pending>,
+    pub pending: BTreeMap<u64, PendingRequest>,
     /// Leases, by number.
-    pub held: BTreeMap<u64, HeldLease>,
-    next: u64,
+    pub leases: BTreeMap<u64, HeldLease>,
+    last_id: u64,
 }
 
 impl Lessee {
     /// A lessee whose numbers begin above `first`, so that a restarted box doesn't repeat any.
     #[must_use]
     pub fn new(first: u64) -> Self {
-        Self { next: first, ..Self::default() }
+        Self { last_id: first, ..Self::default() }
     }
 
     /// A number that was not used before.
     pub fn next_id(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+        self.last_id += 1;
+        self.last_id
     }
 
     /// Everything held of `shard`.
     #[must_use]
     pub fn leases_of(&self, shard: ShardId) -> Vec<LeaseInfo> {
-        self.held.values().filter(|g| g.shard == shard).map(|g| g.info.clone()).collect()
+        self.leases.values().filter(|g| g.shard == shard).map(|g| g.info.clone()).collect()
     }
 
     /// The short form of [`Self::holding`], for each shard of which something is held.
     #[must_use]
     pub fn renewals(&self) -> Vec<(ShardId, Message)> {
-        let mut sums: BTreeMap<ShardId, (u32, u64)> = BTreeMap::new();
-        for (id, grant) in &self.held {
-            let sum = sums.entry(grant.shard).or_default();
-            *sum = (sum.0 + 1, sum.1 ^ mixed(*id));
+        let mut checksums: BTreeMap<ShardId, (u32, u64)> = BTreeMap::new();
+        for (id, grant) in &self.leases {
+            let sum = checksums.entry(grant.shard).or_default();
+            *sum = (sum.0 + 1, sum.1 ^ mix_lease_id(*id));
         }
         let renew = |(shard, (count, sum))| (shard, Message::Renew { shard, count, sum });
-        sums.into_iter().map(renew).collect()
+        checksums.into_iter().map(renew).collect()
     }
 }
 
-/// Mixes a lease's number so that sums of different sets differ.
-pub(crate) fn mixed(id: u64) -> u64 {
+/// Mixes a lease's number so that checksums of different sets differ.
+pub(crate) fn mix_lease_id(id: u64) -> u64 {
     id.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
 }
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -129,7 +129,7 @@
         shard: ShardId,
         /// How many leases are held.
         count: u32,
-        /// Exclusive-or of the leases' mixed numbers.
+        /// Exclusive-or of the leases' mix_lease_id numbers.
         sum: u64,
     },
     /// Owner to lessee: tell me all that you hold.
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -55,13 +55,13 @@
 pub struct Sent {
     repeatable: bool,
     /// Sends before this one that may have reached an upstream. 0 unless `repeatable`.
-    before: u32,
+    earlier_sends: u32,
 }
 
 /// A repeatable request that may have run before and may be sent again.
 #[derive(Debug)]
 pub struct Resend {
-    before: u32,
+    earlier_sends: u32,
 }
 
 impl Permit {
@@ -72,7 +72,7 @@
     }
 
     /// Consumes the permit, whether it was still good or not.
-    fn spend(self, now: Time) -> Result<(), Expired> {
+    fn consume(self, now: Time) -> Result<(), Expired> {
         if now < self.expires {
             Ok(())
         } else {
@@ -93,8 +93,8 @@
     /// # Errors
     /// Gives the request back unsent when the permit has expired.
     pub fn send(self, permit: Permit, now: Time) -> Result<Sent, Unsent> {
-        match permit.spend(now) {
-            Ok(()) => Ok(Sent { repeatable: self.repeatable, before: 0 }),
+        match permit.consume(now) {
+            Ok(()) => Ok(Sent { repeatable: self.repeatable, earlier_sends: 0 }),
             Err(Expired) => Err(self),
         }
     }
@@ -112,10 +112,10 @@
     /// # Errors
     /// Gives a [`Resend`] where an earlier send may have reached an upstream.
     pub fn connect_failed(self) -> Result<Unsent, Resend> {
-        if self.before == 0 {
+        if self.earlier_sends == 0 {
             Ok(Unsent { repeatable: self.repeatable })
         } else {
-            Err(Resend { before: self.before })
+            Err(Resend { earlier_sends: self.earlier_sends })
         }
     }
 
@@ -125,7 +125,7 @@
     /// Gives the request back when it isn't repeatable.
     pub fn retry(self) -> Result<Resend, Sent> {
         if self.repeatable {
-            Ok(Resend { before: self.before + 1 })
+            Ok(Resend { earlier_sends: self.earlier_sends + 1 })
         } else {
             Err(self)
         }
@@ -148,8 +148,8 @@
     /// # Errors
     /// Gives the request back when the permit has expired.
     pub fn send(self, permit: Permit, now: Time) -> Result<Sent, Resend> {
-        match permit.spend(now) {
-            Ok(()) => Ok(Sent { repeatable: true, before: self.before }),
+        match permit.consume(now) {
+            Ok(()) => Ok(Sent { repeatable: true, earlier_sends: self.earlier_sends }),
             Err(Expired) => Err(self),
         }
     }
--- a/crates/policy/src/queue_timeout.rs
+++ b/crates/policy/src/queue_timeout.rs
@@ -3,12 +3,12 @@
 use catalog::Class;
 
 /// A waiting request is given up after this many times its class's target.
-const TARGETS: u64 = 4;
+const QUEUE_TIMEOUT_TARGET_FACTOR: u64 = 4;
 
 /// No request is given up for being late before this age, in milliseconds.
-const LEAST_MS: u64 = 2_000;
+const MIN_QUEUE_TIMEOUT_MS: u64 = 2_000;
 
 /// Age in milliseconds at which a waiting request of this class is given up.
 pub(crate) fn queue_timeout_ms(class: &Class) -> u64 {
-    (class.first_token_ms * TARGETS).max(LEAST_MS)
+    (class.first_token_ms * QUEUE_TIMEOUT_TARGET_FACTOR).max(MIN_QUEUE_TIMEOUT_MS)
 }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -4,21 +4,21 @@
 use catalog::{ServerId, Upstream};
 
 /// Failures in a row after which a server gets probes only.
-const EJECT_AFTER: u32 = 3;
+const EJECT_AFTER_FAILURES: u32 = 3;
 
 /// First time without work after an ejection, in milliseconds; doubles up to the longest.
-const EJECT_MS: u64 = 1_000;
+const EJECTION_BACKOFF_MS: u64 = 1_000;
 
 /// Longest time without work after an ejection, in milliseconds.
-const EJECT_MOST_MS: u64 = 30_000;
+const MAX_EJECTION_BACKOFF_MS: u64 = 30_000;
 
 /// A server too slow for a class is tried with one of its requests after this time without any answer, in
 /// milliseconds; the time doubles with each try, up to the longest.
-const TRY_MS: u64 = 2_000;
-const TRY_MOST_MS: u64 = 30_000;
+const SPEED_PROBE_INTERVAL_MS: u64 = 2_000;
+const MAX_SPEED_PROBE_INTERVAL_MS: u64 = 30_000;
 
 /// A strained server's slots shrink at most this often, in milliseconds.
-const SHRINK_EVERY_MS: u64 = 1_000;
+const SHRINK_INTERVAL_MS: u64 = 1_000;
 
 /// A server's own report of its load. It describes a moment already past.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -65,18 +65,18 @@
     pub warm_prefixes: std::collections::VecDeque<u32>,
     failures: u32,
     ejected_until: Option<Time>,
-    probing: bool,
-    backoff_ms: u64,
-    shrunk_at: Time,
+    ejected: bool,
+    ejection_backoff_ms: u64,
+    last_shrink: Time,
     /// When it was last tried, or last gave an answer.
-    tried_at: Time,
-    try_ms: u64,
+    last_sample: Time,
+    speed_probe_interval_ms: u64,
     /// A try has not been answered yet.
-    trying: bool,
+    speed_probe_pending: bool,
 }
 
 /// How many prompt prefixes are remembered for each server.
-const WARM_PREFIXES: usize = 64;
+const MAX_WARM_PREFIXES: usize = 64;
 
 impl Server {
     /// A server as the file describes it, slot_limit with `slots` slots.
@@ -95,12 +95,12 @@
             warm_prefixes: std::collections::VecDeque::new(),
             failures: 0,
             ejected_until: None,
-            probing: false,
-            backoff_ms: EJECT_MS,
-            shrunk_at: Time(0),
-            tried_at: Time(0),
-            try_ms: TRY_MS,
-            trying: false,
+            ejected: false,
+            ejection_backoff_ms: EJECTION_BACKOFF_MS,
+            last_shrink: Time(0),
+            last_sample: Time(0),
+            speed_probe_interval_ms: SPEED_PROBE_INTERVAL_MS,
+            speed_probe_pending: false,
         }
     }
 
@@ -131,20 +131,20 @@
     /// True when nothing has been heard of its speed for so long that it should be tried.
     #[must_use]
     pub fn should_probe_speed(&self, now: Time) -> bool {
-        now.since(self.tried_at) >= self.try_ms
+        now.since(self.last_sample) >= self.speed_probe_interval_ms
     }
 
     /// A request goes to it only to find out how fast it is now.
     pub fn begin_speed_probe(&mut self, now: Time) {
-        self.tried_at = now;
-        self.try_ms = (self.try_ms * 2).min(TRY_MOST_MS);
-        self.trying = true;
+        self.last_sample = now;
+        self.speed_probe_interval_ms = (self.speed_probe_interval_ms * 2).min(MAX_SPEED_PROBE_INTERVAL_MS);
+        self.speed_probe_pending = true;
     }
 
     /// True while failures keep it from its full share.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
-        self.probing
+        self.ejected
     }
 
     /// Takes in what one request showed.
@@ -153,45 +153,45 @@
             return None;
         }
         if report.failed {
-            return self.fail(now);
+            return self.record_failure(now);
         }
         self.failures = 0;
         let was = self.speed.between_ms;
-        self.speed.record(report, std::mem::take(&mut self.trying));
-        self.tried_at = now;
+        self.speed.record(report, std::mem::take(&mut self.speed_probe_pending));
+        self.last_sample = now;
         if self.speed.between_ms < was {
-            self.try_ms = TRY_MS;
+            self.speed_probe_interval_ms = SPEED_PROBE_INTERVAL_MS;
         }
         if self.speed.is_degraded() {
             self.shrink(now);
         } else {
             self.grow();
         }
-        self.settle()
+        self.end_ejection_if_recovered()
     }
 
-    fn fail(&mut self, now: Time) -> Option<HealthChange> {
+    fn record_failure(&mut self, now: Time) -> Option<HealthChange> {
         self.failures += 1;
         self.slot_limit = (self.slot_limit / 2.0).max(1.0);
-        if self.failures < EJECT_AFTER {
+        if self.failures < EJECT_AFTER_FAILURES {
             return None;
         }
         // Many requests break at once when a server dies; only the first of them ejects it.
         if self.ejected_until.is_some_and(|until| now < until) {
             return None;
         }
-        self.ejected_until = Some(now.after(self.backoff_ms));
-        self.backoff_ms = (self.backoff_ms * 2).min(EJECT_MOST_MS);
+        self.ejected_until = Some(now.after(self.ejection_backoff_ms));
+        self.ejection_backoff_ms = (self.ejection_backoff_ms * 2).min(MAX_EJECTION_BACKOFF_MS);
         self.slot_limit = 1.0;
-        let first = !self.probing;
-        self.probing = true;
+        let first = !self.ejected;
+        self.ejected = true;
         first.then_some(HealthChange::Ejected)
     }
 
     fn shrink(&mut self, now: Time) {
-        if now.since(self.shrunk_at) >= SHRINK_EVERY_MS {
+        if now.since(self.last_shrink) >= SHRINK_INTERVAL_MS {
             self.slot_limit = (self.slot_limit * 0.8).max(1.0);
-            self.shrunk_at = now;
+            self.last_shrink = now;
         }
     }
 
@@ -200,23 +200,23 @@
         self.slot_limit = (self.slot_limit + 0.5).min(f64::from(self.slots));
     }
 
-    fn settle(&mut self) -> Option<HealthChange> {
-        let recovered = self.probing && self.slot_limit >= f64::from(self.slots) / 2.0;
+    fn end_ejection_if_recovered(&mut self) -> Option<HealthChange> {
+        let recovered = self.ejected && self.slot_limit >= f64::from(self.slots) / 2.0;
         if !recovered {
             return None;
         }
-        self.probing = false;
+        self.ejected = false;
         self.ejected_until = None;
-        self.backoff_ms = EJECT_MS;
+        self.ejection_backoff_ms = EJECTION_BACKOFF_MS;
         Some(HealthChange::Restored)
     }
 
     /// Takes in the server's own report, which is late: it only ever lowers trust, and slowly.
     pub fn record_load(&mut self, load: Load, now: Time) {
         self.leaving_by_report = load.leaving;
-        if load.waiting > 0 && now.since(self.shrunk_at) >= SHRINK_EVERY_MS {
+        if load.waiting > 0 && now.since(self.last_shrink) >= SHRINK_INTERVAL_MS {
             self.slot_limit = (self.slot_limit * 0.9).max(1.0);
-            self.shrunk_at = now;
+            self.last_shrink = now;
         }
     }
 
@@ -232,7 +232,7 @@
             return;
         }
         self.warm_prefixes.push_back(prefix);
-        if self.warm_prefixes.len() > WARM_PREFIXES {
+        if self.warm_prefixes.len() > MAX_WARM_PREFIXES {
             self.warm_prefixes.pop_front();
         }
     }
--- a/crates/policy/src/shard.rs
+++ b/crates/policy/src/shard.rs
@@ -1,8 +1,8 @@
 //! The owner's side of one shard: one queue, leases on slots, and the order of grants.
 
 mod admission;
+mod dispatch;
 mod leases;
-mod order;
 
 use crate::server::HealthChange;
 use crate::{
@@ -24,44 +24,44 @@
 pub const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
 /// A lease younger than this isn't taken as gone because its lessee didn't name it.
-const GRACE_MS: u64 = 1_000;
+const LEASE_GRACE_MS: u64 = 1_000;
 
 /// Most asks of one class that wait at one shard.
-const QUEUE_MOST: usize = 4_096;
+const MAX_QUEUED_PER_CLASS: usize = 4_096;
 
 /// Most of a shard's capacity that other halls may use, as a divisor; and where the request is urgent.
-const REMOTE_DIVISOR: u32 = 4;
-const URGENT_REMOTE_DIVISOR: u32 = 2;
+const REMOTE_CAPACITY_DIVISOR: u32 = 4;
+const URGENT_REMOTE_CAPACITY_DIVISOR: u32 = 2;
 
 /// A request that was accepted before isn't given up before this age, in milliseconds.
-const GIVE_UP_BEGUN_MS: u64 = 60_000;
+const MIN_READMITTED_TIMEOUT_MS: u64 = 60_000;
 
 /// A request that isn't urgent is pressed once this part of its target has gone by, as a divisor.
-const PRESSED_DIVISOR: u64 = 4;
+const RECALL_TARGET_DIVISOR: u64 = 4;
 
 /// Headroom after recalls: time in which half of it fades, in milliseconds, and its most as a divisor of
 /// the capacity.
-const HEADROOM_HALF_MS: f64 = 1_000.0;
-const HEADROOM_DIVISOR: f64 = 3.0;
+const HEADROOM_HALF_LIFE_MS: f64 = 1_000.0;
+const HEADROOM_CAPACITY_DIVISOR: f64 = 3.0;
 
 /// A class whose target between tokens a server misses by this factor isn't sent there.
-const UNFIT_FACTOR: f64 = 1.5;
+const UNFIT_GAP_FACTOR: f64 = 1.5;
 
 /// Part of the first-token time that a warm prompt prefix saves.
-const WARM_SAVES: f64 = 0.7;
+const WARM_PREFIX_SAVING_RATIO: f64 = 0.7;
 
 /// Guess of a lease's length before any has ended: milliseconds, and milliseconds a token.
-const HOLD_GUESS_MS: f64 = 200.0;
-const HOLD_GUESS_TOKEN_MS: f64 = 20.0;
+const DEFAULT_HOLD_MS: f64 = 200.0;
+const DEFAULT_HOLD_MS_PER_TOKEN: f64 = 20.0;
 
 /// Time over which a class's slots are averaged for its floor, in milliseconds.
-const HAD_MS: f64 = 10_000.0;
+const FLOOR_AVERAGE_WINDOW_MS: f64 = 10_000.0;
 
 /// Expected waits are taken as this much longer, so that what is admitted is in time.
-const WAIT_MARGIN: f64 = 1.25;
+const WAIT_MARGIN_FACTOR: f64 = 1.25;
 
 /// How often old debts of customers fade, in milliseconds.
-const FADE_MS: u64 = 10_000;
+const DEBT_DECAY_INTERVAL_MS: u64 = 10_000;
 
 #[derive(Clone, Debug)]
 struct Lease {
@@ -78,13 +78,13 @@
     remote: bool,
     recalled: bool,
     /// Given out of turn because of its age.
-    passing: bool,
+    out_of_turn: bool,
 }
 
 #[derive(Clone, Debug)]
 struct Recovery {
-    since: Time,
-    pending: BTreeSet<BoxId>,
+    started: Time,
+    awaiting: BTreeSet<BoxId>,
 }
 
 /// The owner's side of one shard.
@@ -103,15 +103,15 @@
     running: BTreeMap<ClassId, u32>,
     hold_ms: BTreeMap<ClassId, f64>,
     /// Slots that each class has had on average of late.
-    had: BTreeMap<ClassId, f64>,
-    had_at: Time,
+    average_slots: BTreeMap<ClassId, f64>,
+    averaged_at: Time,
     recovery: Option<Recovery>,
     /// Slots kept free of requests that would be recalled again at once: rises with each recall, then fades.
     headroom: f64,
     headroom_at: Time,
-    signed: Time,
-    faded: Time,
-    out: Vec<Decision>,
+    last_heartbeat: Time,
+    last_debt_decay: Time,
+    decisions: Vec<Decision>,
 }
 
 // ----------------------------------------------------------------------------
@@ -130,14 +130,14 @@
             leases: BTreeMap::new(),
             running: BTreeMap::new(),
             hold_ms: BTreeMap::new(),
-            had: BTreeMap::new(),
-            had_at: Time(0),
+            average_slots: BTreeMap::new(),
+            averaged_at: Time(0),
             recovery: None,
             headroom: 0.0,
             headroom_at: Time(0),
-            signed: Time(0),
-            faded: Time(0),
-            out: Vec::new(),
+            last_heartbeat: Time(0),
+            last_debt_decay: Time(0),
+            decisions: Vec::new(),
         };
         shard.set_servers(spec, |upstream, _| upstream.slots);
         shard
@@ -179,10 +179,10 @@
     /// Asks `boxes` what they hold, and grants nothing until they have answered or the wait is over.
     pub fn recover(&mut self, boxes: &[BoxId], now: Time) -> Vec<Decision> {
         for to in boxes {
-            self.out.push(Decision::Send(*to, Message::Recover(self.id)));
+            self.decisions.push(Decision::Send(*to, Message::Recover(self.id)));
         }
-        self.recovery = Some(Recovery { since: now, pending: boxes.iter().copied().collect() });
-        std::mem::take(&mut self.out)
+        self.recovery = Some(Recovery { started: now, awaiting: boxes.iter().copied().collect() });
+        std::mem::take(&mut self.decisions)
     }
 
     /// True while lessees are being asked.
--- a/crates/policy/src/shard/leases.rs
+++ b/crates/policy/src/shard/leases.rs
@@ -1,7 +1,7 @@
 //! Leases: renewal, recovery, expiry.
 
 use super::*;
-use crate::lessee::mixed;
+use crate::lessee::mix_lease_id;
 
 impl Shard {
     /// A lessee says how many leases it holds: all are renewed if that agrees, else it is asked for the list.
@@ -14,10 +14,10 @@
             // Only then are the newest looked for; nearly every renewal agrees as it is.
             known.sort_unstable();
         }
-        let mut seen = known.iter().fold(0, |sum, (_, id)| sum ^ mixed(*id));
+        let mut seen = known.iter().fold(0, |sum, (_, id)| sum ^ mix_lease_id(*id));
         while known.len() as u32 > count {
             match known.last() {
-                Some((granted, id)) if now.since(*granted) < GRACE_MS => seen ^= mixed(*id),
+                Some((granted, id)) if now.since(*granted) < LEASE_GRACE_MS => seen ^= mix_lease_id(*id),
                 _ => break,
             }
             known.pop();
@@ -29,9 +29,9 @@
                 }
             }
         } else {
-            self.out.push(Decision::Send(from, Message::Recover(self.id)));
+            self.decisions.push(Decision::Send(from, Message::Recover(self.id)));
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.decisions)
     }
 
     /// A lessee told all that it holds: unknown leases are adopted, missing ones are gone.
@@ -40,24 +40,26 @@
         let gone: Vec<u64> = self
             .leases
             .iter()
-            .filter(|((holder, id), l)| *holder == from && !named.contains(id) && now.since(l.granted) >= GRACE_MS)
+            .filter(|((holder, id), l)| {
+                *holder == from && !named.contains(id) && now.since(l.granted) >= LEASE_GRACE_MS
+            })
             .map(|((_, id), _)| *id)
             .collect();
         for id in gone {
-            self.drop_lease((from, id));
+            self.remove_lease((from, id));
             self.ledger.returned += 1;
         }
         for one in held {
-            self.adopt(from, one, now);
+            self.adopt_lease(from, one, now);
         }
         if let Some(recovery) = &mut self.recovery {
-            recovery.pending.remove(&from);
+            recovery.awaiting.remove(&from);
         }
         self.end_recovery(now);
-        self.finish(now)
+        self.dispatch_and_drain(now)
     }
 
-    fn adopt(&mut self, from: BoxId, held: &LeaseInfo, now: Time) {
+    fn adopt_lease(&mut self, from: BoxId, held: &LeaseInfo, now: Time) {
         if let Some(lease) = self.leases.get_mut(&(from, held.id)) {
             lease.renewed = now;
             return;
@@ -70,7 +72,7 @@
         server.used += 1;
         if server.used > server.slots {
             let detail = format!("upstream={} used={} slots={}", server.name, server.used, server.slots);
-            self.out.push(Decision::Log(Event::LeaseOverlap, detail));
+            self.decisions.push(Decision::Log(Event::LeaseOverlap, detail));
         }
         let lease = Lease {
             server: held.server,
@@ -83,65 +85,65 @@
             resumable: held.resumable,
             remote: false,
             recalled: false,
-            passing: false,
+            out_of_turn: false,
         };
-        self.put_lease((from, held.id), lease);
+        self.insert_lease((from, held.id), lease);
         self.ledger.adopted += 1;
     }
 
     fn end_recovery(&mut self, now: Time) {
         let Some(recovery) = &self.recovery else { return };
-        if !recovery.pending.is_empty() && now.since(recovery.since) < RECOVERY_TIMEOUT_MS {
+        if !recovery.awaiting.is_empty() && now.since(recovery.started) < RECOVERY_TIMEOUT_MS {
             return;
         }
-        let detail = format!("shard={} leases={} silent={}", self.id, self.leases.len(), recovery.pending.len());
+        let detail = format!("shard={} leases={} silent={}", self.id, self.leases.len(), recovery.awaiting.len());
         self.recovery = None;
-        self.out.push(Decision::Log(Event::OwnerRecovered, detail));
+        self.decisions.push(Decision::Log(Event::OwnerRecovered, detail));
     }
 
-    fn drop_lease(&mut self, key: (BoxId, u64)) -> Option<Lease> {
+    fn remove_lease(&mut self, key: (BoxId, u64)) -> Option<Lease> {
         let lease = self.leases.remove(&key)?;
-        self.count_down(lease.class);
+        self.decrement_running(lease.class);
         if let Some(server) = self.servers.iter_mut().find(|s| s.id == lease.server) {
             server.used = server.used.saturating_sub(1);
         }
         Some(lease)
     }
 
-    fn expire(&mut self, now: Time) {
+    fn expire_leases(&mut self, now: Time) {
         let old = self.leases.iter().filter(|(_, l)| now.since(l.renewed) >= LEASE_TTL_MS);
         let keys: Vec<(BoxId, u64)> = old.map(|(key, _)| *key).collect();
         for key in keys {
-            self.drop_lease(key);
+            self.remove_lease(key);
             self.ledger.expired += 1;
         }
     }
 
-    fn sign(&mut self, now: Time) {
-        if now.since(self.signed) < HEARTBEAT_INTERVAL_MS {
+    fn send_heartbeats(&mut self, now: Time) {
+        if now.since(self.last_heartbeat) < HEARTBEAT_INTERVAL_MS {
             return;
         }
-        self.signed = now;
+        self.last_heartbeat = now;
         let mut ids: BTreeMap<BoxId, Vec<u64>> = BTreeMap::new();
         for waiting in self.queues.values().flat_map(Queue::iter) {
             // One number is enough: the message says that the owner lives.
-            ids.entry(waiting.from).or_insert_with(|| vec![waiting.ask.id]);
+            ids.entry(waiting.from).or_insert_with(|| vec![waiting.request.id]);
         }
         for (to, ids) in ids {
-            self.out.push(Decision::Send(to, Message::Queued(self.id, ids)));
+            self.decisions.push(Decision::Send(to, Message::Queued(self.id, ids)));
         }
     }
 
-    fn finish(&mut self, now: Time) -> Vec<Decision> {
+    fn dispatch_and_drain(&mut self, now: Time) -> Vec<Decision> {
         self.dispatch(now);
         if !self.ledger.is_balanced(self.leases.len()) {
             let detail = format!("{:?} held={}", self.ledger, self.leases.len());
-            self.broken(Event::LeaseCountBroken, &detail);
+            self.report_violation(Event::LeaseCountBroken, &detail);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.decisions)
     }
 
-    fn note_report(&mut self, lease: &Lease, report: &Report, now: Time) {
+    fn record_report(&mut self, lease: &Lease, report: &Report, now: Time) {
         if report.unused {
             return;
         }
@@ -160,35 +162,36 @@
             None => return,
         };
         let detail = format!("upstream={}", server.name);
-        self.out.push(Decision::Log(event, detail));
+        self.decisions.push(Decision::Log(event, detail));
     }
 }
 
 impl Scheduler for Shard {
-    fn request_slot(&mut self, from: BoxId, ask: SlotRequest, now: Time) -> Vec<Decision> {
+    fn request_slot(&mut self, from: BoxId, request: SlotRequest, now: Time) -> Vec<Decision> {
         // A lessee that hears nothing asks again, and the network may deliver twice: say the same again.
-        if let Some(lease) = self.leases.get(&(from, ask.id)) {
+        if let Some(lease) = self.leases.get(&(from, request.id)) {
             let (server, waited) = (lease.server, lease.waited);
-            self.out.push(Decision::Send(from, Message::Grant { shard: self.id, id: ask.id, server, waited }));
-            return std::mem::take(&mut self.out);
+            self.decisions
+                .push(Decision::Send(from, Message::Grant { shard: self.id, id: request.id, server, waited }));
+            return std::mem::take(&mut self.decisions);
         }
-        if self.queues.get(&ask.class).is_some_and(|q| q.contains(from, ask.id)) {
-            self.out.push(Decision::Send(from, Message::Queued(self.id, vec![ask.id])));
-            return std::mem::take(&mut self.out);
+        if self.queues.get(&request.class).is_some_and(|q| q.contains(from, request.id)) {
+            self.decisions.push(Decision::Send(from, Message::Queued(self.id, vec![request.id])));
+            return std::mem::take(&mut self.decisions);
         }
-        if let Err(refusal) = self.admit(&ask, now) {
-            self.out.push(Decision::Send(from, Message::Refuse(self.id, ask.id, refusal)));
-            return self.finish(now);
+        if let Err(refusal) = self.admit(&request, now) {
+            self.decisions.push(Decision::Send(from, Message::Refuse(self.id, request.id, refusal)));
+            return self.dispatch_and_drain(now);
         }
-        let (class, id) = (ask.class, ask.id);
-        let arrived = Time(now.0.saturating_sub(u64::from(ask.age_ms)));
-        let waiting = QueuedRequest { from, ask, arrived };
+        let (class, id) = (request.class, request.id);
+        let arrived = Time(now.0.saturating_sub(u64::from(request.age_ms)));
+        let waiting = QueuedRequest { from, request, arrived };
         self.queues.entry(class).or_default().push(waiting);
         self.dispatch(now);
         if self.queues[&class].contains(from, id) {
-            self.out.push(Decision::Send(from, Message::Queued(self.id, vec![id])));
+            self.decisions.push(Decision::Send(from, Message::Queued(self.id, vec![id])));
         }
-        self.finish(now)
+        self.dispatch_and_drain(now)
     }
 
     fn cancel(&mut self, from: BoxId, id: u64, now: Time) -> Vec<Decision> {
@@ -197,41 +200,41 @@
                 break;
             }
         }
-        if self.drop_lease((from, id)).is_some() {
+        if self.remove_lease((from, id)).is_some() {
             self.ledger.returned += 1;
         }
-        self.finish(now)
+        self.dispatch_and_drain(now)
     }
 
     fn return_lease(&mut self, from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision> {
-        if let Some(lease) = self.drop_lease((from, back.id)) {
+        if let Some(lease) = self.remove_lease((from, back.id)) {
             self.ledger.returned += 1;
-            self.note_report(&lease, &back.report, now);
+            self.record_report(&lease, &back.report, now);
         }
-        self.finish(now)
+        self.dispatch_and_drain(now)
     }
 
     fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision> {
         for known in self.servers.iter_mut().filter(|s| s.id == server) {
             if load.leaving && !known.is_leaving() {
-                self.out.push(Decision::Log(Event::UpstreamLeaving, format!("upstream={} by=word", known.name)));
+                self.decisions.push(Decision::Log(Event::UpstreamLeaving, format!("upstream={} by=word", known.name)));
             }
             known.record_load(load, now);
         }
-        self.finish(now)
+        self.dispatch_and_drain(now)
     }
 
     fn tick(&mut self, now: Time) -> Vec<Decision> {
-        self.note_had(now);
+        self.update_average_slots(now);
         self.end_recovery(now);
-        self.expire(now);
-        self.refuse_late(now);
-        if now.since(self.faded) >= FADE_MS {
-            self.faded = now;
+        self.expire_leases(now);
+        self.refuse_timed_out(now);
+        if now.since(self.last_debt_decay) >= DEBT_DECAY_INTERVAL_MS {
+            self.last_debt_decay = now;
             self.queues.values_mut().for_each(Queue::decay_debts);
         }
-        self.sign(now);
-        self.finish(now)
+        self.send_heartbeats(now);
+        self.dispatch_and_drain(now)
     }
 
     fn renew_all(&mut self, now: Time) {
@@ -241,7 +244,7 @@
     fn set_leaving(&mut self, server: ServerId, leaving: bool) {
         for known in self.servers.iter_mut().filter(|s| s.id == server) {
             if leaving && !known.is_leaving() {
-                self.out.push(Decision::Log(Event::UpstreamLeaving, format!("upstream={} by=list", known.name)));
+                self.decisions.push(Decision::Log(Event::UpstreamLeaving, format!("upstream={} by=list", known.name)));
             }
             known.leaving_by_membership = leaving;
         }
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -3,13 +3,13 @@
 use crate::Report;
 
 /// Weight of a new sample in the moving means.
-const FRESH: f64 = 0.2;
+const SAMPLE_WEIGHT: f64 = 0.2;
 
 /// The same for the answer to a try: what was known is old by then.
-const FRESH_TRY: f64 = 0.5;
+const PROBE_SAMPLE_WEIGHT: f64 = 0.5;
 
 /// How fast the reference may rise; it falls at once.
-const REFERENCE_RISE: f64 = 0.002;
+const REFERENCE_RISE_WEIGHT: f64 = 0.002;
 
 /// Moving means of a server's times.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -22,29 +22,29 @@
     pub reference_ms: f64,
 }
 
-fn mix(old: f64, new: f64, fresh: f64) -> f64 {
+fn moving_mean(old: f64, new: f64, weight: f64) -> f64 {
     if old == 0.0 {
         new
     } else {
-        old + fresh * (new - old)
+        old + weight * (new - old)
     }
 }
 
 impl Speed {
     /// Takes in what one request showed; one that was sent as a try counts for more.
-    pub fn record(&mut self, report: &Report, was_try: bool) {
-        let fresh = if was_try { FRESH_TRY } else { FRESH };
+    pub fn record(&mut self, report: &Report, was_probe: bool) {
+        let weight = if was_probe { PROBE_SAMPLE_WEIGHT } else { SAMPLE_WEIGHT };
         if report.first_ms > 0 {
-            self.first_ms = mix(self.first_ms, f64::from(report.first_ms), fresh);
+            self.first_ms = moving_mean(self.first_ms, f64::from(report.first_ms), weight);
         }
         if report.between_tenths == 0 {
             return;
         }
-        self.between_ms = mix(self.between_ms, f64::from(report.between_tenths) / 10.0, fresh);
+        self.between_ms = moving_mean(self.between_ms, f64::from(report.between_tenths) / 10.0, weight);
         if self.reference_ms == 0.0 || self.between_ms < self.reference_ms {
             self.reference_ms = self.between_ms;
         } else {
-            self.reference_ms += REFERENCE_RISE * (self.between_ms - self.reference_ms);
+            self.reference_ms += REFERENCE_RISE_WEIGHT * (self.between_ms - self.reference_ms);
         }
     }
 
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -1,8 +1,8 @@
 //! Customers' limits across the boxes of a hall, without a shared counter.
 //!
 //! Each box tells the customer's keeper (a box named by rendezvous hashing) what it uses; the keeper
-//! answers with what all others use. A box then admits by its own exact figure plus the others' late
-//! one. Only customers whose use changed are told, and seldom those whose requests merely run on.
+//! answers with what all others use. A box then admits by its local exact figure plus the others' late
+//! one. Only customers whose use changed are last_reported, and seldom those whose requests merely run on.
 //! Halls don't speak of this: each has its share, the limit divided by the number of halls.
 
 use crate::layout::Quota;
@@ -12,13 +12,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Length of the window for tokens, in milliseconds.
-const WINDOW_MS: u64 = 60_000;
+const TOKEN_WINDOW_MS: u64 = 60_000;
 
 /// A box's word is forgotten after this many milliseconds, unless it is repeated.
-const STALE_MS: u64 = WINDOW_MS;
+const USAGE_TTL_MS: u64 = TOKEN_WINDOW_MS;
 
-/// What a box uses of a customer is told again after this time, in milliseconds, should a message be lost.
-const REPEAT_MS: u64 = 25_000;
+/// What a box uses of a customer is last_reported again after this time, in milliseconds, should a message be lost.
+const REPORT_INTERVAL_MS: u64 = 25_000;
 
 /// What a customer uses, at one box or at several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,23 +32,23 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Own {
+struct LocalUsage {
     running: u32,
-    spent: VecDeque<(Time, u64)>,
+    token_log: VecDeque<(Time, u64)>,
     tokens: u64,
     /// Its keeper has to hear of it: the use changed, or a request was turned away by what may be old.
     changed: bool,
-    told: Time,
+    last_reported: Time,
 }
 
-impl Own {
-    fn slide(&mut self, now: Time) {
-        while let Some((at, tokens)) = self.spent.front().copied() {
-            if now.since(at) < WINDOW_MS {
+impl LocalUsage {
+    fn drop_expired_tokens(&mut self, now: Time) {
+        while let Some((at, tokens)) = self.token_log.front().copied() {
+            if now.since(at) < TOKEN_WINDOW_MS {
                 return;
             }
             self.tokens -= tokens;
-            self.spent.pop_front();
+            self.token_log.pop_front();
         }
     }
 }
@@ -56,7 +56,7 @@
 /// The entry box's side: what passes here, and what others were last said to use.
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
-    own: BTreeMap<CustomerId, Own>,
+    local: BTreeMap<CustomerId, LocalUsage>,
     others: BTreeMap<CustomerId, (Time, Usage)>,
 }
 
@@ -64,52 +64,53 @@
     /// Admits one more request of `customer`, or says that its limit is reached.
     #[must_use]
     pub fn admit(&mut self, customer: CustomerId, quota: Quota, now: Time) -> bool {
-        let others = self.others.get(&customer).filter(|(at, _)| now.since(*at) < STALE_MS);
+        let others = self.others.get(&customer).filter(|(at, _)| now.since(*at) < USAGE_TTL_MS);
         let others = others.map(|(_, usage)| *usage).unwrap_or_default();
-        let own = self.own.entry(customer).or_default();
-        own.slide(now);
-        own.changed = true;
-        let full = quota.max_concurrent > 0 && own.running + others.running >= quota.max_concurrent;
-        let spent = quota.max_tokens_per_minute > 0 && own.tokens + others.tokens >= quota.max_tokens_per_minute;
-        if full || spent {
+        let local = self.local.entry(customer).or_default();
+        local.drop_expired_tokens(now);
+        local.changed = true;
+        let over_concurrency = quota.max_concurrent > 0 && local.running + others.running >= quota.max_concurrent;
+        let over_tokens =
+            quota.max_tokens_per_minute > 0 && local.tokens + others.tokens >= quota.max_tokens_per_minute;
+        if over_concurrency || over_tokens {
             return false;
         }
-        own.running += 1;
+        local.running += 1;
         true
     }
 
     /// A request of `customer` has ended with `tokens` tokens.
     pub fn finish(&mut self, customer: CustomerId, tokens: u64, now: Time) {
-        let own = self.own.entry(customer).or_default();
-        own.running = own.running.saturating_sub(1);
-        own.changed = true;
-        own.spent.push_back((now, tokens));
-        own.tokens += tokens;
+        let local = self.local.entry(customer).or_default();
+        local.running = local.running.saturating_sub(1);
+        local.changed = true;
+        local.token_log.push_back((now, tokens));
+        local.tokens += tokens;
     }
 
-    /// What to tell the keepers: customers whose use changed, or of whom nothing was said for long.
+    /// What to tell the owners: customers whose use changed, or of whom nothing was said for long.
     pub fn usage_to_report(&mut self, now: Time) -> Vec<Usage> {
         let mut usages = Vec::new();
-        for (customer, own) in &mut self.own {
-            own.slide(now);
-            let repeat = own.running > 0 && now.since(own.told) >= REPEAT_MS;
-            if own.changed || repeat {
-                (own.changed, own.told) = (false, now);
-                usages.push(Usage { customer: *customer, running: own.running, tokens: own.tokens });
+        for (customer, local) in &mut self.local {
+            local.drop_expired_tokens(now);
+            let repeat = local.running > 0 && now.since(local.last_reported) >= REPORT_INTERVAL_MS;
+            if local.changed || repeat {
+                (local.changed, local.last_reported) = (false, now);
+                usages.push(Usage { customer: *customer, running: local.running, tokens: local.tokens });
             }
         }
-        self.own.retain(|_, own| own.running > 0 || own.tokens > 0);
+        self.local.retain(|_, local| local.running > 0 || local.tokens > 0);
         usages
     }
 
-    /// Boxes came or went, and with them keepers: all that is used has to be told anew.
+    /// Boxes came or went, and with them owners: all that is used has to be last_reported anew.
     pub fn mark_all_changed(&mut self) {
-        self.own.values_mut().for_each(|own| own.changed = true);
+        self.local.values_mut().for_each(|local| local.changed = true);
     }
 
     /// A keeper said what all other boxes use.
     pub fn record_others(&mut self, usages: &[Usage], now: Time) {
-        self.others.retain(|_, (at, _)| now.since(*at) < STALE_MS);
+        self.others.retain(|_, (at, _)| now.since(*at) < USAGE_TTL_MS);
         for usage in usages {
             self.others.insert(usage.customer, (now, *usage));
         }
@@ -119,7 +120,7 @@
 /// The keeper's side: what each box last said of each customer.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
-    said: BTreeMap<CustomerId, BTreeMap<BoxId, (Time, Usage)>>,
+    reports: BTreeMap<CustomerId, BTreeMap<BoxId, (Time, Usage)>>,
 }
 
 impl UsageTable {
@@ -127,8 +128,8 @@
     pub fn record(&mut self, from: BoxId, usages: &[Usage], now: Time) -> Vec<Usage> {
         let mut answer = Vec::new();
         for usage in usages {
-            let boxes = self.said.entry(usage.customer).or_default();
-            boxes.retain(|_, (at, _)| now.since(*at) < STALE_MS);
+            let boxes = self.reports.entry(usage.customer).or_default();
+            boxes.retain(|_, (at, _)| now.since(*at) < USAGE_TTL_MS);
             boxes.insert(from, (now, *usage));
             let others = boxes.iter().filter(|(id, _)| **id != from);
             let sum = others.fold(Usage { customer: usage.customer, ..Usage::default() }, |sum, (_, (_, u))| Usage {
@@ -143,13 +144,13 @@
 
     /// Forgets what boxes said that aren't there any more.
     pub fn retain_boxes(&mut self, boxes: &BTreeSet<BoxId>) {
-        for said in self.said.values_mut() {
-            said.retain(|id, _| boxes.contains(id));
+        for reports in self.reports.values_mut() {
+            reports.retain(|id, _| boxes.contains(id));
         }
     }
 
     /// Forgets customers of whom nobody speaks any more.
     pub fn expire(&mut self, now: Time) {
-        self.said.retain(|_, boxes| boxes.values().any(|(at, _)| now.since(*at) < STALE_MS));
+        self.reports.retain(|_, boxes| boxes.values().any(|(at, _)| now.since(*at) < USAGE_TTL_MS));
     }
 }
