--- a/crates/policy/src/broker.rs
+++ b/crates/policy/src/broker.rs
@@ -1,4 +1,4 @@
-//! One box's decision code as a whole: it asks owners, and it is an owner.
+//! The scheduling state of one box, in both roles: requesting slots from shard owners, and owning shards.
 
 mod fallback;
 mod keys;
@@ -17,97 +17,97 @@
 use std::rc::Rc;
 use telemetry::Event;
 
-/// An owner that hasn't answered for this long is passed by, in milliseconds.
+/// Time after which an owner that has not answered a request is bypassed.
 const OWNER_TIMEOUT_MS: u64 = 100;
 
-/// A smaller part of the class's target, where that is shorter than [`OWNER_TIMEOUT_MS`].
+/// Divisor of the class's first-token target. The result replaces [`OWNER_TIMEOUT_MS`] where it is shorter.
 const OWNER_TIMEOUT_TARGET_DIVISOR: u64 = 5;
 
-/// An owner that had answered and then is silent for this long is passed by, in milliseconds.
+/// Time after which an owner that had confirmed a request and then fell silent is bypassed.
 const OWNER_SILENCE_TIMEOUT_MS: u64 = 300;
 
-/// After a fallback the owner isn't asked again for this long, in milliseconds.
+/// Time for which a bypassed owner is sent no more requests.
 const OWNER_RETRY_DELAY_MS: u64 = 500;
 
-/// An ask without a grant is sent again after this time, in milliseconds.
+/// Interval at which a request without a grant is sent again, since a message may have been lost.
 const RESEND_INTERVAL_MS: u64 = 500;
 
-/// How often leases are renewed and customers' use is told, in milliseconds.
+/// Interval of lease renewals and of customers' usage reports.
 const RENEW_INTERVAL_MS: u64 = 1_000;
 
-/// A gap between two ticks that means this process was paused, in milliseconds.
+/// A gap of at least this length between two ticks means that the process was paused.
 pub const PAUSE_THRESHOLD_MS: u64 = 600;
 
-/// A keeper of request keys that hasn't answered for this long is asked again, in milliseconds.
+/// Interval at which a claim is sent again to a key owner that has not answered.
 const CLAIM_RESEND_INTERVAL_MS: u64 = 100;
 
-/// A claim that not every keeper has answered by then is given up, in milliseconds. Longer than it takes
-/// to see that a box is dead, so that one dead keeper only delays.
+/// Time after which a claim that not every key owner has answered is given up. Longer than it takes to detect
+/// a dead box, so that one dead key owner only delays the claim.
 const CLAIM_TIMEOUT_MS: u64 = 2_000;
 
-/// Keepers of a request key in each hall that is asked.
+/// Owners of a request key in each hall that is asked.
 const KEY_OWNERS_PER_HALL: usize = 2;
 
-/// A request that has waited this part of its target in its own hall is asked for in another one as well;
-/// as a divisor, and the shortest and longest such wait in milliseconds.
+/// A request that has waited for this fraction of its target in its own hall, within the bounds below, is
+/// also sent to another hall. Given as a divisor of the target.
 const SPILLOVER_TARGET_DIVISOR: u64 = 8;
 const MIN_SPILLOVER_DELAY_MS: u64 = 50;
 const MAX_SPILLOVER_DELAY_MS: u64 = 1_000;
 
-/// Most other halls that are asked for one request.
+/// Maximum number of other halls that are tried for one request.
 const MAX_OTHER_HALLS: usize = 2;
 
-/// Boxes for each shard of a pool from which on a box keeps to one of them.
+/// Number of boxes per shard of a pool from which on each box keeps to one shard.
 const MIN_AFFINITY_BOXES_PER_SHARD: usize = 4;
 
-/// How requests find a server.
+/// The way in which requests are assigned to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SchedulingMode {
-    /// Owners grant leases: the chosen way.
+    /// Shard owners grant leases on slots.
     #[default]
     Owner,
-    /// Each box alone: a baseline for comparison.
+    /// Each box decides on its own; a baseline for comparison.
     Uncoordinated(QueueDiscipline),
 }
 
-/// A claim on a request key that is being made.
+/// A claim on a request key that has not been resolved yet.
 #[derive(Clone, Debug)]
 struct PendingClaim {
     claim: Claim,
     started: Time,
-    /// When a keeper was last asked.
+    /// Time of the last claim message to a key owner.
     last_sent: Time,
-    /// Keepers that remember the claim.
+    /// Key owners that have recorded the claim.
     accepted_by: Vec<BoxId>,
-    /// One of them could tell that the key is new.
+    /// At least one key owner could prove that the key is new.
     proved_fresh: bool,
 }
 
-/// One box's decision code.
+/// The scheduling state of one box.
 pub struct Broker {
     me: BoxId,
     hall: String,
     mode: SchedulingMode,
     layout: Rc<Layout>,
-    /// Boxes that may own something, by hall. Contains this box unless it is stopping.
+    /// Boxes that may own shards and keys, by hall. Contains this box unless it is stopping.
     boxes: BTreeMap<String, Vec<BoxId>>,
     /// Boxes of this hall that own nothing any more but may still hold leases.
     leaving_boxes: Vec<BoxId>,
-    /// Shards that this box owns, or that others still take it to own.
+    /// Shards that this box owns, or that other boxes still believe it to own.
     owned: BTreeMap<ShardId, Shard>,
-    /// This box's own share of a shard whose owner is out of reach; or the baselines' deciders.
+    /// This box's own share of shards whose owner is unreachable, or the baselines' schedulers.
     local_schedulers: BTreeMap<ShardId, Box<dyn Scheduler>>,
     lessee: Lessee,
-    /// Owners that didn't answer, and until when they aren't asked.
+    /// Shards whose owner did not answer, with the time until which it is sent no requests.
     unresponsive_owners: BTreeMap<ShardId, Time>,
     retry_budget: RetryBudget,
     usage_meter: UsageMeter,
     usage_table: UsageTable,
     key_history: KeyHistory,
     pending_claims: BTreeMap<u64, PendingClaim>,
-    /// Claims that were granted and may yet be taken back.
+    /// Claims that were granted and may still be withdrawn.
     granted_claims: BTreeMap<u64, (Claim, Vec<BoxId>)>,
-    /// Servers that the membership list, or a box that read it, says are leaving.
+    /// Servers that are leaving according to the membership list or to a box that has read it.
     leaving_servers: BTreeSet<ServerId>,
     last_tick: Time,
     last_renewal: Time,
@@ -119,7 +119,8 @@
 // Set-up and view
 
 impl Broker {
-    /// A box called `me` in `hall`; `first` is a number above all that the box used before a restart.
+    /// Creates the broker of box `me` in `hall`. `first` must be above every id that the box used before a
+    /// restart.
     #[must_use]
     pub fn new(me: BoxId, hall: &str, mode: SchedulingMode, first: u64, now: Time) -> Self {
         Self {
@@ -147,7 +148,7 @@
         }
     }
 
-    /// A release came into force.
+    /// Applies a release that came into force.
     pub fn set_layout(&mut self, layout: Rc<Layout>, now: Time) -> Vec<Action> {
         self.layout = layout;
         for shard in self.owned.values_mut() {
@@ -158,8 +159,8 @@
         self.drain(now)
     }
 
-    /// The boxes changed. `boxes` may own something and hold this box too, unless it is stopping;
-    /// `leavers` are those of this hall that only hold leases still.
+    /// Applies a change of the boxes. `boxes` may own shards and keys, and include this box unless it is
+    /// stopping; `leaving_boxes` are boxes of this hall that only hold leases any more.
     pub fn set_boxes(&mut self, boxes: BTreeMap<String, Vec<BoxId>>, leavers: Vec<BoxId>, now: Time) -> Vec<Action> {
         self.leaving_boxes = leavers;
         if boxes == self.boxes {
@@ -184,7 +185,7 @@
         self.boxes.get(&self.hall).map_or(&[], Vec::as_slice)
     }
 
-    /// Boxes of this hall that may hold leases.
+    /// Returns the boxes of this hall that may hold leases.
     fn lessee_boxes(&self) -> Vec<BoxId> {
         let mut ids = self.hall_boxes().to_vec();
         ids.extend(&self.leaving_boxes);
@@ -215,7 +216,7 @@
         self.apply_decisions(decisions);
     }
 
-    /// Shards that are no longer this box's go once nothing is left in them.
+    /// Drops shards that this box no longer owns once nothing is left in them.
     fn stop_owning_idle(&mut self) {
         let ended: Vec<ShardId> = self
             .owned
@@ -229,7 +230,7 @@
         }
     }
 
-    /// Asks that wait at a box which is no longer the owner go to the new one.
+    /// Moves requests that wait at a former owner to the current one.
     fn move_pending_requests(&mut self, now: Time) {
         let moved: Vec<u64> = self
             .lessee
@@ -259,7 +260,7 @@
 // Time
 
 impl Broker {
-    /// Time has passed. To be called every few milliseconds.
+    /// Advances time. To be called every few milliseconds.
     pub fn tick(&mut self, now: Time) -> Vec<Action> {
         self.check_for_pause(now);
         self.last_tick = now;
@@ -284,7 +285,8 @@
         self.drain(now)
     }
 
-    /// A box that was paused distrusts what it owns before it does anything else.
+    /// Detects a pause of this process. Shards that this box owns are then recovered before anything else is
+    /// done.
     fn check_for_pause(&mut self, now: Time) {
         let paused = now.since(self.last_tick);
         if paused < PAUSE_THRESHOLD_MS {
@@ -332,7 +334,7 @@
         }
     }
 
-    /// A server's own report came in. `leaving` from any word counts.
+    /// Records a server's own load report. A server is leaving if any source reports it.
     pub fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Action> {
         let ids: Vec<ShardId> = self.owned.keys().copied().collect();
         for id in ids {
@@ -346,36 +348,37 @@
         self.drain(now)
     }
 
-    /// The shards that this box owns now.
+    /// Returns the shards that this box owns now.
     pub fn owned_shards(&self) -> impl Iterator<Item = &Shard> {
         self.owned.values()
     }
 
-    /// Leases that this box holds.
+    /// Returns the number of leases that this box holds.
     #[must_use]
     pub fn lease_count(&self) -> usize {
         self.lessee.leases.len()
     }
 
-    /// Asks of this box that have no answer yet.
+    /// Returns the number of this box's requests that have neither been granted nor refused.
     #[must_use]
     pub fn pending_count(&self) -> usize {
         self.lessee.pending.len()
     }
 
-    /// The layout in force.
+    /// Returns the layout in force.
     #[must_use]
     pub fn layout(&self) -> &Rc<Layout> {
         &self.layout
     }
 
-    /// The owner of a shard, as this box sees it.
+    /// Returns the owner of a shard, as this box sees it.
     #[must_use]
     pub fn shard_owner(&self, shard: ShardId) -> Option<BoxId> {
         self.owner_of(shard)
     }
 
-    /// Servers whose load this box should ask for: those it owns, or all of its hall when it decides alone.
+    /// Returns the servers whose load this box should poll: those of the shards that it owns or schedules on
+    /// its own.
     #[must_use]
     pub fn polled_servers(&self) -> Vec<ServerId> {
         let mine = |id: &ShardId| self.owned.contains_key(id) || self.local_schedulers.contains_key(id);
--- a/crates/policy/src/broker/fallback.rs
+++ b/crates/policy/src/broker/fallback.rs
@@ -1,4 +1,4 @@
-//! A box's own share of a shard whose owner is out of reach.
+//! Fallback scheduling: a box's own share of a shard whose owner is unreachable.
 
 use super::*;
 
@@ -42,14 +42,16 @@
         true
     }
 
-    /// Each slot belongs to one live box of the hall when no owner is in reach, so shares don't overlap.
+    /// Returns the number of this box's slots of a server. Without a reachable owner, each slot belongs to
+    /// one live box of the hall, so that the boxes' shares do not overlap.
     fn local_slots(&self, slots: u32, server: ServerId) -> u32 {
         let boxes = self.hall_boxes();
         let key = |slot: u32| (u64::from(server.0) << 16) | u64::from(slot);
         (0..slots).filter(|slot| owner(key(*slot), boxes) == Some(self.me)).count() as u32
     }
 
-    /// Shares change with the boxes that are alive; one that isn't in use is made anew when needed.
+    /// Drops local schedulers that are not in use. Shares change with the live boxes; a dropped scheduler is
+    /// built anew when it is needed.
     pub(super) fn drop_idle_local_schedulers(&mut self) {
         if self.mode != SchedulingMode::Owner {
             return;
@@ -63,9 +65,10 @@
         }
     }
 
-    /// What waits at the own share goes back to an owner that is in reach again.
+    /// Moves requests that wait in a local scheduler to an owner that is reachable again.
     ///
-    /// An owner that answered gets all of it; one whose silence is some time past gets one ask, to find out.
+    /// An owner that has answered gets all of them; one whose back-off has passed gets a single request as a
+    /// probe.
     pub(super) fn return_to_owners(&mut self, now: Time) {
         if self.mode != SchedulingMode::Owner {
             return;
@@ -92,7 +95,7 @@
         for id in ids {
             let decisions = self.local_schedulers.get_mut(&shard).map(|s| s.cancel(self.me, id, now));
             self.apply_local_decisions(decisions.unwrap_or_default());
-            // Its place may have come up just now.
+            // An earlier cancellation may have granted it a slot just now.
             if self.lessee.pending.get(&id).is_some_and(|p| p.local) {
                 self.send_request(id, shard, now);
             }
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Asks once more where an answer may have been lost; an owner says the same again.
+    /// Resends requests whose answer may have been lost. An owner answers a duplicate as it did before.
     pub(super) fn resend_requests(&mut self, now: Time) {
         let mut again = Vec::new();
         for pending in self.lessee.pending.values_mut().filter(|p| !p.local) {
--- a/crates/policy/src/broker/keys.rs
+++ b/crates/policy/src/broker/keys.rs
@@ -1,9 +1,10 @@
-//! Request keys: claims at their owners.
+//! Request keys: claims at the key's owners.
 
 use super::*;
 
 impl Broker {
-    /// A request with a key wants to run. The answer comes as [`Action::Claimed`] with the number given back.
+    /// Claims a request key for a request that is about to run. The result comes as [`Action::Claimed`] with
+    /// the returned number.
     pub fn claim(&mut self, key: u64, age_ms: Option<u64>, now: Time) -> (u64, Vec<Action>) {
         self.check_for_pause(now);
         let number = self.lessee.next_id();
@@ -16,7 +17,8 @@
         (number, self.drain(now))
     }
 
-    /// The owners of a key, the same order for every box: those of the key's home hall, then this hall's.
+    /// Returns the owners of a key in the same order for every box: those of the key's home hall, then this
+    /// hall's.
     fn key_owners(&self, key: u64) -> Vec<BoxId> {
         let halls: Vec<&String> = self.boxes.iter().filter(|(_, b)| !b.is_empty()).map(|(hall, _)| hall).collect();
         let ids: Vec<BoxId> = halls.iter().map(|h| BoxId::of(h)).collect();
@@ -29,10 +31,10 @@
         owners
     }
 
-    /// Asks the first keeper that hasn't answered; the claim is made when all have.
+    /// Sends the claim to the first key owner that has not answered. The claim is resolved once all have.
     ///
-    /// Every keeper must answer: a silent one may be remembering another delivery. It is asked again
-    /// until it answers or the view no longer holds it.
+    /// Every key owner must answer, since a silent one may have recorded another delivery. It is asked again
+    /// until it answers or is no longer in the view.
     fn send_claim(&mut self, number: u64, now: Time) {
         let Some(pending) = self.pending_claims.get(&number) else { return };
         let claim = pending.claim;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The claimed request has ended; `ran` is false when it certainly did not run.
+    /// Ends a granted claim. `ran` is false if the request certainly did not run.
     pub fn finish_claim(&mut self, number: u64, ran: bool, now: Time) -> Vec<Action> {
         if let Some((claim, owners)) = self.granted_claims.remove(&number) {
             if !ran {
--- a/crates/policy/src/broker/messages.rs
+++ b/crates/policy/src/broker/messages.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Broker {
-    /// A message from another box came in.
+    /// Handles a message from another box.
     pub fn receive(&mut self, from: BoxId, message: Message, now: Time) -> Vec<Action> {
         self.check_for_pause(now);
         self.inbox.push_back((from, message));
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Decisions of this box's own share: what it grants is marked as local.
+    /// Applies the decisions of a local scheduler. Leases that it grants are marked as local.
     pub(super) fn apply_local_decisions(&mut self, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
@@ -51,7 +51,7 @@
 
     fn handle_message(&mut self, from: BoxId, message: Message, now: Time) {
         if let Message::Grant { shard, .. } | Message::Refuse(shard, ..) | Message::Queued(shard, _) = &message {
-            // Whoever grants, refuses or queues is an owner in reach.
+            // A box that grants, refuses or queues a request is a reachable owner.
             self.unresponsive_owners.remove(shard);
         }
         match message {
@@ -82,7 +82,7 @@
                     self.record_refusal(id, false, refusal);
                     self.route_after_refusal(id, now);
                 } else if let Some(pending) = self.lessee.pending.get_mut(&id) {
-                    // The other hall has no room; it may be asked again in a while.
+                    // The other hall has no room. It may be asked again later.
                     pending.spillover = pending.spillover.filter(|(asked, _)| *asked != shard);
                 }
             }
@@ -110,7 +110,8 @@
         }
     }
 
-    /// A box that is asked acts as owner, even if its own view names another: views may differ for a while.
+    /// Returns true if this box owns the shard or can take it over. A box that receives a request acts as
+    /// owner even if its own view names another one, since views may differ for a while.
     fn ensure_owning(&mut self, shard: ShardId, now: Time) -> bool {
         if self.owned.contains_key(&shard) {
             return true;
@@ -129,7 +130,8 @@
     fn on_queued(&mut self, from: BoxId, shard: ShardId, ids: &[u64], now: Time) {
         let same = |p: &&mut PendingRequest| p.shard == shard && p.owner == from && !p.local;
         for pending in self.lessee.pending.values_mut().filter(same) {
-            // A sign of life counts for all that wait there, but an ask must have been named once.
+            // A heartbeat counts for all requests that wait there, but each must have been confirmed by its
+            // id once.
             if pending.confirmed.is_some() || ids.contains(&pending.request.id) {
                 pending.confirmed = Some(now);
             }
@@ -139,11 +141,11 @@
     fn on_grant(&mut self, from: BoxId, local: bool, grant: (ShardId, u64, ServerId, u32)) {
         let (shard, id, server, waited) = grant;
         if self.lessee.leases.get(&id).is_some_and(|held| held.granter == from && held.shard == shard) {
-            // The same grant, decisions again.
+            // A duplicate of the same grant.
             return;
         }
         let Some(pending) = self.lessee.pending.remove(&id) else {
-            // Granted after it was given up, or after another owner was quicker: hand it back unused.
+            // Granted after the request was abandoned, or after another owner was faster: return it unused.
             let report = Report { unused: true, ..Report::default() };
             self.send(from, Message::Return(shard, vec![LeaseReturn { id, report }]));
             return;
@@ -167,13 +169,14 @@
             resumable: pending.request.resumable,
         };
         self.lessee.leases.insert(id, HeldLease { shard, granter: from, local, info });
-        // The owner granted no earlier than this, whatever time the messages took and however often they came.
+        // A lower bound of the time of the grant, however messages were delayed or duplicated.
         let granted = pending.arrived.after(u64::from(waited));
         let expires = granted.after(crate::shard::LEASE_TTL_MS);
         self.out.push(Action::Granted { id, shard, granter: from, server, expires });
     }
 
-    /// Hands a grant on a leaving server back and asks again: its granter hadn't heard of it.
+    /// Returns a grant on a leaving server and sends the request again. The owner did not know that the
+    /// server is leaving.
     fn decline_grant(&mut self, from: BoxId, shard: ShardId, id: u64, server: ServerId, now: Time) {
         let report = Report { unused: true, ..Report::default() };
         self.send(from, Message::Leaving(shard, server));
@@ -183,7 +186,7 @@
         self.send_request(id, shard, now);
     }
 
-    /// The membership list, or a box that read it, decisions that a server is leaving or back.
+    /// Marks a server as leaving or back, as reported by the membership list or by a box that has read it.
     pub fn set_upstream_leaving(&mut self, server: ServerId, leaving: bool, now: Time) -> Vec<Action> {
         self.mark_server_leaving(server, leaving);
         self.drain(now)
@@ -206,7 +209,8 @@
         }
     }
 
-    /// Another hall may still meet the target, unless the request has simply waited too long.
+    /// Routes a request on after a refusal. Another hall may still meet its target, unless it has already
+    /// waited too long.
     fn route_after_refusal(&mut self, id: u64, now: Time) {
         let Some(pending) = self.lessee.pending.get_mut(&id) else { return };
         let hall = shard_hall(&self.layout, pending.shard).to_owned();
--- a/crates/policy/src/broker/requests.rs
+++ b/crates/policy/src/broker/requests.rs
@@ -1,9 +1,9 @@
-//! What callers want of a broker: slots, and an end to them.
+//! Callers' requests: acquiring and returning slots.
 
 use super::*;
 
 impl Broker {
-    /// A caller's request wants a slot. The answer comes as an action with the number given back.
+    /// Requests a slot for a caller. The result comes as an action with the returned id.
     pub fn acquire(&mut self, acquire: Acquire, now: Time) -> (u64, Vec<Action>) {
         self.check_for_pause(now);
         let id = self.lessee.next_id();
@@ -52,19 +52,19 @@
         Ok(())
     }
 
-    /// A caller's request has come in: true unless its customer's limit is reached.
+    /// Admits a caller's request. Returns false if its customer's limit is reached.
     #[must_use]
     pub fn admit_request(&mut self, customer: CustomerId, now: Time) -> bool {
         let quota = self.layout.quota(customer);
         self.usage_meter.admit(customer, quota, now)
     }
 
-    /// A caller's request that had entered has ended with `tokens` tokens.
+    /// Records the end of an admitted request that used `tokens` tokens.
     pub fn finish_request(&mut self, customer: CustomerId, tokens: u64, now: Time) {
         self.usage_meter.finish(customer, tokens, now);
     }
 
-    /// The caller went away while its request waited, or before its lease was used.
+    /// Drops a request whose caller went away while it waited, or before its lease was used.
     pub fn abandon(&mut self, id: u64, now: Time) -> Vec<Action> {
         self.check_for_pause(now);
         if let Some(pending) = self.lessee.pending.remove(&id) {
@@ -75,7 +75,7 @@
         self.drain(now)
     }
 
-    /// A lease is no longer needed.
+    /// Returns a lease that is no longer needed.
     pub fn return_lease(&mut self, id: u64, report: Report, now: Time) -> Vec<Action> {
         self.check_for_pause(now);
         self.return_held_lease(id, report, now);
@@ -91,7 +91,7 @@
         } else {
             self.send(grant.granter, Message::Return(grant.shard, vec![back.clone()]));
         }
-        // A new owner may have been told of this lease meanwhile.
+        // A new owner may have learned of this lease meanwhile.
         let owner = self.owner_of(grant.shard).filter(|o| *o != grant.granter || grant.local);
         if let (Some(owner), SchedulingMode::Owner) = (owner, self.mode) {
             self.send(owner, Message::Return(grant.shard, vec![back]));
@@ -111,7 +111,7 @@
         self.apply_local_decisions(decisions.unwrap_or_default());
     }
 
-    /// Finds the next hall for an ask: its own first, then others; refuses when none is left.
+    /// Finds the next hall for a request: its own first, then others. Refuses the request when none is left.
     pub(super) fn route(&mut self, id: u64, now: Time) {
         let Some(pending) = self.lessee.pending.get(&id) else { return };
         let own = self.layout.shards_in(&self.hall, &pending.serves);
@@ -127,10 +127,10 @@
         }
     }
 
-    /// The shard of a pool that this box uses.
+    /// Returns the shard of a pool that this box uses.
     ///
-    /// Where boxes are many, each keeps to one shard, so that it has leases to renew at few owners; in the
-    /// order of their names they are dealt out evenly. Where they are few, each uses all in turn.
+    /// With many boxes, each keeps to one shard, so that it has leases to renew at few owners; the boxes are
+    /// spread evenly by their position in the hall's list. With few boxes, each uses all shards in turn.
     fn shard_for_request(&self, shards: &[ShardId], id: u64) -> ShardId {
         let boxes = self.hall_boxes();
         let place = boxes.iter().position(|b| *b == self.me);
@@ -139,7 +139,8 @@
         shards[turn % shards.len()]
     }
 
-    /// Asks another hall as well for what has waited a part of its target in its own. The first grant wins.
+    /// Also requests a slot in another hall for each request that has waited for a fraction of its target in
+    /// its own. The first grant wins.
     pub(super) fn start_spillovers(&mut self, now: Time) {
         if self.mode != SchedulingMode::Owner || self.layout.shards.len() < 2 {
             return;
@@ -168,7 +169,7 @@
         self.send(owner, Message::RequestSlot(shard, request));
     }
 
-    /// The other hall no longer needs to answer.
+    /// Withdraws the request that was sent to another hall in addition.
     fn cancel_spillover(&mut self, id: u64) {
         let spill = self.lessee.pending.get_mut(&id).and_then(|p| p.spillover.take());
         if let Some((shard, owner)) = spill {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A shard of another hall that is in reach and hasn't refused the request.
+    /// Returns a shard of another hall that is reachable and has not refused the request.
     fn shard_in_other_hall(&self, pending: &PendingRequest, turn: u64) -> Option<ShardId> {
         let halls = self.layout.halls_for(&pending.serves);
         let open = |hall: &&&str| {
@@ -204,7 +205,7 @@
         self.out.push(Action::Refused(id, pending.refusal.unwrap_or(none)));
     }
 
-    /// Puts an ask where it can be decided in this hall: at the owner, or at this box alone.
+    /// Requests a slot in this hall, from the shard's owner or from the local scheduler.
     fn schedule_in_hall(&mut self, id: u64, shard: ShardId, now: Time) {
         let avoided = self.unresponsive_owners.get(&shard).is_some_and(|until| now < *until);
         let reachable = self.owner_of(shard).is_some();
--- a/crates/policy/src/key_history.rs
+++ b/crates/policy/src/key_history.rs
@@ -1,66 +1,67 @@
-//! Request keys: a request with a known key isn't run again.
+//! Request keys: a request with a known key is not run again.
 //!
-//! Keys are remembered by boxes that rendezvous hashing names for the key. A memory is only as old as
-//! its box, so it also says what it can't know: a key that may be older than the memory is proved new
-//! only if the key itself tells when it was made (UUID version 7).
+//! Keys are remembered by boxes that rendezvous hashing chooses for each key. A history is only as old as its
+//! box, so it also reports what it cannot know: a key that may be older than the history is proved new only
+//! if the key itself contains its creation time (UUID version 7).
 
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
 
-/// How long a key is remembered, in milliseconds.
+/// Time for which a key is remembered.
 pub const KEY_RETENTION_MS: u64 = 600_000;
 
-/// Most keys in one memory. When it is full the oldest go, and the memory says it is younger.
+/// Maximum number of keys in one history. When it is full, the oldest keys are evicted and the history counts
+/// as younger.
 const MAX_KEYS: usize = 1_000_000;
 
-/// Allowance for clocks that differ, in milliseconds. A memory younger than this proves nothing.
+/// Allowance for clocks that differ. A history younger than this proves nothing.
 pub const MAX_CLOCK_SKEW_MS: u64 = 2_000;
 
-/// A wish to run the request with this key.
+/// A request's claim to run under this key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Hash of customer and key.
+    /// Hash of the customer and the key.
     pub key: u64,
-    /// Tells deliveries of the same key apart.
+    /// Distinguishes deliveries of the same key.
     pub delivery: u64,
-    /// How long ago the key was made, where the key tells.
+    /// Age of the key, if the key contains its creation time.
     pub age_ms: Option<u64>,
 }
 
-/// What a memory knows of a key.
+/// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It was not used before; now it is.
+    /// The key was not used before; now it is.
     Fresh,
-    /// It was used before.
+    /// The key was used before.
     Repeat,
-    /// It wasn't seen, but it may be older than this memory.
+    /// The key was not seen, but it may be older than this history.
     Unproved,
 }
 
 /// The keys that one box remembers.
 #[derive(Clone, Debug)]
 pub struct KeyHistory {
-    /// Everything claimed since this moment is remembered.
+    /// All keys claimed since this time are remembered.
     since: Time,
-    /// Delivery and first answer by key. Every key in it is also in `order`.
+    /// Delivery and first verdict by key. Every key in it is also in `order`.
     keys: HashMap<u64, (u64, Verdict)>,
     order: VecDeque<(Time, u64)>,
 }
 
 impl KeyHistory {
-    /// An empty memory that begins now.
+    /// Creates an empty history that begins now.
     #[must_use]
     pub fn new(now: Time) -> Self {
         Self { since: now, keys: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// Answers a claim, and remembers the key unless it was known.
+    /// Answers a claim, and records the key unless it is known.
     pub fn claim(&mut self, claim: &Claim, now: Time) -> Verdict {
         self.expire_old(now);
         if let Some((delivery, verdict)) = self.keys.get(&claim.key) {
-            // The same delivery asks again when an answer was lost.
+            // The same delivery claims again if an answer was lost.
             return if *delivery == claim.delivery { *verdict } else { Verdict::Repeat };
         }
         let verdict = if self.is_provably_new(claim, now) { Verdict::Fresh } else { Verdict::Unproved };
@@ -69,7 +70,7 @@
         verdict
     }
 
-    /// True when a key that isn't in the memory was certainly never used.
+    /// Returns true if a key that is not in the history was certainly never used.
     fn is_provably_new(&self, claim: &Claim, now: Time) -> bool {
         let history_ms = now.since(self.since);
         match claim.age_ms {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Forgets a key that was claimed by this delivery and not used.
+    /// Removes a key that was claimed by this delivery and not used.
     pub fn unclaim(&mut self, claim: &Claim) {
         if self.keys.get(&claim.key).is_some_and(|(delivery, _)| *delivery == claim.delivery) {
             self.keys.remove(&claim.key);
@@ -101,13 +102,13 @@
         }
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of remembered keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// True when no key is remembered.
+    /// Returns true if no key is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -1,41 +1,41 @@
-//! A release as the decisions need it: shards, classes, weights and limits by short name.
+//! A release in the form that scheduling needs: shards, classes, weights and limits by id.
 
 use catalog::{Catalog, Class, ClassId, CustomerId, Pool, ServerId, ShardId, Upstream, UpstreamKind};
 use std::collections::{BTreeMap, HashMap};
 
-/// Servers that one owner looks after. A pool with more is cut into several shards.
+/// Intended number of servers per shard. A pool with more is split into several shards.
 pub const SERVERS_PER_SHARD: usize = 12;
 
 /// One shard: the part of a pool that one box owns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardSpec {
-    /// The shard's short name.
+    /// The shard's id.
     pub id: ShardId,
-    /// The pool it is part of.
+    /// The pool that it is part of.
     pub pool: Pool,
-    /// What its servers speak.
+    /// The kind of its servers.
     pub kind: UpstreamKind,
     /// Its servers. Never empty.
     pub servers: Vec<Upstream>,
 }
 
-/// A customer as the decisions need it.
+/// A customer's weight and limits in one hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
     /// Weight in the round robin, at least 1.
     pub weight: u32,
-    /// Most requests at once in one hall; 0 means no limit.
+    /// Maximum number of concurrent requests in one hall; 0 means no limit.
     pub max_concurrent: u32,
-    /// Most tokens a minute in one hall; 0 means no limit.
+    /// Maximum number of tokens per minute in one hall; 0 means no limit.
     pub max_tokens_per_minute: u64,
 }
 
-/// A release as the decisions need it.
+/// A release in the form that scheduling needs.
 #[derive(Clone, Debug, Default)]
 pub struct Layout {
-    /// Classes by short name.
+    /// Classes by id.
     pub classes: BTreeMap<ClassId, Class>,
-    /// Shards by short name.
+    /// Shards by id.
     pub shards: BTreeMap<ShardId, ShardSpec>,
     customers: HashMap<CustomerId, Quota>,
     serving: BTreeMap<String, BTreeMap<String, Vec<ShardId>>>,
@@ -43,7 +43,7 @@
 }
 
 impl Layout {
-    /// The layout of a checked release.
+    /// Builds the layout of a validated release.
     #[must_use]
     pub fn from_catalog(catalog: &Catalog) -> Self {
         let mut out = Self::default();
@@ -70,7 +70,7 @@
         for server in servers {
             let id = ServerId::of(&server.name);
             self.servers.insert(id, server.clone());
-            // By hash, so that a new server moves no other one while the number of parts stays.
+            // Assigned by hash, so that a new server moves no other one while the number of parts stays.
             let part = id.0 as usize % parts;
             let shard = ShardId::of(&format!("{}|{}|{part}", pool.hall, pool.serves));
             let spec = self.shards.entry(shard).or_insert_with(|| ShardSpec {
@@ -88,33 +88,34 @@
         }
     }
 
-    /// The shards of `hall` that serve `serves`.
+    /// Returns the shards of `hall` that serve `serves`.
     #[must_use]
     pub fn shards_in(&self, hall: &str, serves: &str) -> &[ShardId] {
         let halls = self.serving.get(serves);
         halls.and_then(|h| h.get(hall)).map_or(&[], Vec::as_slice)
     }
 
-    /// The halls that serve `serves`.
+    /// Returns the halls that serve `serves`.
     #[must_use]
     pub fn halls_for(&self, serves: &str) -> Vec<&str> {
         self.serving.get(serves).into_iter().flat_map(|h| h.keys()).map(String::as_str).collect()
     }
 
-    /// The server behind a short name.
+    /// Returns the server with this id.
     #[must_use]
     pub fn server(&self, id: ServerId) -> Option<&Upstream> {
         self.servers.get(&id)
     }
 
-    /// A customer's weight and limits; a customer not in this release has weight 1 and no limit.
+    /// Returns a customer's weight and limits. A customer that is not in this release has weight 1 and no
+    /// limit.
     #[must_use]
     pub fn quota(&self, id: CustomerId) -> Quota {
         let unknown = Quota { weight: 1, max_concurrent: 0, max_tokens_per_minute: 0 };
         self.customers.get(&id).copied().unwrap_or(unknown)
     }
 
-    /// A class; one that isn't in this release is treated as the least of all, but not starved.
+    /// Returns a class. One that is not in this release has the lowest rank, but is not starved.
     #[must_use]
     pub fn class(&self, id: ClassId) -> Class {
         let unknown = || Class { rank: u8::MAX, pass_after_ms: 5_000, first_token_ms: 60_000, ..Class::default() };
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -1,20 +1,20 @@
-//! The count of leases, which must come out even at every moment.
+//! The lease counts, which must balance at every moment.
 
-/// Leases of one shard, counted since its owner began.
+/// Lease counts of one shard since its owner began.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ledger {
     /// Granted here.
     pub granted: u64,
-    /// Taken over from what lessees told.
+    /// Adopted from lessees' lists.
     pub adopted: u64,
-    /// Handed back, or found to be gone when the lessee was asked.
+    /// Returned, or missing from the lessee's list.
     pub returned: u64,
-    /// Ended by their time limit.
+    /// Expired.
     pub expired: u64,
 }
 
 impl Ledger {
-    /// The invariant: `granted + adopted = held + returned + expired`.
+    /// Returns true if the invariant `granted + adopted = held + returned + expired` holds.
     #[must_use]
     pub fn is_balanced(&self, held: usize) -> bool {
         self.granted + self.adopted == held as u64 + self.returned + self.expired
--- a/crates/policy/src/lessee.rs
+++ b/crates/policy/src/lessee.rs
@@ -1,17 +1,17 @@
-//! The requesting side: what was asked for, and which leases this box holds.
+//! The lessee's side: requests for slots, and the leases that this box holds.
 
 use crate::{LeaseInfo, Message, Refusal, SlotRequest, Time};
 use catalog::{BoxId, ClassId, CustomerId, ServerId, ShardId};
 use std::collections::BTreeMap;
 
-/// Why a slot is wanted.
+/// The reason for which a slot is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The request has just come in.
+    /// The request has just arrived.
     First,
-    /// Its upstream failed; the retry budget pays for this.
+    /// Its upstream failed; this is charged to the retry budget.
     Failure,
-    /// It was recalled, or its permit was too old to be used.
+    /// It was recalled, or its permit had expired before it was used.
     Recall,
 }
 
@@ -26,92 +26,93 @@
     pub customer: CustomerId,
     /// Tokens expected in the answer.
     pub tokens: u32,
-    /// Hash of the prompt's beginning; 0 means none.
+    /// Hash of the prompt's prefix; 0 means none.
     pub prefix: u32,
     /// The request may be stopped and resumed.
     pub resumable: bool,
-    /// When the call came in.
+    /// The arrival of the call.
     pub arrived: Time,
-    /// Why a slot is wanted.
+    /// The reason for which a slot is requested.
     pub cause: Cause,
     /// A server on which the request has just failed.
     pub avoid: Option<ServerId>,
 }
 
-/// An ask that has no answer yet.
+/// A request for a slot that has neither been granted nor refused.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
-    /// As it was asked for; `age_ms` is set anew at each sending.
+    /// The request as it was sent; `age_ms` is updated each time.
     pub request: SlotRequest,
     /// The model or plain service.
     pub serves: String,
-    /// Where it waits.
+    /// The shard at which it waits.
     pub shard: ShardId,
-    /// Who was asked; this box itself when `local`.
+    /// The box that was asked; this box itself if `local`.
     pub owner: BoxId,
-    /// It waits at this box's own small share.
+    /// It waits in this box's local scheduler.
     pub local: bool,
-    /// When it was first sent to `owner`.
+    /// Time at which it was first sent to `owner`.
     pub first_sent: Time,
-    /// When it was last sent, the first time or again.
+    /// Time at which it was last sent.
     pub last_sent: Time,
-    /// When `owner` was last heard of about it.
+    /// Time of the last message from `owner` about it.
     pub confirmed: Option<Time>,
-    /// When the call came in.
+    /// The arrival of the call.
     pub arrived: Time,
-    /// Another hall's shard and owner that were asked as well, while it waits in its own.
+    /// Shard and owner in another hall that were asked in addition, while it waits in its own.
     pub spillover: Option<(ShardId, BoxId)>,
-    /// When another hall was last asked as well.
+    /// Time at which another hall was last asked in addition.
     pub last_spillover: Time,
-    /// Halls that have refused it.
+    /// Halls that have refused it or did not answer.
     pub tried_halls: Vec<String>,
-    /// The refusal of this box's own hall, which the caller gets in the end.
+    /// The refusal of this box's own hall, which the caller receives if no other hall grants a slot.
     pub refusal: Option<Refusal>,
 }
 
 /// A lease that this box holds.
 #[derive(Clone, Debug)]
 pub struct HeldLease {
-    /// Where it is from.
+    /// The shard that it belongs to.
     pub shard: ShardId,
-    /// Who granted it; this box itself for its own small share.
+    /// The box that granted it; this box itself for its own share.
     pub granter: BoxId,
-    /// It is from this box's own small share.
+    /// It was granted by this box's local scheduler.
     pub local: bool,
-    /// What an owner is told of it.
+    /// The lease as reported to owners.
     pub info: LeaseInfo,
 }
 
-/// What this box asked for and what it holds. A number is never in both at once.
+/// The pending requests and the leases of this box. An id is never in both at once.
 #[derive(Clone, Debug, Default)]
 pub struct Lessee {
-    /// Asks without an answer, by number.
+    /// Pending requests by id.
     pub pending: BTreeMap<u64, PendingRequest>,
-    /// Leases, by number.
+    /// Leases by id.
     pub leases: BTreeMap<u64, HeldLease>,
     last_id: u64,
 }
 
 impl Lessee {
-    /// A lessee whose numbers begin above `first`, so that a restarted box doesn't repeat any.
+    /// Creates a lessee whose ids begin above `first`, so that a restarted box does not use any of them
+    /// again.
     #[must_use]
     pub fn new(first: u64) -> Self {
         Self { last_id: first, ..Self::default() }
     }
 
-    /// A number that was not used before.
+    /// Returns an id that was not used before.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Everything held of `shard`.
+    /// Returns all leases of `shard`.
     #[must_use]
     pub fn leases_of(&self, shard: ShardId) -> Vec<LeaseInfo> {
         self.leases.values().filter(|g| g.shard == shard).map(|g| g.info.clone()).collect()
     }
 
-    /// The short form of [`Self::holding`], for each shard of which something is held.
+    /// Returns the short form of [`Self::leases_of`] for each shard with leases.
     #[must_use]
     pub fn renewals(&self) -> Vec<(ShardId, Message)> {
         let mut checksums: BTreeMap<ShardId, (u32, u64)> = BTreeMap::new();
@@ -124,7 +125,7 @@
     }
 }
 
-/// Mixes a lease's number so that checksums of different sets differ.
+/// Mixes a lease's id so that checksums of different sets differ.
 pub(crate) fn mix_lease_id(id: u64) -> u64 {
     id.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,11 @@
-//! The decisions: which request runs next, on which server, and what may be tried again.
+//! Scheduling decisions: which request runs next, on which server, and which may be retried.
 //!
-//! Everything here is a plain state machine. A message or the time goes in, actions come out;
-//! there is no network, no clock and no thread, so long random runs need no cluster. It isn't
-//! where bytes move (`gateway`, `upstream`, `wire`) or where boxes find each other (`fleet`).
+//! Everything here is a plain state machine: a message or the time goes in, actions come out. There is no
+//! network, no clock and no thread, so long random runs need no cluster. Bytes are moved elsewhere
+//! (`gateway`, `upstream`, `wire`), and boxes find each other in `fleet`.
 //!
-//! [`Broker`] is the whole of one box: it asks the [`Shard`] owners on behalf of its callers, and
-//! is itself the owner of the shards that rendezvous hashing gives it.
+//! [`Broker`] is the whole of one box: it requests slots from the [`Shard`] owners on behalf of its callers,
+//! and is itself the owner of the shards that rendezvous hashing assigns to it.
 
 mod broker;
 mod key_history;
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -1,13 +1,13 @@
-//! What boxes say to each other about leases, limits and request keys.
+//! Messages between boxes about leases, limits and request keys.
 
 use crate::{Claim, Usage, Verdict};
 use catalog::{ClassId, CustomerId, ServerId, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// A request for one slot, from the box that took the call to the shard's owner.
+/// A request for one slot, from the box that received the call to the shard's owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Unique at the asking box since it started; becomes the lease's number.
+    /// Unique at the requesting box since it started; becomes the lease's id.
     pub id: u64,
     /// The request's class.
     pub class: ClassId,
@@ -15,13 +15,13 @@
     pub customer: CustomerId,
     /// Tokens expected in the answer.
     pub tokens: u32,
-    /// Hash of the prompt's beginning, for warm servers; 0 means none.
+    /// Hash of the prompt's prefix, to find servers that have it cached; 0 means none.
     pub prefix: u32,
-    /// Milliseconds since the call came in, at the time of sending.
+    /// Milliseconds since the arrival of the call, at the time of sending.
     pub age_ms: u32,
     /// The request may be stopped and resumed.
     pub resumable: bool,
-    /// The request was accepted before: its upstream failed or it was recalled. It is never turned away as
+    /// The request was admitted before: its upstream failed or it was recalled. It is never refused as
     /// infeasible.
     pub begun: bool,
     /// The request came from another hall.
@@ -30,10 +30,10 @@
     pub avoid: Option<ServerId>,
 }
 
-/// Why a request was refused as not run.
+/// The reason for which a request was refused without being run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reason {
-    /// Its target can't be met, counting its own class and those above only.
+    /// Its target cannot be met, counting only its own class and those above.
     Infeasible,
     /// It waited longer than its class allows.
     Late,
@@ -41,53 +41,53 @@
     QueueFull,
     /// The customer's limit is reached.
     Limit,
-    /// No server for it is in service.
+    /// No server that serves it is in service.
     NoServer,
-    /// This box is stopping, or isn't ready.
+    /// This box is stopping or is not ready.
     NotReady,
-    /// The budget for retries is spent.
+    /// The retry budget is spent.
     NoBudget,
 }
 
-/// A refusal as not run.
+/// The refusal of a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// When to come back, in milliseconds. Never 0.
+    /// Milliseconds after which the caller should retry. Never 0.
     pub retry_ms: u32,
 }
 
-/// What a finished request showed of its server.
+/// Observations of a server from one finished request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Tokens passed on.
+    /// Tokens forwarded to the caller.
     pub tokens: u32,
     /// Milliseconds from sending to the first token; 0 if there was none.
     pub first_ms: u32,
     /// Mean time between tokens in tenths of a millisecond; 0 if there were fewer than two.
     pub between_tenths: u32,
-    /// The server failed, refused or broke off.
+    /// The server failed, refused the request or broke the connection.
     pub failed: bool,
     /// The lease was never used.
     pub unused: bool,
 }
 
-/// A lease handed back.
+/// A returned lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseReturn {
-    /// The lease.
+    /// The lease's id.
     pub id: u64,
-    /// What was seen of the server.
+    /// Observations of the server.
     pub report: Report,
 }
 
-/// One lease as its lessee knows it.
+/// A lease as its lessee reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseInfo {
-    /// The lease.
+    /// The lease's id.
     pub id: u64,
-    /// The server it is for.
+    /// The server that it is for.
     pub server: ServerId,
     /// The request's class.
     pub class: ClassId,
@@ -97,57 +97,58 @@
     pub resumable: bool,
 }
 
-/// A message between two boxes' decision code.
+/// A message between the brokers of two boxes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Lessee to owner: a slot, please.
+    /// Lessee to owner: requests a slot.
     #[serde(rename = "Ask")]
     RequestSlot(ShardId, SlotRequest),
-    /// Owner to lessee: these asks wait here, and the owner is alive.
+    /// Owner to lessee: these requests wait here. Also the owner's heartbeat.
     Queued(ShardId, Vec<u64>),
-    /// Lessee to owner: the ask is no longer wanted.
+    /// Lessee to owner: withdraws a request.
     Cancel(ShardId, u64),
-    /// Owner to lessee: use this server; `waited` counts from the call's arrival.
+    /// Owner to lessee: grants a slot at a server.
     Grant {
         /// The shard.
         shard: ShardId,
-        /// The ask's number, now the lease's.
+        /// The request's id, now the lease's.
         id: u64,
         /// The server to use.
         server: ServerId,
-        /// Milliseconds from the call's arrival at the lessee to the grant, at least: the ask's age when it
-        /// was sent, and its wait at the owner. No clock is shared, and no message's delay can stretch it.
+        /// Lower bound in milliseconds of the time from the call's arrival at the lessee to the grant: the
+        /// request's age when it was sent, plus its wait at the owner. It needs no shared clock, and no
+        /// message delay can stretch it.
         waited: u32,
     },
-    /// Owner to lessee: refused, not run.
+    /// Owner to lessee: refuses a request, which was not run.
     Refuse(ShardId, u64, Refusal),
-    /// Lessee to owner: leases handed back.
+    /// Lessee to owner: returns leases.
     Return(ShardId, Vec<LeaseReturn>),
-    /// Lessee to owner: I hold so many leases with this sum of numbers. Renews all if they agree.
+    /// Lessee to owner: number and checksum of the leases held. Renews all of them if the owner's agree.
     Renew {
         /// The shard.
         shard: ShardId,
-        /// How many leases are held.
+        /// Number of leases held.
         count: u32,
-        /// Exclusive-or of the leases' mix_lease_id numbers.
+        /// Exclusive-or of the mixed lease ids.
         sum: u64,
     },
-    /// Owner to lessee: tell me all that you hold.
+    /// Owner to lessee: asks for all leases held.
     Recover(ShardId),
-    /// Lessee to owner: all that I hold.
+    /// Lessee to owner: all leases held.
     Holding(ShardId, Vec<LeaseInfo>),
-    /// Owner to lessee: stop this request and ask again.
+    /// Owner to lessee: the request must be stopped and request a slot again.
     Recall(ShardId, u64),
-    /// Lessee to owner: this server is leaving, which the owner had not heard.
+    /// Lessee to owner: this server is leaving, which the owner did not know.
     Leaving(ShardId, ServerId),
-    /// Entry box to a key's keeper: may this run? The number pairs the answer.
+    /// Entry box to key owner: asks whether a request may run. The number matches the answer to it.
     Claim(u64, Claim),
-    /// Keeper to entry box.
+    /// Key owner to entry box: answers the claim with this number.
     Verdict(u64, Verdict),
-    /// Entry box to a key's keeper: the claim with this hash was not used, forget it.
+    /// Entry box to key owner: this claim was not used and is to be forgotten.
     Unclaim(Claim),
-    /// Entry box to a customer's keeper: what this box uses.
+    /// Entry box to the customer's owner: usage at this box.
     Usage(Vec<Usage>),
-    /// Keeper to entry box: what all other boxes of the hall use.
+    /// Customer's owner to entry box: usage at all other boxes of the hall.
     Others(Vec<Usage>),
 }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What may truthfully be said of a request, as types.
+//! States of a request, as types that allow only true claims about whether it ran.
 //!
 //! ```
 //! use policy::{Permit, Time, Unsent};
@@ -10,19 +10,19 @@
 
 use crate::Time;
 
-/// Whether a request ran, as far as anyone can know.
+/// Tells whether a request ran, as far as that can be known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ran {
-    /// It certainly didn't.
+    /// It certainly did not run.
     No,
-    /// It did.
+    /// It ran.
     Yes,
-    /// It may have.
+    /// It may have run.
     Unknown,
 }
 
 impl Ran {
-    /// The word used in the header towards callers.
+    /// Returns the value of the header sent to callers.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -33,14 +33,14 @@
     }
 }
 
-/// Leave to send one request once. It can't be cloned, and sending consumes it.
+/// Permission to send one request once. It cannot be cloned, and sending consumes it.
 #[derive(Debug)]
 pub struct Permit {
-    /// After this moment the slot may belong to somebody else.
+    /// After this time the slot may belong to another request.
     expires: Time,
 }
 
-/// The permit was too old to be used.
+/// The error for a permit that has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Expired;
 
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Sent {
     repeatable: bool,
-    /// Sends before this one that may have reached an upstream. 0 unless `repeatable`.
+    /// Earlier sends that may have reached an upstream. 0 unless `repeatable`.
     earlier_sends: u32,
 }
 
@@ -65,13 +65,14 @@
 }
 
 impl Permit {
-    /// A permit that ends at `expires`, on the clock that counts through a freeze.
+    /// Creates a permit that expires at `expires`, on a clock that keeps counting while the process is
+    /// frozen.
     #[must_use]
     pub fn new(expires: Time) -> Self {
         Self { expires }
     }
 
-    /// Consumes the permit, whether it was still good or not.
+    /// Consumes the permit, whether it is still valid or not.
     fn consume(self, now: Time) -> Result<(), Expired> {
         if now < self.expires {
             Ok(())
@@ -82,16 +83,16 @@
 }
 
 impl Unsent {
-    /// A request that has just come in.
+    /// Creates the state of a request that has just arrived.
     #[must_use]
     pub fn new(repeatable: bool) -> Self {
         Self { repeatable }
     }
 
-    /// Consumes the permit right before the first byte goes out.
+    /// Consumes the permit right before the first byte is sent.
     ///
     /// # Errors
-    /// Gives the request back unsent when the permit has expired.
+    /// Returns the request unsent if the permit has expired.
     pub fn send(self, permit: Permit, now: Time) -> Result<Sent, Unsent> {
         match permit.consume(now) {
             Ok(()) => Ok(Sent { repeatable: self.repeatable, earlier_sends: 0 }),
@@ -99,7 +100,7 @@
         }
     }
 
-    /// What is true of this request: it did not run. Consumes it, so it can't be sent afterwards.
+    /// Refuses the request, which did not run. Consumes it, so that it cannot be sent afterwards.
     #[must_use]
     pub fn refuse(self) -> Ran {
         Ran::No
@@ -107,10 +108,10 @@
 }
 
 impl Sent {
-    /// The connection was never made, so no byte of this send reached anybody.
+    /// Records that no connection was made, so that no byte of this send reached an upstream.
     ///
     /// # Errors
-    /// Gives a [`Resend`] where an earlier send may have reached an upstream.
+    /// Returns a [`Resend`] if an earlier send may have reached an upstream.
     pub fn connect_failed(self) -> Result<Unsent, Resend> {
         if self.earlier_sends == 0 {
             Ok(Unsent { repeatable: self.repeatable })
@@ -119,10 +120,10 @@
         }
     }
 
-    /// Another try, which only a repeatable request gets.
+    /// Allows another attempt, for repeatable requests only.
     ///
     /// # Errors
-    /// Gives the request back when it isn't repeatable.
+    /// Returns the request if it is not repeatable.
     pub fn retry(self) -> Result<Resend, Sent> {
         if self.repeatable {
             Ok(Resend { earlier_sends: self.earlier_sends + 1 })
@@ -131,7 +132,7 @@
         }
     }
 
-    /// What is true of a request that was sent: its upstream's answer says yes, silence says unknown.
+    /// Ends a request that was sent. It ran if its upstream answered, else that is unknown.
     #[must_use]
     pub fn finish(self, answered: bool) -> Ran {
         if answered {
@@ -143,10 +144,10 @@
 }
 
 impl Resend {
-    /// Consumes the permit right before the first byte goes out again.
+    /// Consumes the permit right before the first byte is sent again.
     ///
     /// # Errors
-    /// Gives the request back when the permit has expired.
+    /// Returns the request if the permit has expired.
     pub fn send(self, permit: Permit, now: Time) -> Result<Sent, Resend> {
         match permit.consume(now) {
             Ok(()) => Ok(Sent { repeatable: true, earlier_sends: self.earlier_sends }),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// What is true of a request given up on after a try that may have run.
+    /// Refuses the request after an attempt that may have run.
     #[must_use]
     pub fn refuse(self) -> Ran {
         Ran::Unknown
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -4,55 +4,55 @@
 use catalog::{BoxId, CustomerId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Tokens that one round gives a customer of weight 1.
+/// Tokens per round for a customer of weight 1.
 const QUANTUM_TOKENS: i64 = 64;
 
-/// A customer's debt or credit is never beyond this many tokens.
+/// Bound of a customer's debt and credit.
 const MAX_DEFICIT_TOKENS: i64 = 8_192;
 
-/// An ask that waits at its owner.
+/// A request that waits at its owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// The box that asked.
+    /// The requesting box.
     pub from: BoxId,
-    /// What it asked for.
+    /// The request.
     pub request: SlotRequest,
-    /// When the call came in at the asking box, as far as its age tells.
+    /// Arrival of the call at the requesting box, as computed from the request's age.
     pub arrived: Time,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Account {
     queue: VecDeque<QueuedRequest>,
-    /// Tokens the customer may still take in this round; within ±[`MAX_DEFICIT_TOKENS`].
+    /// Tokens that the customer may still use in this round; within ±[`MAX_DEFICIT_TOKENS`].
     deficit: i64,
 }
 
 /// The waiting requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    /// Customers with something waiting or a debt to work off.
+    /// Customers with waiting requests or a debt.
     accounts: BTreeMap<CustomerId, Account>,
-    /// Customers with something waiting, in the order of their turn.
+    /// Customers with waiting requests, in round-robin order.
     round: VecDeque<CustomerId>,
-    /// How many asks wait: the sum of all lines.
+    /// Number of waiting requests of all customers.
     count: usize,
 }
 
 impl Queue {
-    /// How many asks wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.count
     }
 
-    /// True when nothing waits.
+    /// Returns true if no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Puts an ask at the end of its customer's line.
+    /// Appends a request to its customer's queue.
     pub fn push(&mut self, waiting: QueuedRequest) {
         let customer = waiting.request.customer;
         let account = self.accounts.entry(customer).or_default();
@@ -63,7 +63,7 @@
         self.count += 1;
     }
 
-    /// Takes the next ask. `weight` gives a customer's weight.
+    /// Takes the next request. `weight` returns a customer's weight.
     pub fn pop(&mut self, weight: impl Fn(CustomerId) -> u32) -> Option<QueuedRequest> {
         loop {
             let customer = *self.round.front()?;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A customer with nothing waiting keeps its debt, but saves no credit.
+    /// Takes a customer without waiting requests out of the round. It keeps its debt, but saves no credit.
     fn deactivate(&mut self, customer: CustomerId) {
         self.round.retain(|c| *c != customer);
         if let Some(account) = self.accounts.get_mut(&customer) {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Corrects a customer's charge once the answer's true length is known.
+    /// Corrects a customer's charge once the actual length of the answer is known.
     pub fn adjust_charge(&mut self, customer: CustomerId, expected: u32, actual: u32) {
         let more = i64::from(actual) - i64::from(expected);
         let account = self.accounts.entry(customer).or_default();
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes one ask out of the line, wherever it stands.
+    /// Removes a request from any position.
     pub fn remove(&mut self, from: BoxId, id: u64) -> Option<QueuedRequest> {
         let mut found = None;
         for (customer, account) in &mut self.accounts {
@@ -123,32 +123,32 @@
         Some(waiting)
     }
 
-    /// True when the ask waits here.
+    /// Returns true if the request waits here.
     #[must_use]
     pub fn contains(&self, from: BoxId, id: u64) -> bool {
         self.iter().any(|w| w.from == from && w.request.id == id)
     }
 
-    /// All that waits, customer by customer.
+    /// Iterates over all waiting requests, customer by customer.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedRequest> {
         self.accounts.values().flat_map(|a| a.queue.iter())
     }
 
-    /// When the longest-waiting request's call came in.
+    /// Returns the arrival of the call that has waited longest.
     #[must_use]
     pub fn oldest(&self) -> Option<Time> {
-        // Each line is in order of coming, so its head is its oldest.
+        // Each customer's queue is in order of arrival, so its head is its oldest.
         self.accounts.values().filter_map(|a| a.queue.front()).map(|w| w.arrived).min()
     }
 
-    /// The longest-waiting request, out of turn.
+    /// Takes the request that has waited longest, out of turn.
     pub fn pop_oldest(&mut self) -> Option<QueuedRequest> {
         let oldest = self.accounts.values().filter_map(|a| a.queue.front()).min_by_key(|w| w.arrived)?;
         let (from, id) = (oldest.from, oldest.request.id);
         self.remove(from, id)
     }
 
-    /// Halves every debt, so that an old one doesn't weigh for ever. Called now and then.
+    /// Halves every debt, so that an old one does not count forever. Called from time to time.
     pub fn decay_debts(&mut self) {
         for account in self.accounts.values_mut() {
             account.deficit /= 2;
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,13 +1,13 @@
-//! The budget for retries: a share of good traffic, so that retries can't amplify an outage.
+//! The retry budget: a fraction of regular traffic, so that retries cannot amplify an outage.
 
-/// Retries earned by first tries and spent by further ones.
+/// Retries that are earned by first attempts and spent by further ones.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Retries that may be made now; never below 0 or above `most`.
+    /// Retries available now; never below 0 or above `max`.
     left: f64,
-    /// Retries earned by each first try.
+    /// Retries earned by each first attempt.
     share: f64,
-    /// Most retries that can be saved up.
+    /// Maximum number of retries that can be saved up.
     most: f64,
 }
 
@@ -18,12 +18,12 @@
 }
 
 impl RetryBudget {
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn record_first_attempt(&mut self) {
         self.left = (self.left + self.share).min(self.most);
     }
 
-    /// Takes one retry; false when none is left.
+    /// Takes one retry. Returns false if none is left.
     #[must_use]
     pub fn try_spend(&mut self) -> bool {
         if self.left < 1.0 {
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,62 +1,62 @@
-//! The border at which ways of deciding can be exchanged, and what a decision may be.
+//! The common interface of schedulers, and the decisions and actions that come out.
 
 use crate::{LeaseReturn, Load, Message, Refusal, SlotRequest, Time, Verdict};
 use catalog::{BoxId, ServerId, ShardId};
 use telemetry::Event;
 
-/// What a shard decided.
+/// A decision of a shard's scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Say this to that box, which may be this one.
+    /// Send this message to that box, which may be this one.
     Send(BoxId, Message),
-    /// Log this.
+    /// Log this event.
     Log(Event, String),
 }
 
-/// What a box's decision code wants done.
+/// An action that a box's broker asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this to that other box.
+    /// Send this message to that other box.
     Send(BoxId, Message),
     /// The caller's request has a lease.
     Granted {
-        /// The request's number.
+        /// The request's id.
         id: u64,
-        /// The shard that the lease is from.
+        /// The shard that the lease belongs to.
         shard: ShardId,
-        /// The owner that granted it; this box itself for its own small share.
+        /// The box that granted it; this box itself for its own share.
         granter: BoxId,
         /// The server to use.
         server: ServerId,
-        /// The lease must not be used from this moment on.
+        /// The lease must not be used from this time on.
         expires: Time,
     },
-    /// The caller's request is refused, not run.
+    /// The caller's request is refused and was not run.
     Refused(u64, Refusal),
-    /// The running request is to be stopped and asked for again.
+    /// The running request is to be stopped, and a slot requested for it again.
     Recalled(u64),
-    /// The answer to a request key's claim.
+    /// The result of a claim on a request key.
     Claimed(u64, Verdict),
-    /// Log this.
+    /// Log this event.
     Log(Event, String),
 }
 
-/// A way of deciding who runs next on the servers of one shard.
+/// A scheduler for the servers of one shard.
 pub trait Scheduler {
-    /// A box asks for a slot.
+    /// Handles a box's request for a slot.
     fn request_slot(&mut self, from: BoxId, ask: SlotRequest, now: Time) -> Vec<Decision>;
-    /// A box no longer wants the slot it asked for.
+    /// Handles a box's withdrawal of a request.
     fn cancel(&mut self, from: BoxId, id: u64, now: Time) -> Vec<Decision>;
-    /// A box hands a lease back.
+    /// Handles a box's return of a lease.
     fn return_lease(&mut self, from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision>;
-    /// A server's own report came in, late.
+    /// Handles a server's own load report, which is delayed.
     fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision>;
-    /// Time has passed.
+    /// Advances time.
     fn tick(&mut self, now: Time) -> Vec<Decision>;
-    /// Whoever holds the leases is known to hold them all still.
+    /// Renews all leases, which are known to be held still.
     fn renew_all(&mut self, now: Time);
-    /// Words of others said that a server is leaving, or no longer.
+    /// Marks a server as leaving or back, as reported by others than the server itself.
     fn set_leaving(&mut self, server: ServerId, leaving: bool);
-    /// How many asks wait.
+    /// Returns the number of waiting requests.
     fn queue_len(&self) -> usize;
 }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,40 +1,38 @@
-//! One server as its owner sees it: slots in use, speed, and whether it may get work.
+//! One server as its owner sees it: slots in use, speed and health.
 
 use crate::{Report, Speed, Time};
 use catalog::{ServerId, Upstream};
 
-/// Failures in a row after which a server gets probes only.
+/// Consecutive failures after which a server is ejected and gets probes only.
 const EJECT_AFTER_FAILURES: u32 = 3;
 
-/// First time without work after an ejection, in milliseconds; doubles up to the longest.
+/// First duration of an ejection. It doubles with each further one, up to the maximum.
 const EJECTION_BACKOFF_MS: u64 = 1_000;
-
-/// Longest time without work after an ejection, in milliseconds.
 const MAX_EJECTION_BACKOFF_MS: u64 = 30_000;
 
-/// A server too slow for a class is tried with one of its requests after this time without any answer, in
-/// milliseconds; the time doubles with each try, up to the longest.
+/// A server too slow for a class is sent one of its requests as a speed probe after this time without an
+/// answer. The interval doubles with each probe, up to the maximum.
 const SPEED_PROBE_INTERVAL_MS: u64 = 2_000;
 const MAX_SPEED_PROBE_INTERVAL_MS: u64 = 30_000;
 
-/// A strained server's slots shrink at most this often, in milliseconds.
+/// Minimum time between two reductions of an overloaded server's slot limit.
 const SHRINK_INTERVAL_MS: u64 = 1_000;
 
-/// A server's own report of its load. It describes a moment already past.
+/// A server's own load report. It describes a moment that has already passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests in its batch.
     pub running: u32,
-    /// Requests it holds in its own queue.
+    /// Requests in its own queue.
     pub waiting: u32,
-    /// It says that it is leaving.
+    /// It reports that it is leaving.
     pub leaving: bool,
 }
 
-/// What changed in a server's standing, for the log.
+/// A change of a server's health, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthChange {
-    /// It gets probes only.
+    /// It was ejected and gets probes only.
     Ejected,
     /// It gets its full share again.
     Restored,
@@ -43,43 +41,43 @@
 /// One server of a shard.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its short name.
+    /// Its id.
     pub id: ServerId,
     /// Its name in the upstreams file.
     pub name: String,
-    /// Slots that the file gives it.
+    /// Slots that the upstreams file gives it.
     pub slots: u32,
-    /// Slots it is slot_limit with now: 1 to `slots`.
+    /// Slots that may be granted now: 1 to `slots`.
     pub slot_limit: f64,
     /// Leases on it. May exceed `slot_limit` after adoption, never by a grant.
     pub used: u32,
-    /// How fast it has been.
+    /// Moving means of its response times.
     pub speed: Speed,
-    /// The upstreams file says that it is leaving.
+    /// The upstreams file marks it as leaving.
     pub leaving_by_config: bool,
-    /// The membership list, or a box that read it, says that it is leaving.
+    /// The membership list, or a box that has read it, marks it as leaving.
     pub leaving_by_membership: bool,
-    /// It says itself that it is leaving.
+    /// The server itself reports that it is leaving.
     pub leaving_by_report: bool,
-    /// The last prompt prefixes it served, newest last.
+    /// The last prompt prefixes that it served, newest last.
     pub warm_prefixes: std::collections::VecDeque<u32>,
     failures: u32,
     ejected_until: Option<Time>,
     ejected: bool,
     ejection_backoff_ms: u64,
     last_shrink: Time,
-    /// When it was last tried, or last gave an answer.
+    /// Time of the last speed probe or answer.
     last_sample: Time,
     speed_probe_interval_ms: u64,
-    /// A try has not been answered yet.
+    /// A speed probe has not been answered yet.
     speed_probe_pending: bool,
 }
 
-/// How many prompt prefixes are remembered for each server.
+/// Prompt prefixes that are remembered for each server.
 const MAX_WARM_PREFIXES: usize = 64;
 
 impl Server {
-    /// A server as the file describes it, slot_limit with `slots` slots.
+    /// Creates a server from its entry in the file, with a limit of `slots` slots.
     #[must_use]
     pub fn new(upstream: &Upstream, slots: u32) -> Self {
         Self {
@@ -104,13 +102,13 @@
         }
     }
 
-    /// True when any of the three words says so: the earliest counts.
+    /// Returns true if any of the three sources marks it as leaving, so that the earliest one counts.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.leaving_by_config || self.leaving_by_membership || self.leaving_by_report
     }
 
-    /// Slots that may be granted now.
+    /// Returns the number of slots that may be granted now.
     #[must_use]
     pub fn free_slots(&self, now: Time) -> u32 {
         if self.is_leaving() || self.ejected_until.is_some_and(|until| now < until) {
@@ -119,7 +117,7 @@
         (self.slot_limit as u32).saturating_sub(self.used)
     }
 
-    /// Slots that count as capacity: none while leaving or ejected.
+    /// Returns the number of slots that count as capacity: none while leaving or ejected.
     #[must_use]
     pub fn capacity(&self, now: Time) -> u32 {
         if self.is_leaving() || self.ejected_until.is_some_and(|until| now < until) {
@@ -128,26 +126,26 @@
         self.slot_limit as u32
     }
 
-    /// True when nothing has been heard of its speed for so long that it should be tried.
+    /// Returns true if its last sample is so old that a speed probe is due.
     #[must_use]
     pub fn should_probe_speed(&self, now: Time) -> bool {
         now.since(self.last_sample) >= self.speed_probe_interval_ms
     }
 
-    /// A request goes to it only to find out how fast it is now.
+    /// Records that a request is sent to it only to sample its current speed.
     pub fn begin_speed_probe(&mut self, now: Time) {
         self.last_sample = now;
         self.speed_probe_interval_ms = (self.speed_probe_interval_ms * 2).min(MAX_SPEED_PROBE_INTERVAL_MS);
         self.speed_probe_pending = true;
     }
 
-    /// True while failures keep it from its full share.
+    /// Returns true while failures keep it from its full share.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
         self.ejected
     }
 
-    /// Takes in what one request showed.
+    /// Records the observations of one request.
     pub fn record_report(&mut self, report: &Report, now: Time) -> Option<HealthChange> {
         if report.unused {
             return None;
@@ -176,7 +174,7 @@
         if self.failures < EJECT_AFTER_FAILURES {
             return None;
         }
-        // Many requests break at once when a server dies; only the first of them ejects it.
+        // Many requests fail at once when a server dies; only the first of them ejects it.
         if self.ejected_until.is_some_and(|until| now < until) {
             return None;
         }
@@ -196,7 +194,7 @@
     }
 
     fn grow(&mut self) {
-        // Slowly up: a whole slot needs two good answers.
+        // Grows slowly: a whole slot needs two good answers.
         self.slot_limit = (self.slot_limit + 0.5).min(f64::from(self.slots));
     }
 
@@ -211,7 +209,7 @@
         Some(HealthChange::Restored)
     }
 
-    /// Takes in the server's own report, which is late: it only ever lowers trust, and slowly.
+    /// Records the server's own load report. Since it is delayed, it only ever lowers the limit, and slowly.
     pub fn record_load(&mut self, load: Load, now: Time) {
         self.leaving_by_report = load.leaving;
         if load.waiting > 0 && now.since(self.last_shrink) >= SHRINK_INTERVAL_MS {
@@ -220,13 +218,13 @@
         }
     }
 
-    /// True when the server has lately served a prompt with this beginning.
+    /// Returns true if the server has recently served a prompt with this prefix.
     #[must_use]
     pub fn is_warm(&self, prefix: u32) -> bool {
         prefix != 0 && self.warm_prefixes.contains(&prefix)
     }
 
-    /// Remembers that the server serves a prompt with this beginning.
+    /// Records that the server serves a prompt with this prefix.
     pub fn record_prefix(&mut self, prefix: u32) {
         if prefix == 0 || self.is_warm(prefix) {
             return;
--- a/crates/policy/src/shard.rs
+++ b/crates/policy/src/shard.rs
@@ -1,4 +1,4 @@
-//! The owner's side of one shard: one queue, leases on slots, and the order of grants.
+//! The owner of one shard: its queues, the leases on its slots, and the order of grants.
 
 mod admission;
 mod dispatch;
@@ -14,53 +14,55 @@
 use std::rc::Rc;
 use telemetry::Event;
 
-/// How long a lease lives without being renewed, in milliseconds.
+/// Lifetime of a lease that is not renewed.
 pub const LEASE_TTL_MS: u64 = 3_000;
 
-/// How long a new owner waits for its lessees' answers, in milliseconds.
+/// Maximum time for which a new owner waits for its lessees' lists of leases.
 pub const RECOVERY_TIMEOUT_MS: u64 = 300;
 
-/// Every lessee with something waiting hears from the owner this often, in milliseconds.
+/// Interval of the owner's heartbeats to each lessee with waiting requests.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 100;
 
-/// A lease younger than this isn't taken as gone because its lessee didn't name it.
+/// Minimum age at which a lease counts as gone when its lessee does not list it. Younger grants may still be
+/// in transit.
 const LEASE_GRACE_MS: u64 = 1_000;
 
-/// Most asks of one class that wait at one shard.
+/// Maximum number of waiting requests of one class at one shard.
 const MAX_QUEUED_PER_CLASS: usize = 4_096;
 
-/// Most of a shard's capacity that other halls may use, as a divisor; and where the request is urgent.
+/// Divisors of a shard's capacity that give the part which other halls may use, in general and for urgent
+/// requests.
 const REMOTE_CAPACITY_DIVISOR: u32 = 4;
 const URGENT_REMOTE_CAPACITY_DIVISOR: u32 = 2;
 
-/// A request that was accepted before isn't given up before this age, in milliseconds.
+/// Minimum age at which a request that was admitted before is given up.
 const MIN_READMITTED_TIMEOUT_MS: u64 = 60_000;
 
-/// A request that isn't urgent is pressed once this part of its target has gone by, as a divisor.
+/// A request that is not urgent justifies a recall once this fraction of its target has passed. Given as a
+/// divisor.
 const RECALL_TARGET_DIVISOR: u64 = 4;
 
-/// Headroom after recalls: time in which half of it fades, in milliseconds, and its most as a divisor of
-/// the capacity.
+/// Headroom after recalls: the time in which it halves, and its maximum as a divisor of the capacity.
 const HEADROOM_HALF_LIFE_MS: f64 = 1_000.0;
 const HEADROOM_CAPACITY_DIVISOR: f64 = 3.0;
 
-/// A class whose target between tokens a server misses by this factor isn't sent there.
+/// A server that misses a class's target between tokens by this factor is not used for the class.
 const UNFIT_GAP_FACTOR: f64 = 1.5;
 
-/// Part of the first-token time that a warm prompt prefix saves.
+/// Fraction of the first-token time that a warm prompt prefix saves.
 const WARM_PREFIX_SAVING_RATIO: f64 = 0.7;
 
-/// Guess of a lease's length before any has ended: milliseconds, and milliseconds a token.
+/// Estimated duration of a lease before any has ended: a fixed part, and a part per token.
 const DEFAULT_HOLD_MS: f64 = 200.0;
 const DEFAULT_HOLD_MS_PER_TOKEN: f64 = 20.0;
 
-/// Time over which a class's slots are averaged for its floor, in milliseconds.
+/// Time constant with which a class's slots are averaged for its floor.
 const FLOOR_AVERAGE_WINDOW_MS: f64 = 10_000.0;
 
-/// Expected waits are taken as this much longer, so that what is admitted is in time.
+/// Factor on expected waits, so that admitted requests are in time.
 const WAIT_MARGIN_FACTOR: f64 = 1.25;
 
-/// How often old debts of customers fade, in milliseconds.
+/// Interval at which customers' old debts decay.
 const DEBT_DECAY_INTERVAL_MS: u64 = 10_000;
 
 #[derive(Clone, Debug)]
@@ -70,14 +72,14 @@
     customer: CustomerId,
     tokens: u32,
     granted: Time,
-    /// Milliseconds from the call's arrival at the lessee to the grant, at least.
+    /// Lower bound in milliseconds of the time from the call's arrival at the lessee to the grant.
     waited: u32,
     /// Never earlier than `granted`.
     renewed: Time,
     resumable: bool,
     remote: bool,
     recalled: bool,
-    /// Given out of turn because of its age.
+    /// Granted out of turn because of its age.
     out_of_turn: bool,
 }
 
@@ -87,26 +89,26 @@
     awaiting: BTreeSet<BoxId>,
 }
 
-/// The owner's side of one shard.
+/// The owner's state of one shard.
 #[derive(Clone, Debug)]
 pub struct Shard {
-    /// The shard's short name.
+    /// The shard's id.
     pub id: ShardId,
-    /// The servers, in the file's order.
+    /// The servers, in the order of the upstreams file.
     pub servers: Vec<Server>,
-    /// The count of leases; even at every moment.
+    /// The lease counts, which balance at every moment.
     pub ledger: Ledger,
     layout: Rc<Layout>,
     queues: BTreeMap<ClassId, Queue>,
     leases: BTreeMap<(BoxId, u64), Lease>,
-    /// Leases by class: counts `leases`, so that no decision has to.
+    /// Number of leases by class, kept so that no decision has to count `leases`.
     running: BTreeMap<ClassId, u32>,
     hold_ms: BTreeMap<ClassId, f64>,
-    /// Slots that each class has had on average of late.
+    /// Moving average of the slots that each class has used.
     average_slots: BTreeMap<ClassId, f64>,
     averaged_at: Time,
     recovery: Option<Recovery>,
-    /// Slots kept free of requests that would be recalled again at once: rises with each recall, then fades.
+    /// Slots kept free of requests that would be recalled again at once. Rises with each recall, then decays.
     headroom: f64,
     headroom_at: Time,
     last_heartbeat: Time,
@@ -118,7 +120,7 @@
 // Set-up
 
 impl Shard {
-    /// An owner that grants every slot of `spec`'s servers.
+    /// Creates an owner that grants every slot of `spec`'s servers.
     #[must_use]
     pub fn new(spec: &ShardSpec, layout: Rc<Layout>) -> Self {
         let mut shard = Self {
@@ -143,7 +145,7 @@
         shard
     }
 
-    /// Takes over a release: servers that stay keep what is known of them.
+    /// Applies a release. Servers that stay keep their state.
     pub fn set_layout(&mut self, layout: Rc<Layout>) {
         let spec = layout.shards.get(&self.id).cloned();
         self.layout = layout;
@@ -153,7 +155,8 @@
         }
     }
 
-    /// Sets the servers, with `slots` of each; a server that is gone from the file takes no new work.
+    /// Sets the servers, each with the slots that `slots` returns. A server that is gone from the file gets
+    /// no new work.
     pub fn set_servers(&mut self, spec: &ShardSpec, slots: impl Fn(&catalog::Upstream, ServerId) -> u32) {
         let mut next = Vec::new();
         for upstream in &spec.servers {
@@ -176,7 +179,7 @@
         self.servers = next;
     }
 
-    /// Asks `boxes` what they hold, and grants nothing until they have answered or the wait is over.
+    /// Asks `boxes` for their leases, and grants nothing until they have answered or the time is over.
     pub fn recover(&mut self, boxes: &[BoxId], now: Time) -> Vec<Decision> {
         for to in boxes {
             self.decisions.push(Decision::Send(*to, Message::Recover(self.id)));
@@ -185,31 +188,31 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// True while lessees are being asked.
+    /// Returns true while lessees are being asked for their leases.
     #[must_use]
     pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
-    /// How many leases are held.
+    /// Returns the number of leases.
     #[must_use]
     pub fn lease_count(&self) -> usize {
         self.leases.len()
     }
 
-    /// How many asks of each class wait.
+    /// Returns the number of waiting requests of each class.
     #[must_use]
     pub fn queue_depths(&self) -> Vec<(ClassId, usize)> {
         self.queues.iter().map(|(class, queue)| (*class, queue.len())).collect()
     }
 
-    /// Milliseconds that a request of this class would wait now, as admission sees it.
+    /// Returns the milliseconds that a new request of this class would wait, as admission estimates it.
     #[must_use]
     pub fn expected_wait_ms(&self, class: ClassId, now: Time) -> u64 {
         self.wait_ms(&self.layout.class(class), class, now)
     }
 
-    /// True when nothing waits here and nothing is held.
+    /// Returns true if no request waits and no lease is held.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.leases.is_empty() && self.queue_len() == 0
--- a/crates/policy/src/shard/admission.rs
+++ b/crates/policy/src/shard/admission.rs
@@ -1,4 +1,4 @@
-//! Which asks an owner takes, and when it gives one up.
+//! Admission of requests at the owner, and their time-out.
 
 use super::*;
 use crate::queue_timeout::queue_timeout_ms;
@@ -8,7 +8,7 @@
         self.servers.iter().map(|s| s.capacity(now)).sum()
     }
 
-    /// Slots of the servers that are fast enough for a class.
+    /// Returns the capacity of the servers that are fast enough for a class.
     fn capacity_for(&self, class: &Class, now: Time) -> u32 {
         self.servers.iter().filter(|s| self.is_fit(s, class)).map(|s| s.capacity(now)).sum()
     }
@@ -17,7 +17,7 @@
         self.running.get(&class).copied().unwrap_or(0)
     }
 
-    /// Puts a lease in; the one that had its place, which there never should be, comes back.
+    /// Inserts a lease. Returns the previous one under the same key, which should never exist.
     pub(super) fn insert_lease(&mut self, key: (BoxId, u64), lease: Lease) -> Option<Lease> {
         *self.running.entry(lease.class).or_insert(0) += 1;
         let old = self.leases.insert(key, lease);
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Slots that a class may always use while it has work.
+    /// Returns the number of slots that a class may always use while it has work.
     fn floor_slots(&self, class: &Class, capacity: u32) -> u32 {
         if class.floor == 0.0 || capacity < 2 {
             return 0;
@@ -41,16 +41,17 @@
         ((class.floor * f64::from(capacity)) as u32).max(1)
     }
 
-    /// True while a class has had less than its floor, now and on average of late.
+    /// Returns true while a class has fewer slots than its floor, both now and on average.
     ///
-    /// The average is what makes the floor bearable: a class that had plenty before a short urgent burst
-    /// gives way for its length, and one that had nothing gets its floor at once.
+    /// The average makes the floor bearable for urgent classes: a class that had plenty of slots before a
+    /// short urgent burst yields for the length of the burst, and one that had none gets its floor at once.
     pub(super) fn is_below_floor(&self, id: ClassId, class: &Class, capacity: u32) -> bool {
         let floor = self.floor_slots(class, capacity);
         self.running_count(id) < floor && self.average_slots.get(&id).copied().unwrap_or(0.0) < f64::from(floor)
     }
 
-    /// Slots of a class that may not be recalled: its floor, unless it had more than that of late.
+    /// Returns the slots of a class that may not be recalled: its floor, unless it has had more than that on
+    /// average.
     pub(super) fn protected_slots(&self, id: ClassId, class: &Class, capacity: u32) -> u32 {
         let floor = self.floor_slots(class, capacity);
         let had = self.average_slots.get(&id).copied().unwrap_or(0.0);
@@ -76,7 +77,7 @@
         self.hold_ms.get(&class).copied().unwrap_or(DEFAULT_HOLD_MS + DEFAULT_HOLD_MS_PER_TOKEN * 50.0)
     }
 
-    /// Wait of a new request, counting only what stands before it in its own rank or above.
+    /// Estimates the wait of a new request, counting only what is ahead of it in its own rank or above.
     pub(super) fn wait_ms(&self, class: &Class, id: ClassId, now: Time) -> u64 {
         let capacity = self.capacity_for(class, now);
         let mut reserved_for_lower = 0;
@@ -109,7 +110,7 @@
         if request.remote && !self.has_room_for_remote(request.class, &class, now) {
             return Err(refusal(Reason::Infeasible, wait));
         }
-        // The server's own time to the first token counts as well, as far as it is known.
+        // The servers' best time to the first token counts as well, as far as it is known.
         let first = self.servers.iter().map(|s| s.speed.first_ms).fold(f64::INFINITY, f64::min);
         let first = if first.is_finite() { first as u64 } else { 0 };
         if !request.begun && wait > 0 && u64::from(request.age_ms) + wait + first > class.first_token_ms {
@@ -118,10 +119,11 @@
         Ok(())
     }
 
-    /// Other halls' requests use a bounded part of the capacity.
+    /// Returns true if a request from another hall may be admitted. Such requests use a bounded part of the
+    /// capacity.
     ///
-    /// An urgent one may also wait for a slot that a lesser request has to give back: refusing it while
-    /// reviews run here would shed it for them. Any other takes only what is free.
+    /// An urgent one may also wait for a slot that a lower class has to give back: refusing it while requests
+    /// like batch reviews run here would shed it in their favour. Any other takes only free slots.
     fn has_room_for_remote(&self, id: ClassId, class: &Class, now: Time) -> bool {
         let capacity = self.capacity(now);
         let running = self.leases.values().filter(|l| l.remote).count();
--- a/crates/policy/src/shard/dispatch.rs
+++ b/crates/policy/src/shard/dispatch.rs
@@ -1,8 +1,8 @@
-//! Who goes next, and on which server.
+//! The order of grants, and the choice of servers.
 
 use super::*;
 
-/// The class whose turn it is, and whether it goes out of turn because of its age.
+/// The class to serve next, and whether its oldest request goes out of turn because of its age.
 struct Turn {
     class: ClassId,
     out_of_turn: bool,
@@ -21,7 +21,7 @@
         self.recall_leases(now);
     }
 
-    /// Headroom that is left of earlier recalls.
+    /// Returns the headroom that is left from earlier recalls.
     pub(super) fn headroom(&self, now: Time) -> f64 {
         self.headroom * 0.5_f64.powf(now.since(self.headroom_at) as f64 / HEADROOM_HALF_LIFE_MS)
     }
@@ -32,33 +32,34 @@
         self.headroom_at = now;
     }
 
-    /// A class that would only be recalled again leaves the headroom free, but never its floor.
+    /// Returns true if the class may take a slot. A preemptible class, which would only be recalled again,
+    /// leaves the headroom free, but always gets its floor.
     fn respects_headroom(&self, id: ClassId, class: &Class, now: Time) -> bool {
         let free: u32 = self.servers.iter().map(|s| s.free_slots(now)).sum();
         let above_floor = !self.is_below_floor(id, class, self.capacity(now));
         !class.preemptible || !above_floor || f64::from(free) > self.headroom(now)
     }
 
-    /// Classes with something waiting and a server that may take it.
+    /// Returns the classes with waiting requests and a server that can take one.
     fn ready_classes(&self, now: Time) -> Vec<(ClassId, Class)> {
         let waiting = self.queues.iter().filter(|(_, queue)| !queue.is_empty());
         let classes = waiting.map(|(id, _)| (*id, self.layout.class(*id)));
         classes.filter(|(_, class)| self.servers.iter().any(|s| self.can_take(s, class, now))).collect()
     }
 
-    /// A server far too slow for a class isn't used for it while a better one is in service.
+    /// Returns true if the server is fast enough for the class, or if no better one is in service.
     pub(super) fn is_fit(&self, server: &Server, class: &Class) -> bool {
         let most = UNFIT_GAP_FACTOR * class.between_tokens_ms as f64;
         let slow = |s: &Server| s.speed.between_ms > most;
         !slow(server) || !self.servers.iter().any(|s| !slow(s) && !s.is_leaving() && !s.is_ejected())
     }
 
-    /// A server with a free slot that is fast enough, or has to be tried.
+    /// Returns true for a server with a free slot that is fast enough or due for a speed probe.
     fn can_take(&self, server: &Server, class: &Class, now: Time) -> bool {
         server.free_slots(now) > 0 && (self.is_fit(server, class) || self.should_probe_speed(server, class, now))
     }
 
-    /// A slow server of which nothing was heard for a while: its slowness may be over.
+    /// Returns true for a slow server without a recent sample, since it may have recovered.
     fn should_probe_speed(&self, server: &Server, class: &Class, now: Time) -> bool {
         server.should_probe_speed(now) && (server.speed.is_degraded() || !self.is_fit(server, class))
     }
@@ -80,7 +81,8 @@
         Some(Turn { class: *id, out_of_turn: false })
     }
 
-    /// An aged request passes, one at a time for each class.
+    /// Returns true if the class's oldest request may go out of turn because of its age, one at a time for
+    /// each class.
     fn may_go_out_of_turn(&self, id: ClassId, class: &Class, now: Time) -> bool {
         let oldest = self.queues[&id].oldest().unwrap_or(now);
         class.pass_after_ms > 0
@@ -92,7 +94,7 @@
         let class = self.layout.class(request.class);
         let candidates: Vec<usize> =
             (0..self.servers.len()).filter(|i| self.can_take(&self.servers[*i], &class, now)).collect();
-        // One that has to be tried would never be the cheapest.
+        // A server that is due for a speed probe would never be the cheapest.
         let needs_probe = |i: &&usize| {
             let server = &self.servers[**i];
             Some(server.id) != request.avoid && self.should_probe_speed(server, &class, now)
@@ -109,7 +111,8 @@
         })
     }
 
-    /// Expected milliseconds of the answer, more where slots are scarce, less where the prompt is warm.
+    /// Returns the expected milliseconds of the answer, more where slots are scarce, less where the prompt's
+    /// prefix is warm.
     fn cost(&self, server: &Server, request: &SlotRequest) -> f64 {
         let saved = if server.is_warm(request.prefix) { WARM_PREFIX_SAVING_RATIO * server.speed.first_ms } else { 0.0 };
         let base = server.speed.expected_ms(request.tokens) - saved + 1.0;
@@ -157,13 +160,14 @@
         let grant = Message::Grant { shard: self.id, id: request.id, server: lease.server, waited: lease.waited };
         self.ledger.granted += 1;
         if self.insert_lease((waiting.from, request.id), lease).is_some() {
-            // `ask` refuses a number that is held, so this can't be.
+            // `request_slot` answers for an id that has a lease already, so this cannot happen.
             self.report_violation(Event::LeaseCountBroken, "a lease was granted twice");
         }
         self.decisions.push(Decision::Send(waiting.from, grant));
     }
 
-    /// The invariant at each grant: above its floor, a class never goes before an urgent one that could run.
+    /// Checks the invariant of each grant: above its floor, a class never goes before an urgent one that
+    /// could run.
     fn check_grant_order(&mut self, turn: &Turn, index: usize, now: Time) {
         let class = self.layout.class(turn.class);
         let entitled = turn.out_of_turn || self.is_below_floor(turn.class, &class, self.capacity(now));
@@ -185,9 +189,9 @@
         self.decisions.push(Decision::Log(event, format!("shard={} {detail}", self.id)));
     }
 
-    /// Asks lesser requests to step back where higher ones are pressed and no slot is free for them.
+    /// Recalls leases of lower classes where higher ones are short of time and no slot is free for them.
     ///
-    /// Only a request that an engine can resume is recalled, so no token is generated twice.
+    /// Only a request that an engine can resume is recalled, so that no token is generated twice.
     pub(super) fn recall_leases(&mut self, now: Time) {
         let mut pending_recalls = self.leases.values().filter(|l| l.recalled).count();
         let mut waiting_by_rank: Vec<(u8, usize)> = Vec::new();
@@ -211,7 +215,7 @@
         }
     }
 
-    /// The newest lease of the least class that is above its floor and can be resumed.
+    /// Returns the newest lease of the lowest class that is above its floor and can be resumed.
     fn recall_candidate(&self, rank: u8, now: Time) -> Option<(BoxId, u64)> {
         let capacity = self.capacity(now);
         let staying = |id: ClassId| self.leases.values().filter(|l| l.class == id && !l.recalled).count() as u32;
@@ -232,7 +236,8 @@
     }
 }
 
-/// An urgent request is pressed from the start, any other once a part of its target has gone by.
+/// Returns true if a waiting request justifies a recall: an urgent one at once, any other once a fraction of
+/// its target has passed.
 fn needs_recall(class: &Class, waiting: &QueuedRequest, now: Time) -> bool {
     class.urgent || now.since(waiting.arrived) * RECALL_TARGET_DIVISOR >= class.first_token_ms
 }
--- a/crates/policy/src/shard/leases.rs
+++ b/crates/policy/src/shard/leases.rs
@@ -1,17 +1,19 @@
-//! Leases: renewal, recovery, expiry.
+//! Leases: renewal, recovery and expiry.
 
 use super::*;
 use crate::lessee::mix_lease_id;
 
 impl Shard {
-    /// A lessee says how many leases it holds: all are renewed if that agrees, else it is asked for the list.
+    /// Renews all leases of a lessee if its count and checksum agree with the owner's, else asks it for the
+    /// full list.
     ///
-    /// Grants may be on their way to it. They arrive in order, so what it doesn't know of yet are the newest.
+    /// Grants may still be in transit to the lessee. They arrive in order, so those that it does not know yet
+    /// are the newest.
     pub fn renew(&mut self, from: BoxId, count: u32, sum: u64, now: Time) -> Vec<Decision> {
         let here = self.leases.iter().filter(|((holder, _), _)| *holder == from);
         let mut known: Vec<(Time, u64)> = here.map(|((_, id), lease)| (lease.granted, *id)).collect();
         if known.len() as u32 > count {
-            // Only then are the newest looked for; nearly every renewal agrees as it is.
+            // Sorted only in this case, since nearly every renewal agrees as it is.
             known.sort_unstable();
         }
         let mut seen = known.iter().fold(0, |sum, (_, id)| sum ^ mix_lease_id(*id));
@@ -34,7 +36,8 @@
         std::mem::take(&mut self.decisions)
     }
 
-    /// A lessee told all that it holds: unknown leases are adopted, missing ones are gone.
+    /// Reconciles the owner's state with all leases of a lessee: unknown ones are adopted, missing ones are
+    /// removed.
     pub fn reconcile(&mut self, from: BoxId, held: &[LeaseInfo], now: Time) -> Vec<Decision> {
         let named: BTreeSet<u64> = held.iter().map(|h| h.id).collect();
         let gone: Vec<u64> = self
@@ -64,7 +67,7 @@
             lease.renewed = now;
             return;
         }
-        // Got from another owner or from the lessee's own share: it no longer waits here.
+        // Granted by another owner or by the lessee's local scheduler, so the request no longer waits here.
         if let Some(queue) = self.queues.get_mut(&held.class) {
             queue.remove(from, held.id);
         }
@@ -126,7 +129,7 @@
         self.last_heartbeat = now;
         let mut ids: BTreeMap<BoxId, Vec<u64>> = BTreeMap::new();
         for waiting in self.queues.values().flat_map(Queue::iter) {
-            // One number is enough: the message says that the owner lives.
+            // One id is enough, since the message serves as a heartbeat.
             ids.entry(waiting.from).or_insert_with(|| vec![waiting.request.id]);
         }
         for (to, ids) in ids {
@@ -168,7 +171,8 @@
 
 impl Scheduler for Shard {
     fn request_slot(&mut self, from: BoxId, request: SlotRequest, now: Time) -> Vec<Decision> {
-        // A lessee that hears nothing asks again, and the network may deliver twice: say the same again.
+        // A lessee without an answer sends its request again, and the network may duplicate messages: repeat
+        // the answer.
         if let Some(lease) = self.leases.get(&(from, request.id)) {
             let (server, waited) = (lease.server, lease.waited);
             self.decisions
--- a/crates/policy/src/speed.rs
+++ b/crates/policy/src/speed.rs
@@ -1,24 +1,24 @@
-//! How fast a server is, as its answers showed.
+//! The speed of a server, from the answers that it gave.
 
 use crate::Report;
 
 /// Weight of a new sample in the moving means.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// The same for the answer to a try: what was known is old by then.
+/// Weight of a speed probe's sample, since the earlier means are old by then.
 const PROBE_SAMPLE_WEIGHT: f64 = 0.5;
 
-/// How fast the reference may rise; it falls at once.
+/// Weight with which the reference rises towards the mean; it falls at once.
 const REFERENCE_RISE_WEIGHT: f64 = 0.002;
 
-/// Moving means of a server's times.
+/// Moving means of a server's response times.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Speed {
     /// Milliseconds to the first token; 0 before the first sample.
     pub first_ms: f64,
     /// Milliseconds between tokens; 0 before the first sample.
     pub between_ms: f64,
-    /// The best `between_ms` of late, rising slowly.
+    /// The best recent `between_ms`, rising slowly.
     pub reference_ms: f64,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Speed {
-    /// Takes in what one request showed; one that was sent as a try counts for more.
+    /// Records the observations of one request. A speed probe has a higher weight.
     pub fn record(&mut self, report: &Report, was_probe: bool) {
         let weight = if was_probe { PROBE_SAMPLE_WEIGHT } else { SAMPLE_WEIGHT };
         if report.first_ms > 0 {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// True when the server is much slower between tokens than at its best.
+    /// Returns true if the server is much slower between tokens than at its best.
     #[must_use]
     pub fn is_degraded(&self) -> bool {
         self.reference_ms > 0.0 && self.between_ms > 2.0 * self.reference_ms
     }
 
-    /// Milliseconds that an answer of `tokens` tokens is expected to take.
+    /// Returns the expected milliseconds of an answer of `tokens` tokens.
     #[must_use]
     pub fn expected_ms(&self, tokens: u32) -> f64 {
         self.first_ms + self.between_ms * f64::from(tokens)
--- a/crates/policy/src/two_choices.rs
+++ b/crates/policy/src/two_choices.rs
@@ -1,4 +1,4 @@
-//! The simpler ways, kept as baselines: each box decides alone, by lagged reports.
+//! Baseline schedulers: each box decides on its own, by delayed load reports.
 
 use crate::queue_timeout::queue_timeout_ms;
 use crate::{
@@ -11,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// In which order a box alone serves what waits in it.
+/// The order in which a box without coordination serves its waiting requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDiscipline {
     /// First come, first served.
     Arrival,
-    /// By the classes' rank, then first come, first served.
+    /// By class rank, then first come, first served.
     Class,
 }
 
@@ -25,13 +25,13 @@
     id: ServerId,
     slots: u32,
     leaving: bool,
-    /// What the server last said, at some past moment.
+    /// The server's last load report, which describes a past moment.
     load: Load,
-    /// Sent there by this box since that report.
+    /// Requests that this box has sent there since that report.
     sent_since_report: u32,
 }
 
-/// A box that decides alone for one shard: best of two servers by their lagged reports.
+/// A scheduler for one shard without coordination: the better of two random servers by their delayed reports.
 #[derive(Debug)]
 pub struct TwoChoices {
     shard: ShardId,
@@ -44,7 +44,7 @@
 }
 
 impl TwoChoices {
-    /// A decider for `spec`, with a seed for its choices of two.
+    /// Creates a scheduler for `spec`, with a seed for its random choices.
     #[must_use]
     pub fn new(spec: &ShardSpec, layout: Rc<Layout>, discipline: QueueDiscipline, seed: u64) -> Self {
         let servers = spec.servers.iter().map(|upstream| ServerView {
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -1,9 +1,10 @@
 //! Customers' limits across the boxes of a hall, without a shared counter.
 //!
-//! Each box tells the customer's keeper (a box named by rendezvous hashing) what it uses; the keeper
-//! answers with what all others use. A box then admits by its local exact figure plus the others' late
-//! one. Only customers whose use changed are last_reported, and seldom those whose requests merely run on.
-//! Halls don't speak of this: each has its share, the limit divided by the number of halls.
+//! Each box reports its usage to the customer's owner (a box chosen by rendezvous hashing), which answers
+//! with the usage of all other boxes. A box then admits by its own exact usage plus the others' delayed one.
+//! Only customers whose usage changed are reported at once; those whose requests merely keep running are
+//! reported rarely. Halls do not exchange usage: each has its share, the limit divided by the number of
+//! halls.
 
 use crate::layout::Quota;
 use crate::Time;
@@ -11,23 +12,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Length of the window for tokens, in milliseconds.
+/// Length of the sliding window for tokens.
 const TOKEN_WINDOW_MS: u64 = 60_000;
 
-/// A box's word is forgotten after this many milliseconds, unless it is repeated.
+/// Time after which a box's report is dropped unless it is repeated.
 const USAGE_TTL_MS: u64 = TOKEN_WINDOW_MS;
 
-/// What a box uses of a customer is last_reported again after this time, in milliseconds, should a message be lost.
+/// Interval at which unchanged usage is reported again, in case a message was lost.
 const REPORT_INTERVAL_MS: u64 = 25_000;
 
-/// What a customer uses, at one box or at several.
+/// A customer's usage, at one box or at several.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// The customer.
     pub customer: CustomerId,
-    /// Requests now running or waiting.
+    /// Requests that are running or waiting.
     pub running: u32,
-    /// Tokens passed on within the last minute.
+    /// Tokens forwarded within the last minute.
     pub tokens: u64,
 }
 
@@ -36,7 +37,8 @@
     running: u32,
     token_log: VecDeque<(Time, u64)>,
     tokens: u64,
-    /// Its keeper has to hear of it: the use changed, or a request was turned away by what may be old.
+    /// Its owner has to be sent a report: the usage changed, or a request was refused by a figure that may be
+    /// old.
     changed: bool,
     last_reported: Time,
 }
@@ -53,7 +55,7 @@
     }
 }
 
-/// The entry box's side: what passes here, and what others were last said to use.
+/// The entry box's side: its own usage, and the last reported usage of the other boxes.
 #[derive(Clone, Debug, Default)]
 pub struct UsageMeter {
     local: BTreeMap<CustomerId, LocalUsage>,
@@ -61,7 +63,7 @@
 }
 
 impl UsageMeter {
-    /// Admits one more request of `customer`, or says that its limit is reached.
+    /// Admits one more request of `customer`. Returns false if its limit is reached.
     #[must_use]
     pub fn admit(&mut self, customer: CustomerId, quota: Quota, now: Time) -> bool {
         let others = self.others.get(&customer).filter(|(at, _)| now.since(*at) < USAGE_TTL_MS);
@@ -79,7 +81,7 @@
         true
     }
 
-    /// A request of `customer` has ended with `tokens` tokens.
+    /// Records the end of a request of `customer` that used `tokens` tokens.
     pub fn finish(&mut self, customer: CustomerId, tokens: u64, now: Time) {
         let local = self.local.entry(customer).or_default();
         local.running = local.running.saturating_sub(1);
@@ -88,7 +90,7 @@
         local.tokens += tokens;
     }
 
-    /// What to tell the owners: customers whose use changed, or of whom nothing was said for long.
+    /// Returns the usage to report: customers whose usage changed, or that were not reported for long.
     pub fn usage_to_report(&mut self, now: Time) -> Vec<Usage> {
         let mut usages = Vec::new();
         for (customer, local) in &mut self.local {
@@ -103,12 +105,12 @@
         usages
     }
 
-    /// Boxes came or went, and with them owners: all that is used has to be last_reported anew.
+    /// Marks all usage to be reported anew, since the boxes and with them the customers' owners have changed.
     pub fn mark_all_changed(&mut self) {
         self.local.values_mut().for_each(|local| local.changed = true);
     }
 
-    /// A keeper said what all other boxes use.
+    /// Records the usage of all other boxes, as a customer's owner reports it.
     pub fn record_others(&mut self, usages: &[Usage], now: Time) {
         self.others.retain(|_, (at, _)| now.since(*at) < USAGE_TTL_MS);
         for usage in usages {
@@ -117,14 +119,14 @@
     }
 }
 
-/// The keeper's side: what each box last said of each customer.
+/// The owner's side: the last report of each box for each customer.
 #[derive(Clone, Debug, Default)]
 pub struct UsageTable {
     reports: BTreeMap<CustomerId, BTreeMap<BoxId, (Time, Usage)>>,
 }
 
 impl UsageTable {
-    /// Takes in what `from` uses, and gives what all others use of the same customers.
+    /// Records the usage at `from`, and returns the usage of all other boxes for the same customers.
     pub fn record(&mut self, from: BoxId, usages: &[Usage], now: Time) -> Vec<Usage> {
         let mut answer = Vec::new();
         for usage in usages {
@@ -142,14 +144,14 @@
         answer
     }
 
-    /// Forgets what boxes said that aren't there any more.
+    /// Drops the reports of all but `boxes`.
     pub fn retain_boxes(&mut self, boxes: &BTreeSet<BoxId>) {
         for reports in self.reports.values_mut() {
             reports.retain(|id, _| boxes.contains(id));
         }
     }
 
-    /// Forgets customers of whom nobody speaks any more.
+    /// Drops customers without a recent report.
     pub fn expire(&mut self, now: Time) {
         self.reports.retain(|_, boxes| boxes.values().any(|(at, _)| now.since(*at) < USAGE_TTL_MS));
     }
