--- a/crates/policy/src/broker.rs
+++ b/crates/policy/src/broker.rs
@@ -161,8 +161,8 @@
 
     /// Applies a change of the boxes. `boxes` may own shards and keys, and include this box unless it is
     /// stopping; `leaving_boxes` are boxes of this hall that only hold leases any more.
-    pub fn set_boxes(&mut self, boxes: BTreeMap<String, Vec<BoxId>>, leavers: Vec<BoxId>, now: Time) -> Vec<Action> {
-        self.leaving_boxes = leavers;
+    pub fn set_boxes(&mut self, boxes: BTreeMap<String, Vec<BoxId>>, leaving_boxes: Vec<BoxId>, now: Time) -> Vec<Action> {
+        self.leaving_boxes = leaving_boxes;
         if boxes == self.boxes {
             return Vec::new();
         }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -10,7 +10,7 @@
 
 use crate::Time;
 
-/// Tells whether a request ran, as far as that can be known.
+/// The state of knowledge about whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ran {
     /// It certainly did not run.
