--- a/crates/policy/src/broker.rs
+++ b/crates/policy/src/broker.rs
@@ -112,7 +112,7 @@
     last_tick: Time,
     last_renewal: Time,
     inbox: VecDeque<(BoxId, Message)>,
-    out: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 // ----------------------------------------------------------------------------
@@ -144,7 +144,7 @@
             last_tick: now,
             last_renewal: now,
             inbox: VecDeque::new(),
-            out: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -161,14 +161,19 @@
 
     /// Applies a change of the boxes. `boxes` may own shards and keys, and include this box unless it is
     /// stopping; `leaving_boxes` are boxes of this hall that only hold leases any more.
-    pub fn set_boxes(&mut self, boxes: BTreeMap<String, Vec<BoxId>>, leaving_boxes: Vec<BoxId>, now: Time) -> Vec<Action> {
+    pub fn set_boxes(
+        &mut self,
+        boxes: BTreeMap<String, Vec<BoxId>>,
+        leaving_boxes: Vec<BoxId>,
+        now: Time,
+    ) -> Vec<Action> {
         self.leaving_boxes = leaving_boxes;
         if boxes == self.boxes {
             return Vec::new();
         }
         self.boxes = boxes;
-        let here: BTreeSet<BoxId> = self.lessee_boxes().into_iter().collect();
-        self.usage_table.retain_boxes(&here);
+        let lessees: BTreeSet<BoxId> = self.lessee_boxes().into_iter().collect();
+        self.usage_table.retain_boxes(&lessees);
         self.usage_meter.mark_all_changed();
         self.update_ownership(now);
         self.drop_idle_local_schedulers();
@@ -212,7 +217,7 @@
         self.owned.insert(id, shard);
         let detail =
             format!("shard={id} hall={} serves={}", shard_hall(&self.layout, id), shard_serves(&self.layout, id));
-        self.out.push(Action::Log(Event::OwnerBegan, detail));
+        self.actions.push(Action::Log(Event::OwnerBegan, detail));
         self.apply_decisions(decisions);
     }
 
@@ -226,7 +231,7 @@
             .collect();
         for id in ended {
             self.owned.remove(&id);
-            self.out.push(Action::Log(Event::OwnerEnded, format!("shard={id}")));
+            self.actions.push(Action::Log(Event::OwnerEnded, format!("shard={id}")));
         }
     }
 
@@ -293,7 +298,7 @@
             return;
         }
         self.last_tick = now;
-        self.out.push(Action::Log(Event::PauseNoticed, format!("ms={paused}")));
+        self.actions.push(Action::Log(Event::PauseNoticed, format!("ms={paused}")));
         let boxes = self.lessee_boxes();
         let ids: Vec<ShardId> = self.owned.keys().copied().collect();
         for id in ids {
@@ -377,8 +382,8 @@
         self.owner_of(shard)
     }
 
-    /// Returns the servers whose load this box should poll: those of the shards that it owns or schedules on
-    /// its own.
+    /// Returns the servers whose load this box should poll: those of the shards that it owns or schedules
+    /// locally.
     #[must_use]
     pub fn polled_servers(&self) -> Vec<ServerId> {
         let mine = |id: &ShardId| self.owned.contains_key(id) || self.local_schedulers.contains_key(id);
--- a/crates/policy/src/broker/fallback.rs
+++ b/crates/policy/src/broker/fallback.rs
@@ -23,22 +23,22 @@
     fn open_local_scheduler(&mut self, shard: ShardId) -> bool {
         let Some(spec) = self.layout.shards.get(&shard) else { return false };
         let layout = Rc::clone(&self.layout);
-        let mut decider: Box<dyn Scheduler> = match self.mode {
+        let mut scheduler: Box<dyn Scheduler> = match self.mode {
             SchedulingMode::Uncoordinated(discipline) => {
                 let seed = u64::from(self.me.0) ^ u64::from(shard.0);
                 Box::new(TwoChoices::new(spec, layout, discipline, seed))
             }
             SchedulingMode::Owner => {
-                let mut own = Shard::new(spec, layout);
-                own.set_servers(spec, |upstream, id| self.local_slots(upstream.slots, id));
-                own.servers.iter_mut().for_each(|s| s.slot_limit = f64::from(s.slots));
-                let detail = format!("shard={shard} slots={}", own.servers.iter().map(|s| s.slots).sum::<u32>());
-                self.out.push(Action::Log(Event::LocalFallback, detail));
-                Box::new(own)
+                let mut share = Shard::new(spec, layout);
+                share.set_servers(spec, |upstream, id| self.local_slots(upstream.slots, id));
+                share.servers.iter_mut().for_each(|s| s.slot_limit = f64::from(s.slots));
+                let detail = format!("shard={shard} slots={}", share.servers.iter().map(|s| s.slots).sum::<u32>());
+                self.actions.push(Action::Log(Event::LocalFallback, detail));
+                Box::new(share)
             }
         };
-        self.leaving_servers.iter().for_each(|server| decider.set_leaving(*server, true));
-        self.local_schedulers.insert(shard, decider);
+        self.leaving_servers.iter().for_each(|server| scheduler.set_leaving(*server, true));
+        self.local_schedulers.insert(shard, scheduler);
         true
     }
 
@@ -57,9 +57,9 @@
             return;
         }
         let used: Vec<ShardId> = self.lessee.leases.values().filter(|g| g.local).map(|g| g.shard).collect();
-        let waits = |id: &ShardId| self.lessee.pending.values().any(|p| p.local && p.shard == *id);
+        let has_waiting = |id: &ShardId| self.lessee.pending.values().any(|p| p.local && p.shard == *id);
         let idle: Vec<ShardId> =
-            self.local_schedulers.keys().filter(|id| !used.contains(id) && !waits(id)).copied().collect();
+            self.local_schedulers.keys().filter(|id| !used.contains(id) && !has_waiting(id)).copied().collect();
         for id in idle {
             self.local_schedulers.remove(&id);
         }
@@ -89,9 +89,9 @@
         }
     }
 
-    fn move_to_owner(&mut self, shard: ShardId, most: usize, now: Time) {
-        let here = self.lessee.pending.iter().filter(|(_, p)| p.local && p.shard == shard);
-        let ids: Vec<u64> = here.map(|(id, _)| *id).take(most).collect();
+    fn move_to_owner(&mut self, shard: ShardId, max_count: usize, now: Time) {
+        let waiting = self.lessee.pending.iter().filter(|(_, p)| p.local && p.shard == shard);
+        let ids: Vec<u64> = waiting.map(|(id, _)| *id).take(max_count).collect();
         for id in ids {
             let decisions = self.local_schedulers.get_mut(&shard).map(|s| s.cancel(self.me, id, now));
             self.apply_local_decisions(decisions.unwrap_or_default());
@@ -104,36 +104,36 @@
 
     pub(super) fn bypass_silent_owners(&mut self, now: Time) {
         let silent = |p: &PendingRequest, target: u64| {
-            let patience = OWNER_TIMEOUT_MS.min(target / OWNER_TIMEOUT_TARGET_DIVISOR).max(1);
+            let timeout = OWNER_TIMEOUT_MS.min(target / OWNER_TIMEOUT_TARGET_DIVISOR).max(1);
             match p.confirmed {
-                None => now.since(p.first_sent) >= patience,
+                None => now.since(p.first_sent) >= timeout,
                 Some(at) => now.since(at) >= OWNER_SILENCE_TIMEOUT_MS,
             }
         };
-        let gone: Vec<u64> = self
+        let unanswered: Vec<u64> = self
             .lessee
             .pending
             .iter()
             .filter(|(_, p)| !p.local && silent(p, self.layout.class(p.request.class).first_token_ms))
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in unanswered {
             self.bypass_owner(id, now);
         }
     }
 
     /// Resends requests whose answer may have been lost. An owner answers a duplicate as it did before.
     pub(super) fn resend_requests(&mut self, now: Time) {
-        let mut again = Vec::new();
+        let mut resends = Vec::new();
         for pending in self.lessee.pending.values_mut().filter(|p| !p.local) {
             if now.since(pending.last_sent) < RESEND_INTERVAL_MS {
                 continue;
             }
             pending.last_sent = now;
             pending.request.age_ms = now.since(pending.arrived) as u32;
-            again.push((pending.owner, Message::RequestSlot(pending.shard, pending.request.clone())));
+            resends.push((pending.owner, Message::RequestSlot(pending.shard, pending.request.clone())));
         }
-        for (owner, message) in again {
+        for (owner, message) in resends {
             self.send(owner, message);
         }
     }
--- a/crates/policy/src/broker/keys.rs
+++ b/crates/policy/src/broker/keys.rs
@@ -76,7 +76,7 @@
         } else {
             self.send_unclaims(&pending.claim, &pending.accepted_by);
         }
-        self.out.push(Action::Claimed(number, verdict));
+        self.actions.push(Action::Claimed(number, verdict));
     }
 
     fn send_unclaims(&mut self, claim: &Claim, owners: &[BoxId]) {
--- a/crates/policy/src/broker/messages.rs
+++ b/crates/policy/src/broker/messages.rs
@@ -14,14 +14,14 @@
         while let Some((from, message)) = self.inbox.pop_front() {
             self.handle_message(from, message, now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     pub(super) fn send(&mut self, to: BoxId, message: Message) {
         if to == self.me {
             self.inbox.push_back((to, message));
         } else {
-            self.out.push(Action::Send(to, message));
+            self.actions.push(Action::Send(to, message));
         }
     }
 
@@ -29,7 +29,7 @@
         for decision in decisions {
             match decision {
                 Decision::Send(to, message) => self.send(to, message),
-                Decision::Log(event, detail) => self.out.push(Action::Log(event, detail)),
+                Decision::Log(event, detail) => self.actions.push(Action::Log(event, detail)),
             }
         }
     }
@@ -42,9 +42,9 @@
                     self.on_grant(self.me, true, (shard, id, server, waited));
                 }
                 Decision::Send(_, Message::Refuse(_, id, refusal)) => self.record_refusal(id, true, refusal),
-                Decision::Send(_, Message::Recall(_, id)) => self.out.push(Action::Recalled(id)),
+                Decision::Send(_, Message::Recall(_, id)) => self.actions.push(Action::Recalled(id)),
                 Decision::Send(..) => {}
-                Decision::Log(event, detail) => self.out.push(Action::Log(event, detail)),
+                Decision::Log(event, detail) => self.actions.push(Action::Log(event, detail)),
             }
         }
     }
@@ -60,13 +60,13 @@
                 self.with_owned_shard(shard, |s| s.request_slot(from, request, now))
             }
             Message::Cancel(shard, id) => self.with_owned_shard(shard, |s| s.cancel(from, id, now)),
-            Message::Return(shard, backs) => {
-                for back in backs {
-                    self.with_owned_shard(shard, |s| s.return_lease(from, &back, now));
+            Message::Return(shard, returns) => {
+                for returned in returns {
+                    self.with_owned_shard(shard, |s| s.return_lease(from, &returned, now));
                 }
             }
             Message::Renew { shard, count, sum } => self.with_owned_shard(shard, |s| s.renew(from, count, sum, now)),
-            Message::Holding(shard, held) => self.with_owned_shard(shard, |s| s.reconcile(from, &held, now)),
+            Message::Holding(shard, leases) => self.with_owned_shard(shard, |s| s.reconcile(from, &leases, now)),
             Message::Queued(shard, ids) => self.on_queued(from, shard, &ids, now),
             Message::Grant { shard, id, server, .. }
                 if self.leaving_servers.contains(&server) && self.lessee.pending.contains_key(&id) =>
@@ -87,12 +87,12 @@
                 }
             }
             Message::Recover(shard) => {
-                let held = self.lessee.leases_of(shard);
-                self.send(from, Message::Holding(shard, held));
+                let leases = self.lessee.leases_of(shard);
+                self.send(from, Message::Holding(shard, leases));
             }
             Message::Recall(_, id) => {
                 if self.lessee.leases.contains_key(&id) {
-                    self.out.push(Action::Recalled(id));
+                    self.actions.push(Action::Recalled(id));
                 }
             }
             Message::Leaving(_, server) => self.mark_server_leaving(server, true),
@@ -140,7 +140,7 @@
 
     fn on_grant(&mut self, from: BoxId, local: bool, grant: (ShardId, u64, ServerId, u32)) {
         let (shard, id, server, waited) = grant;
-        if self.lessee.leases.get(&id).is_some_and(|held| held.granter == from && held.shard == shard) {
+        if self.lessee.leases.get(&id).is_some_and(|lease| lease.granter == from && lease.shard == shard) {
             // A duplicate of the same grant.
             return;
         }
@@ -172,7 +172,7 @@
         // A lower bound of the time of the grant, however messages were delayed or duplicated.
         let granted = pending.arrived.after(u64::from(waited));
         let expires = granted.after(crate::shard::LEASE_TTL_MS);
-        self.out.push(Action::Granted { id, shard, granter: from, server, expires });
+        self.actions.push(Action::Granted { id, shard, granter: from, server, expires });
     }
 
     /// Returns a grant on a leaving server and sends the request again. The owner did not know that the
--- a/crates/policy/src/broker/requests.rs
+++ b/crates/policy/src/broker/requests.rs
@@ -8,7 +8,7 @@
         self.check_for_pause(now);
         let id = self.lessee.next_id();
         if let Err(reason) = self.check_retry_budget(acquire.cause) {
-            self.out.push(Action::Refused(id, Refusal { reason, retry_ms: 1_000 }));
+            self.actions.push(Action::Refused(id, Refusal { reason, retry_ms: 1_000 }));
             return (id, self.drain(now));
         }
         let request = SlotRequest {
@@ -68,7 +68,7 @@
     pub fn abandon(&mut self, id: u64, now: Time) -> Vec<Action> {
         self.check_for_pause(now);
         if let Some(pending) = self.lessee.pending.remove(&id) {
-            self.cancel(&pending, now);
+            self.cancel_request(&pending, now);
         }
         let unused = Report { unused: true, ..Report::default() };
         self.return_held_lease(id, unused, now);
@@ -83,22 +83,23 @@
     }
 
     fn return_held_lease(&mut self, id: u64, report: Report, now: Time) {
-        let Some(grant) = self.lessee.leases.remove(&id) else { return };
-        let back = LeaseReturn { id, report };
-        if grant.local {
-            let decisions = self.local_schedulers.get_mut(&grant.shard).map(|s| s.return_lease(self.me, &back, now));
+        let Some(lease) = self.lessee.leases.remove(&id) else { return };
+        let returned = LeaseReturn { id, report };
+        if lease.local {
+            let decisions =
+                self.local_schedulers.get_mut(&lease.shard).map(|s| s.return_lease(self.me, &returned, now));
             self.apply_local_decisions(decisions.unwrap_or_default());
         } else {
-            self.send(grant.granter, Message::Return(grant.shard, vec![back.clone()]));
+            self.send(lease.granter, Message::Return(lease.shard, vec![returned.clone()]));
         }
         // A new owner may have learned of this lease meanwhile.
-        let owner = self.owner_of(grant.shard).filter(|o| *o != grant.granter || grant.local);
+        let owner = self.owner_of(lease.shard).filter(|o| *o != lease.granter || lease.local);
         if let (Some(owner), SchedulingMode::Owner) = (owner, self.mode) {
-            self.send(owner, Message::Return(grant.shard, vec![back]));
+            self.send(owner, Message::Return(lease.shard, vec![returned]));
         }
     }
 
-    pub(super) fn cancel(&mut self, pending: &PendingRequest, now: Time) {
+    pub(super) fn cancel_request(&mut self, pending: &PendingRequest, now: Time) {
         if let Some((shard, owner)) = pending.spillover {
             self.send(owner, Message::Cancel(shard, pending.request.id));
         }
@@ -133,9 +134,9 @@
     /// spread evenly by their position in the hall's list. With few boxes, each uses all shards in turn.
     fn shard_for_request(&self, shards: &[ShardId], id: u64) -> ShardId {
         let boxes = self.hall_boxes();
-        let place = boxes.iter().position(|b| *b == self.me);
-        let many = boxes.len() >= MIN_AFFINITY_BOXES_PER_SHARD * shards.len();
-        let turn = place.filter(|_| many).unwrap_or(id as usize);
+        let position = boxes.iter().position(|b| *b == self.me);
+        let has_affinity = boxes.len() >= MIN_AFFINITY_BOXES_PER_SHARD * shards.len();
+        let turn = position.filter(|_| has_affinity).unwrap_or(id as usize);
         shards[turn % shards.len()]
     }
 
@@ -145,12 +146,12 @@
         if self.mode != SchedulingMode::Owner || self.layout.shards.len() < 2 {
             return;
         }
-        let pressed = |p: &PendingRequest| {
+        let is_due = |p: &PendingRequest| {
             let target = self.layout.class(p.request.class).first_token_ms;
             let wait = (target / SPILLOVER_TARGET_DIVISOR).clamp(MIN_SPILLOVER_DELAY_MS, MAX_SPILLOVER_DELAY_MS);
             !p.request.remote && p.spillover.is_none() && now.since(p.last_spillover) >= wait
         };
-        let ids: Vec<u64> = self.lessee.pending.iter().filter(|(_, p)| pressed(p)).map(|(id, _)| *id).collect();
+        let ids: Vec<u64> = self.lessee.pending.iter().filter(|(_, p)| is_due(p)).map(|(id, _)| *id).collect();
         for id in ids {
             self.start_spillover(id, now);
         }
@@ -171,8 +172,8 @@
 
     /// Withdraws the request that was sent to another hall in addition.
     fn cancel_spillover(&mut self, id: u64) {
-        let spill = self.lessee.pending.get_mut(&id).and_then(|p| p.spillover.take());
-        if let Some((shard, owner)) = spill {
+        let spillover = self.lessee.pending.get_mut(&id).and_then(|p| p.spillover.take());
+        if let Some((shard, owner)) = spillover {
             self.send(owner, Message::Cancel(shard, id));
         }
     }
@@ -180,13 +181,13 @@
     /// Returns a shard of another hall that is reachable and has not refused the request.
     fn shard_in_other_hall(&self, pending: &PendingRequest, turn: u64) -> Option<ShardId> {
         let halls = self.layout.halls_for(&pending.serves);
-        let open = |hall: &&&str| {
+        let available = |hall: &&&str| {
             **hall != self.hall
                 && !pending.tried_halls.iter().any(|t| t == **hall)
                 && self.boxes.get(**hall).is_some_and(|b| !b.is_empty())
         };
-        let open: Vec<&&str> = halls.iter().filter(open).collect();
-        let hall = open.get(turn as usize % open.len().max(1))?;
+        let available: Vec<&&str> = halls.iter().filter(available).collect();
+        let hall = available.get(turn as usize % available.len().max(1))?;
         let shards = self.layout.shards_in(hall, &pending.serves);
         shards.get(turn as usize % shards.len().max(1)).copied()
     }
@@ -201,15 +202,15 @@
 
     pub(super) fn refuse_request(&mut self, id: u64) {
         let Some(pending) = self.lessee.pending.remove(&id) else { return };
-        let none = Refusal { reason: Reason::NoServer, retry_ms: 1_000 };
-        self.out.push(Action::Refused(id, pending.refusal.unwrap_or(none)));
+        let no_server = Refusal { reason: Reason::NoServer, retry_ms: 1_000 };
+        self.actions.push(Action::Refused(id, pending.refusal.unwrap_or(no_server)));
     }
 
     /// Requests a slot in this hall, from the shard's owner or from the local scheduler.
     fn schedule_in_hall(&mut self, id: u64, shard: ShardId, now: Time) {
-        let avoided = self.unresponsive_owners.get(&shard).is_some_and(|until| now < *until);
+        let in_backoff = self.unresponsive_owners.get(&shard).is_some_and(|until| now < *until);
         let reachable = self.owner_of(shard).is_some();
-        if self.mode == SchedulingMode::Owner && reachable && !avoided {
+        if self.mode == SchedulingMode::Owner && reachable && !in_backoff {
             self.send_request(id, shard, now);
         } else {
             self.request_local_slot(id, shard, now);
--- a/crates/policy/src/layout.rs
+++ b/crates/policy/src/layout.rs
@@ -46,9 +46,9 @@
     /// Builds the layout of a validated release.
     #[must_use]
     pub fn from_catalog(catalog: &Catalog) -> Self {
-        let mut out = Self::default();
+        let mut layout = Self::default();
         for class in &catalog.classes {
-            out.classes.insert(ClassId::of(&class.name), class.clone());
+            layout.classes.insert(ClassId::of(&class.name), class.clone());
         }
         let halls = catalog.hall_count();
         for customer in &catalog.customers {
@@ -57,12 +57,12 @@
                 max_concurrent: customer.concurrent.div_ceil(halls as u32),
                 max_tokens_per_minute: customer.tokens_per_minute.div_ceil(halls as u64),
             };
-            out.customers.insert(CustomerId::of(&customer.name), quota);
+            layout.customers.insert(CustomerId::of(&customer.name), quota);
         }
         for (pool, servers) in &catalog.pools {
-            out.add_pool(pool, servers);
+            layout.add_pool(pool, servers);
         }
-        out
+        layout
     }
 
     fn add_pool(&mut self, pool: &Pool, servers: &[Upstream]) {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -97,9 +97,9 @@
 
     /// Corrects a customer's charge once the actual length of the answer is known.
     pub fn adjust_charge(&mut self, customer: CustomerId, expected: u32, actual: u32) {
-        let more = i64::from(actual) - i64::from(expected);
+        let extra = i64::from(actual) - i64::from(expected);
         let account = self.accounts.entry(customer).or_default();
-        account.deficit = (account.deficit - more).clamp(-MAX_DEFICIT_TOKENS, MAX_DEFICIT_TOKENS);
+        account.deficit = (account.deficit - extra).clamp(-MAX_DEFICIT_TOKENS, MAX_DEFICIT_TOKENS);
         if account.queue.is_empty() {
             self.deactivate(customer);
         }
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -4,32 +4,32 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// Retries available now; never below 0 or above `max`.
-    left: f64,
+    available: f64,
     /// Retries earned by each first attempt.
-    share: f64,
+    earned_per_attempt: f64,
     /// Maximum number of retries that can be saved up.
-    most: f64,
+    max: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { left: 20.0, share: 0.1, most: 50.0 }
+        Self { available: 20.0, earned_per_attempt: 0.1, max: 50.0 }
     }
 }
 
 impl RetryBudget {
     /// Records a first attempt.
     pub fn record_first_attempt(&mut self) {
-        self.left = (self.left + self.share).min(self.most);
+        self.available = (self.available + self.earned_per_attempt).min(self.max);
     }
 
     /// Takes one retry. Returns false if none is left.
     #[must_use]
     pub fn try_spend(&mut self) -> bool {
-        if self.left < 1.0 {
+        if self.available < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.available -= 1.0;
         true
     }
 }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The common interface of schedulers, and the decisions and actions that come out.
+//! The common interface of schedulers, and the decisions and actions that result.
 
 use crate::{LeaseReturn, Load, Message, Refusal, SlotRequest, Time, Verdict};
 use catalog::{BoxId, ServerId, ShardId};
@@ -13,7 +13,7 @@
     Log(Event, String),
 }
 
-/// An action that a box's broker asks for.
+/// An action that the broker asks its host to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send this message to that other box.
@@ -44,11 +44,11 @@
 /// A scheduler for the servers of one shard.
 pub trait Scheduler {
     /// Handles a box's request for a slot.
-    fn request_slot(&mut self, from: BoxId, ask: SlotRequest, now: Time) -> Vec<Decision>;
+    fn request_slot(&mut self, from: BoxId, request: SlotRequest, now: Time) -> Vec<Decision>;
     /// Handles a box's withdrawal of a request.
     fn cancel(&mut self, from: BoxId, id: u64, now: Time) -> Vec<Decision>;
     /// Handles a box's return of a lease.
-    fn return_lease(&mut self, from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision>;
+    fn return_lease(&mut self, from: BoxId, returned: &LeaseReturn, now: Time) -> Vec<Decision>;
     /// Handles a server's own load report, which is delayed.
     fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision>;
     /// Advances time.
--- a/crates/policy/src/shard/admission.rs
+++ b/crates/policy/src/shard/admission.rs
@@ -54,8 +54,8 @@
     /// average.
     pub(super) fn protected_slots(&self, id: ClassId, class: &Class, capacity: u32) -> u32 {
         let floor = self.floor_slots(class, capacity);
-        let had = self.average_slots.get(&id).copied().unwrap_or(0.0);
-        if had < f64::from(floor) {
+        let average = self.average_slots.get(&id).copied().unwrap_or(0.0);
+        if average < f64::from(floor) {
             floor
         } else {
             0
@@ -63,13 +63,13 @@
     }
 
     pub(super) fn update_average_slots(&mut self, now: Time) {
-        let share = 1.0 - (-(now.since(self.averaged_at) as f64) / FLOOR_AVERAGE_WINDOW_MS).exp();
+        let weight = 1.0 - (-(now.since(self.averaged_at) as f64) / FLOOR_AVERAGE_WINDOW_MS).exp();
         self.averaged_at = now;
         let ids: Vec<ClassId> = self.layout.classes.keys().copied().collect();
         for id in ids {
             let running = f64::from(self.running_count(id));
-            let had = self.average_slots.entry(id).or_insert(0.0);
-            *had += share * (running - *had);
+            let average = self.average_slots.entry(id).or_insert(0.0);
+            *average += weight * (running - *average);
         }
     }
 
@@ -94,8 +94,8 @@
         if ahead < slots {
             return 0;
         }
-        let places = f64::from(ahead - slots + 1);
-        (WAIT_MARGIN_FACTOR * places * self.expected_hold_ms(id) / f64::from(slots)) as u64
+        let positions = f64::from(ahead - slots + 1);
+        (WAIT_MARGIN_FACTOR * positions * self.expected_hold_ms(id) / f64::from(slots)) as u64
     }
 
     pub(super) fn admit(&self, request: &SlotRequest, now: Time) -> Result<(), Refusal> {
@@ -122,8 +122,8 @@
     /// Returns true if a request from another hall may be admitted. Such requests use a bounded part of the
     /// capacity.
     ///
-    /// An urgent one may also wait for a slot that a lower class has to give back: refusing it while requests
-    /// like batch reviews run here would shed it in their favour. Any other takes only free slots.
+    /// An urgent one may also wait for a slot that a lower class has to give back: refusing it while
+    /// preemptible requests run here would shed it in their favour. Any other takes only free slots.
     fn has_room_for_remote(&self, id: ClassId, class: &Class, now: Time) -> bool {
         let capacity = self.capacity(now);
         let running = self.leases.values().filter(|l| l.remote).count();
@@ -132,20 +132,20 @@
         if class.urgent {
             return remote < (capacity / URGENT_REMOTE_CAPACITY_DIVISOR).max(1) && self.wait_ms(class, id, now) == 0;
         }
-        let waiting_before =
+        let waits_ahead =
             |(id, queue): (&ClassId, &Queue)| !queue.is_empty() && self.layout.class(*id).rank <= class.rank;
         let free: u32 = self.servers.iter().map(|s| s.free_slots(now)).sum();
-        free > 0 && remote < (capacity / REMOTE_CAPACITY_DIVISOR).max(1) && !self.queues.iter().any(waiting_before)
+        free > 0 && remote < (capacity / REMOTE_CAPACITY_DIVISOR).max(1) && !self.queues.iter().any(waits_ahead)
     }
 
     pub(super) fn refuse_timed_out(&mut self, now: Time) {
         let mut late = Vec::new();
         for (id, queue) in &self.queues {
-            let limit = queue_timeout_ms(&self.layout.class(*id));
-            let limit_of =
-                |w: &QueuedRequest| if w.request.begun { limit.max(MIN_READMITTED_TIMEOUT_MS) } else { limit };
-            let waits = queue.iter().filter(|w| now.since(w.arrived) >= limit_of(w));
-            late.extend(waits.map(|w| (*id, w.from, w.request.id)));
+            let timeout = queue_timeout_ms(&self.layout.class(*id));
+            let timeout_of =
+                |w: &QueuedRequest| if w.request.begun { timeout.max(MIN_READMITTED_TIMEOUT_MS) } else { timeout };
+            let timed_out = queue.iter().filter(|w| now.since(w.arrived) >= timeout_of(w));
+            late.extend(timed_out.map(|w| (*id, w.from, w.request.id)));
         }
         for (class, from, id) in late {
             if let Some(queue) = self.queues.get_mut(&class) {
--- a/crates/policy/src/shard/dispatch.rs
+++ b/crates/policy/src/shard/dispatch.rs
@@ -27,8 +27,8 @@
     }
 
     fn add_headroom(&mut self, now: Time) {
-        let most = f64::from(self.capacity(now)) / HEADROOM_CAPACITY_DIVISOR;
-        self.headroom = (self.headroom(now) + 1.0).min(most);
+        let max = f64::from(self.capacity(now)) / HEADROOM_CAPACITY_DIVISOR;
+        self.headroom = (self.headroom(now) + 1.0).min(max);
         self.headroom_at = now;
     }
 
@@ -49,8 +49,8 @@
 
     /// Returns true if the server is fast enough for the class, or if no better one is in service.
     pub(super) fn is_fit(&self, server: &Server, class: &Class) -> bool {
-        let most = UNFIT_GAP_FACTOR * class.between_tokens_ms as f64;
-        let slow = |s: &Server| s.speed.between_ms > most;
+        let max_gap_ms = UNFIT_GAP_FACTOR * class.between_tokens_ms as f64;
+        let slow = |s: &Server| s.speed.between_ms > max_gap_ms;
         !slow(server) || !self.servers.iter().any(|s| !slow(s) && !s.is_leaving() && !s.is_ejected())
     }
 
@@ -76,8 +76,8 @@
             return Some(Turn { class: *id, out_of_turn: true });
         }
         let oldest = |id: &ClassId| self.queues[id].oldest().unwrap_or(now);
-        let may = ready.iter().filter(|(id, class)| self.respects_headroom(*id, class, now));
-        let (id, _) = may.min_by_key(|(id, class)| (class.rank, oldest(id)))?;
+        let eligible = ready.iter().filter(|(id, class)| self.respects_headroom(*id, class, now));
+        let (id, _) = eligible.min_by_key(|(id, class)| (class.rank, oldest(id)))?;
         Some(Turn { class: *id, out_of_turn: false })
     }
 
@@ -104,8 +104,8 @@
         }
         let others: Vec<usize> =
             candidates.iter().copied().filter(|i| Some(self.servers[*i].id) != request.avoid).collect();
-        let pick_from = if others.is_empty() { candidates } else { others };
-        pick_from.into_iter().min_by(|a, b| {
+        let choices = if others.is_empty() { candidates } else { others };
+        choices.into_iter().min_by(|a, b| {
             let (a, b) = (self.cost(&self.servers[*a], request), self.cost(&self.servers[*b], request));
             a.total_cmp(&b)
         })
@@ -122,8 +122,8 @@
     fn grant(&mut self, turn: &Turn, now: Time) -> bool {
         let layout = Rc::clone(&self.layout);
         let Some(queue) = self.queues.get_mut(&turn.class) else { return false };
-        let taken = if turn.out_of_turn { queue.pop_oldest() } else { queue.pop(|c| layout.quota(c).weight) };
-        let Some(waiting) = taken else { return false };
+        let next = if turn.out_of_turn { queue.pop_oldest() } else { queue.pop(|c| layout.quota(c).weight) };
+        let Some(waiting) = next else { return false };
         let Some(index) = self.choose_server(&waiting.request, now) else {
             if let Some(queue) = self.queues.get_mut(&turn.class) {
                 queue.push(waiting);
@@ -218,17 +218,17 @@
     /// Returns the newest lease of the lowest class that is above its floor and can be resumed.
     fn recall_candidate(&self, rank: u8, now: Time) -> Option<(BoxId, u64)> {
         let capacity = self.capacity(now);
-        let staying = |id: ClassId| self.leases.values().filter(|l| l.class == id && !l.recalled).count() as u32;
+        let remaining = |id: ClassId| self.leases.values().filter(|l| l.class == id && !l.recalled).count() as u32;
         let mut best: Option<((u8, Time), (BoxId, u64))> = None;
         for (key, lease) in &self.leases {
             let class = self.layout.class(lease.class);
-            let may =
+            let eligible =
                 class.preemptible && class.rank > rank && lease.resumable && !lease.recalled && !lease.out_of_turn;
-            if !may || staying(lease.class) <= self.protected_slots(lease.class, &class, capacity) {
+            if !eligible || remaining(lease.class) <= self.protected_slots(lease.class, &class, capacity) {
                 continue;
             }
             let order = (class.rank, lease.granted);
-            if best.is_none_or(|(least, _)| order > least) {
+            if best.is_none_or(|(lowest, _)| order > lowest) {
                 best = Some((order, *key));
             }
         }
--- a/crates/policy/src/shard/leases.rs
+++ b/crates/policy/src/shard/leases.rs
@@ -10,21 +10,21 @@
     /// Grants may still be in transit to the lessee. They arrive in order, so those that it does not know yet
     /// are the newest.
     pub fn renew(&mut self, from: BoxId, count: u32, sum: u64, now: Time) -> Vec<Decision> {
-        let here = self.leases.iter().filter(|((holder, _), _)| *holder == from);
-        let mut known: Vec<(Time, u64)> = here.map(|((_, id), lease)| (lease.granted, *id)).collect();
+        let held = self.leases.iter().filter(|((holder, _), _)| *holder == from);
+        let mut known: Vec<(Time, u64)> = held.map(|((_, id), lease)| (lease.granted, *id)).collect();
         if known.len() as u32 > count {
             // Sorted only in this case, since nearly every renewal agrees as it is.
             known.sort_unstable();
         }
-        let mut seen = known.iter().fold(0, |sum, (_, id)| sum ^ mix_lease_id(*id));
+        let mut checksum = known.iter().fold(0, |sum, (_, id)| sum ^ mix_lease_id(*id));
         while known.len() as u32 > count {
             match known.last() {
-                Some((granted, id)) if now.since(*granted) < LEASE_GRACE_MS => seen ^= mix_lease_id(*id),
+                Some((granted, id)) if now.since(*granted) < LEASE_GRACE_MS => checksum ^= mix_lease_id(*id),
                 _ => break,
             }
             known.pop();
         }
-        if (known.len() as u32, seen) == (count, sum) {
+        if (known.len() as u32, checksum) == (count, sum) {
             for (_, id) in known {
                 if let Some(lease) = self.leases.get_mut(&(from, id)) {
                     lease.renewed = now;
@@ -38,13 +38,13 @@
 
     /// Reconciles the owner's state with all leases of a lessee: unknown ones are adopted, missing ones are
     /// removed.
-    pub fn reconcile(&mut self, from: BoxId, held: &[LeaseInfo], now: Time) -> Vec<Decision> {
-        let named: BTreeSet<u64> = held.iter().map(|h| h.id).collect();
+    pub fn reconcile(&mut self, from: BoxId, leases: &[LeaseInfo], now: Time) -> Vec<Decision> {
+        let listed: BTreeSet<u64> = leases.iter().map(|h| h.id).collect();
         let gone: Vec<u64> = self
             .leases
             .iter()
             .filter(|((holder, id), l)| {
-                *holder == from && !named.contains(id) && now.since(l.granted) >= LEASE_GRACE_MS
+                *holder == from && !listed.contains(id) && now.since(l.granted) >= LEASE_GRACE_MS
             })
             .map(|((_, id), _)| *id)
             .collect();
@@ -52,8 +52,8 @@
             self.remove_lease((from, id));
             self.ledger.returned += 1;
         }
-        for one in held {
-            self.adopt_lease(from, one, now);
+        for info in leases {
+            self.adopt_lease(from, info, now);
         }
         if let Some(recovery) = &mut self.recovery {
             recovery.awaiting.remove(&from);
@@ -62,35 +62,35 @@
         self.dispatch_and_drain(now)
     }
 
-    fn adopt_lease(&mut self, from: BoxId, held: &LeaseInfo, now: Time) {
-        if let Some(lease) = self.leases.get_mut(&(from, held.id)) {
+    fn adopt_lease(&mut self, from: BoxId, info: &LeaseInfo, now: Time) {
+        if let Some(lease) = self.leases.get_mut(&(from, info.id)) {
             lease.renewed = now;
             return;
         }
         // Granted by another owner or by the lessee's local scheduler, so the request no longer waits here.
-        if let Some(queue) = self.queues.get_mut(&held.class) {
-            queue.remove(from, held.id);
+        if let Some(queue) = self.queues.get_mut(&info.class) {
+            queue.remove(from, info.id);
         }
-        let Some(server) = self.servers.iter_mut().find(|s| s.id == held.server) else { return };
+        let Some(server) = self.servers.iter_mut().find(|s| s.id == info.server) else { return };
         server.used += 1;
         if server.used > server.slots {
             let detail = format!("upstream={} used={} slots={}", server.name, server.used, server.slots);
             self.decisions.push(Decision::Log(Event::LeaseOverlap, detail));
         }
         let lease = Lease {
-            server: held.server,
-            class: held.class,
-            customer: held.customer,
+            server: info.server,
+            class: info.class,
+            customer: info.customer,
             tokens: 0,
             granted: now,
             waited: 0,
             renewed: now,
-            resumable: held.resumable,
+            resumable: info.resumable,
             remote: false,
             recalled: false,
             out_of_turn: false,
         };
-        self.insert_lease((from, held.id), lease);
+        self.insert_lease((from, info.id), lease);
         self.ledger.adopted += 1;
     }
 
@@ -210,10 +210,10 @@
         self.dispatch_and_drain(now)
     }
 
-    fn return_lease(&mut self, from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision> {
-        if let Some(lease) = self.remove_lease((from, back.id)) {
+    fn return_lease(&mut self, from: BoxId, returned: &LeaseReturn, now: Time) -> Vec<Decision> {
+        if let Some(lease) = self.remove_lease((from, returned.id)) {
             self.ledger.returned += 1;
-            self.record_report(&lease, &back.report, now);
+            self.record_report(&lease, &returned.report, now);
         }
         self.dispatch_and_drain(now)
     }
--- a/crates/policy/src/two_choices.rs
+++ b/crates/policy/src/two_choices.rs
@@ -89,18 +89,18 @@
     }
 
     fn dispatch(&mut self, now: Time) -> Vec<Decision> {
-        let mut out = Vec::new();
+        let mut decisions = Vec::new();
         while let Some(next) = self.next_index() {
             let Some(index) = self.pick_of_two() else { break };
-            let waiting = self.queue.remove(next);
+            let queued = self.queue.remove(next);
             let server = &mut self.servers[index];
             server.sent_since_report += 1;
-            self.leases.insert(waiting.request.id, server.id);
-            let waited = now.since(waiting.arrived) as u32;
-            let grant = Message::Grant { shard: self.shard, id: waiting.request.id, server: server.id, waited };
-            out.push(Decision::Send(waiting.from, grant));
+            self.leases.insert(queued.request.id, server.id);
+            let waited = now.since(queued.arrived) as u32;
+            let grant = Message::Grant { shard: self.shard, id: queued.request.id, server: server.id, waited };
+            decisions.push(Decision::Send(queued.from, grant));
         }
-        out
+        decisions
     }
 }
 
@@ -109,11 +109,11 @@
         let arrived = Time(now.0.saturating_sub(u64::from(request.age_ms)));
         let id = request.id;
         self.queue.push(QueuedRequest { from, request, arrived });
-        let mut out = self.dispatch(now);
+        let mut decisions = self.dispatch(now);
         if self.queue.iter().any(|w| w.request.id == id) {
-            out.push(Decision::Send(from, Message::Queued(self.shard, vec![id])));
+            decisions.push(Decision::Send(from, Message::Queued(self.shard, vec![id])));
         }
-        out
+        decisions
     }
 
     fn cancel(&mut self, _from: BoxId, id: u64, now: Time) -> Vec<Decision> {
@@ -122,20 +122,20 @@
         self.dispatch(now)
     }
 
-    fn return_lease(&mut self, _from: BoxId, back: &LeaseReturn, now: Time) -> Vec<Decision> {
-        if let Some(server) = self.leases.remove(&back.id) {
-            for server_view in self.servers.iter_mut().filter(|s| s.id == server) {
-                server_view.sent_since_report = server_view.sent_since_report.saturating_sub(1);
+    fn return_lease(&mut self, _from: BoxId, returned: &LeaseReturn, now: Time) -> Vec<Decision> {
+        if let Some(server) = self.leases.remove(&returned.id) {
+            for view in self.servers.iter_mut().filter(|s| s.id == server) {
+                view.sent_since_report = view.sent_since_report.saturating_sub(1);
             }
         }
         self.dispatch(now)
     }
 
     fn on_load_report(&mut self, server: ServerId, load: Load, now: Time) -> Vec<Decision> {
-        for server_view in self.servers.iter_mut().filter(|s| s.id == server) {
-            server_view.leaving |= load.leaving;
-            server_view.load = load;
-            server_view.sent_since_report = 0;
+        for view in self.servers.iter_mut().filter(|s| s.id == server) {
+            view.leaving |= load.leaving;
+            view.load = load;
+            view.sent_since_report = 0;
         }
         self.dispatch(now)
     }
@@ -145,12 +145,12 @@
         let late = |w: &QueuedRequest| now.since(w.arrived) >= queue_timeout_ms(&layout.class(w.request.class));
         let (late, queue): (Vec<_>, Vec<_>) = self.queue.drain(..).partition(late);
         self.queue = queue;
-        let mut out = self.dispatch(now);
-        for waiting in late {
+        let mut decisions = self.dispatch(now);
+        for queued in late {
             let refusal = Refusal { reason: Reason::Late, retry_ms: 1_000 };
-            out.push(Decision::Send(waiting.from, Message::Refuse(self.shard, waiting.request.id, refusal)));
+            decisions.push(Decision::Send(queued.from, Message::Refuse(self.shard, queued.request.id, refusal)));
         }
-        out
+        decisions
     }
 
     fn renew_all(&mut self, _now: Time) {}
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -90,7 +90,7 @@
         local.tokens += tokens;
     }
 
-    /// Returns the usage to report: customers whose usage changed, or that were not reported for long.
+    /// Takes the usage that is due for a report: customers whose usage changed, or that were not reported for long.
     pub fn usage_to_report(&mut self, now: Time) -> Vec<Usage> {
         let mut usages = Vec::new();
         for (customer, local) in &mut self.local {
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -47,7 +47,7 @@
 }
 
 /// A box that would be the owner if it were alive.
-fn third(layout: &Layout, a: BoxId, b: BoxId) -> BoxId {
+fn preferred_third_box(layout: &Layout, a: BoxId, b: BoxId) -> BoxId {
     let shard = u64::from(shard_of(layout).0);
     let mut ids = (0..).map(|i| BoxId::of(&format!("c{i}")));
     ids.find(|id| policy::owner(shard, &[a, b, *id]) == Some(*id)).expect("one of them")
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_grant_said_again_is_no_younger_than_the_first() {
+fn a_repeated_grant_does_not_extend_the_lease() {
     let layout = layout();
     let (owner_id, lessee_id) = boxes(&layout);
     let mut now = Time(10_000);
@@ -79,19 +79,19 @@
     owner.receive(owner_id, Message::Holding(shard_of(&layout), Vec::new()), now);
     lessee.set_boxes(view(&[owner_id, lessee_id]), Vec::new(), now);
 
-    let (_, asked) = lessee.acquire(acquire(now), now);
-    let ask = sent_to(&asked, owner_id).remove(0);
+    let (_, actions) = lessee.acquire(acquire(now), now);
+    let request = sent_to(&actions, owner_id).remove(0);
     // The grant is lost, and so is the cancel when the lessee's view leaves the owner for a while.
     let granted_at = now;
-    owner.receive(lessee_id, ask, now);
+    owner.receive(lessee_id, request, now);
     now = now.after(30);
-    let elsewhere = third(&layout, owner_id, lessee_id);
+    let elsewhere = preferred_third_box(&layout, owner_id, lessee_id);
     lessee.set_boxes(view(&[owner_id, lessee_id, elsewhere]), Vec::new(), now);
     now = now.after(60);
-    let asks = sent_to(&lessee.set_boxes(view(&[owner_id, lessee_id]), Vec::new(), now), owner_id);
+    let requests = sent_to(&lessee.set_boxes(view(&[owner_id, lessee_id]), Vec::new(), now), owner_id);
     let mut expiries = Vec::new();
-    for ask in asks {
-        for grant in sent_to(&owner.receive(lessee_id, ask, now), lessee_id) {
+    for request in requests {
+        for grant in sent_to(&owner.receive(lessee_id, request, now), lessee_id) {
             for action in lessee.receive(owner_id, grant, now) {
                 if let Action::Granted { expires, .. } = action {
                     expiries.push(expires);
@@ -99,14 +99,14 @@
             }
         }
     }
-    assert!(!expiries.is_empty(), "the owner says the grant again");
+    assert!(!expiries.is_empty(), "the owner repeats the grant");
     for expires in expiries {
-        assert!(expires <= granted_at.after(LEASE_TTL_MS), "{expires:?} is later than the lease's life");
+        assert!(expires <= granted_at.after(LEASE_TTL_MS), "{expires:?} is later than the end of the lease");
     }
 }
 
 #[test]
-fn a_lease_got_elsewhere_takes_its_ask_out_of_the_queue() {
+fn an_adopted_lease_removes_its_request_from_the_queue() {
     let layout = layout();
     let (owner_id, lessee_id) = boxes(&layout);
     let shard = shard_of(&layout);
@@ -114,7 +114,7 @@
     let mut owner = broker(owner_id, &layout, now);
     owner.set_boxes(view(&[owner_id, lessee_id]), Vec::new(), now);
     // While the owner recovers, an ask waits; its lessee got a slot elsewhere and the cancel is lost.
-    let ask = policy::SlotRequest {
+    let request = policy::SlotRequest {
         id: 7,
         class: ClassId::of("hotline"),
         customer: CustomerId(1),
@@ -126,7 +126,7 @@
         remote: false,
         avoid: None,
     };
-    owner.receive(lessee_id, Message::RequestSlot(shard, ask), now);
+    owner.receive(lessee_id, Message::RequestSlot(shard, request), now);
     let held = policy::LeaseInfo {
         id: 7,
         server: catalog::ServerId::of("s1"),
@@ -136,30 +136,30 @@
     };
     let mut actions = owner.receive(lessee_id, Message::Holding(shard, vec![held]), now);
     actions.extend(owner.tick(now.after(400)));
-    let broken: Vec<&Action> =
+    let violations: Vec<&Action> =
         actions.iter().filter(|a| matches!(a, Action::Log(event, _) if event.number() >= 900)).collect();
-    assert!(broken.is_empty(), "{broken:?}");
+    assert!(violations.is_empty(), "{violations:?}");
     assert_eq!(owner.owned_shards().map(policy::Shard::lease_count).sum::<usize>(), 1);
 }
 
 #[test]
-fn a_grant_on_its_way_does_not_make_the_owner_ask_for_the_whole_list() {
+fn a_grant_in_transit_does_not_cause_a_recovery() {
     let (layout, now) = (layout(), Time(10_000));
     let (owner_id, lessee_id) = boxes(&layout);
     let (mut owner, mut lessee) = (broker(owner_id, &layout, now), broker(lessee_id, &layout, now));
     let both = view(&[owner_id, lessee_id]);
-    let mut mail = sent_to(&owner.set_boxes(both.clone(), Vec::new(), now), lessee_id);
+    let mut messages = sent_to(&owner.set_boxes(both.clone(), Vec::new(), now), lessee_id);
     lessee.set_boxes(both, Vec::new(), now);
     // The lists of the recovery.
     let answers: Vec<Message> =
-        mail.drain(..).flat_map(|m| sent_to(&lessee.receive(owner_id, m, now), owner_id)).collect();
+        messages.drain(..).flat_map(|m| sent_to(&lessee.receive(owner_id, m, now), owner_id)).collect();
     answers.into_iter().for_each(|m| drop(owner.receive(lessee_id, m, now)));
-    let give = |owner: &mut Broker, lessee: &mut Broker, now| {
-        let (_, asked) = lessee.acquire(acquire(now), now);
-        let asks = sent_to(&asked, owner_id);
-        asks.into_iter().flat_map(|m| sent_to(&owner.receive(lessee_id, m, now), lessee_id)).collect::<Vec<_>>()
+    let request_grant = |owner: &mut Broker, lessee: &mut Broker, now| {
+        let (_, actions) = lessee.acquire(acquire(now), now);
+        let requests = sent_to(&actions, owner_id);
+        requests.into_iter().flat_map(|m| sent_to(&owner.receive(lessee_id, m, now), lessee_id)).collect::<Vec<_>>()
     };
-    for grant in give(&mut owner, &mut lessee, now) {
+    for grant in request_grant(&mut owner, &mut lessee, now) {
         lessee.receive(owner_id, grant, now);
     }
     assert_eq!(lessee.lease_count(), 1);
@@ -168,13 +168,13 @@
         lessee.tick(now.after(ms));
         owner.tick(now.after(ms));
     }
-    let on_its_way = give(&mut owner, &mut lessee, now.after(990));
-    assert!(matches!(on_its_way[..], [Message::Grant { .. }]), "{on_its_way:?}");
+    let in_transit = request_grant(&mut owner, &mut lessee, now.after(990));
+    assert!(matches!(in_transit[..], [Message::Grant { .. }]), "{in_transit:?}");
     let later = now.after(1_000);
     let renewals = sent_to(&lessee.tick(later), owner_id);
     assert!(renewals.iter().any(|m| matches!(m, Message::Renew { count: 1, .. })), "{renewals:?}");
     for renewal in renewals {
-        let said = sent_to(&owner.receive(lessee_id, renewal, later), lessee_id);
-        assert!(!said.iter().any(|m| matches!(m, Message::Recover(_))), "{said:?}");
+        let replies = sent_to(&owner.receive(lessee_id, renewal, later), lessee_id);
+        assert!(!replies.iter().any(|m| matches!(m, Message::Recover(_))), "{replies:?}");
     }
 }
--- a/crates/policy/tests/remote.rs
+++ b/crates/policy/tests/remote.rs
@@ -20,7 +20,7 @@
     Shard::new(&spec, layout)
 }
 
-fn ask(id: u64, class: &str, remote: bool) -> SlotRequest {
+fn request(id: u64, class: &str, remote: bool) -> SlotRequest {
     SlotRequest {
         id,
         class: ClassId::of(class),
@@ -35,8 +35,8 @@
     }
 }
 
-fn told(decisions: &[Decision], is: impl Fn(&Message) -> bool) -> usize {
-    decisions.iter().filter(|d| matches!(d, Decision::Send(_, message) if is(message))).count()
+fn count(decisions: &[Decision], matches: impl Fn(&Message) -> bool) -> usize {
+    decisions.iter().filter(|d| matches!(d, Decision::Send(_, message) if matches(message))).count()
 }
 
 fn refused(message: &Message) -> bool {
@@ -51,7 +51,7 @@
 fn full_of_reviews(now: &mut Time) -> Shard {
     let mut shard = shard();
     for id in 0..SLOTS {
-        shard.request_slot(NEAR, ask(id, "review", false), *now);
+        shard.request_slot(NEAR, request(id, "review", false), *now);
     }
     assert_eq!(shard.lease_count() as u64, SLOTS);
     for _ in 0..100 {
@@ -62,27 +62,27 @@
 }
 
 #[test]
-fn another_halls_urgent_ask_is_not_refused_because_of_reviews() {
+fn a_remote_urgent_request_is_not_refused_in_favour_of_reviews() {
     let mut now = Time(10_000);
     let mut shard = full_of_reviews(&mut now);
-    let said = shard.request_slot(FAR, ask(100, "hotline", true), now);
-    assert_eq!(told(&said, refused), 0, "{said:?}");
-    assert_eq!(told(&said, recalled), 1, "{said:?}");
+    let decisions = shard.request_slot(FAR, request(100, "hotline", true), now);
+    assert_eq!(count(&decisions, refused), 0, "{decisions:?}");
+    assert_eq!(count(&decisions, recalled), 1, "{decisions:?}");
 }
 
 #[test]
-fn another_halls_urgent_asks_get_half_of_the_slots_at_the_most() {
+fn remote_urgent_requests_get_at_most_half_of_the_slots() {
     let now = Time(10_000);
     let mut shard = shard();
     let refusals: usize =
-        (0..SLOTS).map(|id| told(&shard.request_slot(FAR, ask(id, "hotline", true), now), refused)).sum();
+        (0..SLOTS).map(|id| count(&shard.request_slot(FAR, request(id, "hotline", true), now), refused)).sum();
     assert_eq!((shard.lease_count() as u64, refusals as u64), (SLOTS / 2, SLOTS / 2));
 }
 
 #[test]
-fn another_halls_reviews_never_wait_and_never_recall() {
+fn remote_reviews_neither_wait_nor_cause_recalls() {
     let mut now = Time(10_000);
     let mut shard = full_of_reviews(&mut now);
-    let said = shard.request_slot(FAR, ask(100, "review", true), now);
-    assert_eq!((told(&said, refused), told(&said, recalled)), (1, 0), "{said:?}");
+    let decisions = shard.request_slot(FAR, request(100, "review", true), now);
+    assert_eq!((count(&decisions, refused), count(&decisions, recalled)), (1, 0), "{decisions:?}");
 }
--- a/crates/policy/tests/return.rs
+++ b/crates/policy/tests/server_recovery.rs
@@ -15,7 +15,7 @@
     let upstream = |name: &str| {
         format!("[[upstream]]\nname='{name}'\nhall='h'\nmodel='m'\naddress='127.0.0.1:1'\nslots={SLOTS}\nresume=true\n")
     };
-    let upstreams = format!("{}{}", upstream("good"), upstream("ill"));
+    let upstreams = format!("{}{}", upstream("good"), upstream("slow"));
     let catalog = Catalog::parse(&[("classes", CLASSES), ("upstreams", &upstreams)]).expect("a good release");
     Rc::new(Layout::from_catalog(&catalog))
 }
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_ejected_server_returns_with_one_slot_and_grows_by_half_a_slot_an_answer() {
+fn an_ejected_server_returns_with_one_slot_and_grows_by_half_a_slot_per_answer() {
     let mut now = Time(10_000);
     let mut server: Server = shard().servers[0].clone();
     for _ in 0..2 {
@@ -42,20 +42,20 @@
     now = now.after(1_000);
     assert_eq!(server.free_slots(now), 1, "one probe");
     for answers in 1..SLOTS {
-        let said = server.record_report(&report(10, false), now);
+        let change = server.record_report(&report(10, false), now);
         assert_eq!(server.capacity(now), 1 + answers / 2, "after {answers} good answers");
-        let back = server.capacity(now) >= SLOTS / 2;
+        let restored = server.capacity(now) >= SLOTS / 2;
         assert_eq!(
-            said.is_some(),
-            back && server.capacity(now) == SLOTS / 2 && answers % 2 == 0,
-            "{answers}: {said:?}"
+            change.is_some(),
+            restored && server.capacity(now) == SLOTS / 2 && answers % 2 == 0,
+            "{answers}: {change:?}"
         );
     }
     assert!(!server.is_ejected());
 }
 
 #[test]
-fn a_probe_that_fails_again_doubles_the_time_without_work() {
+fn a_failed_probe_doubles_the_ejection() {
     let mut now = Time(10_000);
     let mut server: Server = shard().servers[0].clone();
     (0..3).for_each(|_| {
@@ -70,18 +70,18 @@
 }
 
 /// Urgent requests only, a little below what one server bears; counts those that the ill server got.
-fn urgent_load(shard: &mut Shard, now: &mut Time, seconds: u64, ill_ms: u32, next: &mut u64) -> u32 {
+fn urgent_load(shard: &mut Shard, now: &mut Time, seconds: u64, slow_gap_ms: u32, next_id: &mut u64) -> u32 {
     const STEP_MS: u64 = 20;
-    let ill = ServerId::of("ill");
+    let slow = ServerId::of("slow");
     let mut running: Vec<(Time, u64, u32)> = Vec::new();
-    let mut granted_ill = 0;
+    let mut granted_slow = 0;
     for step in 0..seconds * 1_000 / STEP_MS {
         *now = now.after(STEP_MS);
-        let mut said = shard.tick(*now);
+        let mut decisions = shard.tick(*now);
         if step % 4 == 0 {
-            *next += 1;
-            let ask = SlotRequest {
-                id: *next,
+            *next_id += 1;
+            let request = SlotRequest {
+                id: *next_id,
                 class: ClassId::of("hotline"),
                 customer: CustomerId(1),
                 tokens: 20,
@@ -92,35 +92,35 @@
                 remote: false,
                 avoid: None,
             };
-            said.extend(shard.request_slot(ME, ask, *now));
+            decisions.extend(shard.request_slot(ME, request, *now));
         }
-        let (over, going): (Vec<_>, Vec<_>) = running.into_iter().partition(|(at, _, _)| *at <= *now);
-        running = going;
-        for (_, id, between_ms) in over {
-            said.extend(shard.return_lease(ME, &LeaseReturn { id, report: report(between_ms, false) }, *now));
+        let (finished, remaining): (Vec<_>, Vec<_>) = running.into_iter().partition(|(at, _, _)| *at <= *now);
+        running = remaining;
+        for (_, id, between_ms) in finished {
+            decisions.extend(shard.return_lease(ME, &LeaseReturn { id, report: report(between_ms, false) }, *now));
         }
-        for decision in said {
+        for decision in decisions {
             let Decision::Send(_, Message::Grant { id, server, .. }) = decision else { continue };
-            let between = if server == ill { ill_ms } else { 15 };
-            granted_ill += u32::from(server == ill);
+            let between = if server == slow { slow_gap_ms } else { 15 };
+            granted_slow += u32::from(server == slow);
             running.push((now.after(20 + 20 * u64::from(between)), id, between));
         }
     }
     for (_, id, between_ms) in running {
         shard.return_lease(ME, &LeaseReturn { id, report: report(between_ms, false) }, *now);
     }
-    granted_ill
+    granted_slow
 }
 
 #[test]
-fn a_slow_server_is_tried_now_and_then_and_gets_its_share_back() {
-    let (mut shard, mut now, mut next) = (shard(), Time(10_000), 0);
-    let well = urgent_load(&mut shard, &mut now, 10, 10, &mut next);
-    assert!(well > 50, "{well} while it was well");
-    urgent_load(&mut shard, &mut now, 10, 100, &mut next);
-    let tried = urgent_load(&mut shard, &mut now, 60, 100, &mut next);
-    assert!((1..=8).contains(&tried), "{tried} urgent requests in a minute were spent on trying it");
-    urgent_load(&mut shard, &mut now, 60, 10, &mut next);
-    let again = urgent_load(&mut shard, &mut now, 10, 10, &mut next);
-    assert!(again > 50, "{again} once it was well again");
+fn a_slow_server_is_probed_and_regains_its_share() {
+    let (mut shard, mut now, mut next_id) = (shard(), Time(10_000), 0);
+    let healthy = urgent_load(&mut shard, &mut now, 10, 10, &mut next_id);
+    assert!(healthy > 50, "{healthy} while it was fast");
+    urgent_load(&mut shard, &mut now, 10, 100, &mut next_id);
+    let probes = urgent_load(&mut shard, &mut now, 60, 100, &mut next_id);
+    assert!((1..=8).contains(&probes), "{probes} urgent requests in a minute were spent on probes");
+    urgent_load(&mut shard, &mut now, 60, 10, &mut next_id);
+    let recovered = urgent_load(&mut shard, &mut now, 10, 10, &mut next_id);
+    assert!(recovered > 50, "{recovered} once it was fast again");
 }
--- a/crates/policy/tests/home.rs
+++ b/crates/policy/tests/shard_affinity.rs
@@ -23,16 +23,16 @@
 }
 
 /// The shards that each of `count` boxes asks for ten requests each.
-fn asked(layout: &Rc<Layout>, count: usize) -> Vec<BTreeSet<ShardId>> {
+fn shards_used(layout: &Rc<Layout>, count: usize) -> Vec<BTreeSet<ShardId>> {
     let now = Time(1_000);
     let mut ids: Vec<BoxId> = (0..count).map(|i| BoxId::of(&format!("b{i}"))).collect();
     ids.sort_unstable();
     // One more that owns everything, so that all asks go out.
-    let stranger = BoxId::of("elsewhere");
+    let leaving_box = BoxId::of("elsewhere");
     let of_box = |me: &BoxId| {
         let mut broker = Broker::new(*me, "h", SchedulingMode::Owner, 0, now);
         broker.set_layout(Rc::clone(layout), now);
-        broker.set_boxes(BTreeMap::from([("h".to_owned(), ids.clone())]), vec![stranger], now);
+        broker.set_boxes(BTreeMap::from([("h".to_owned(), ids.clone())]), vec![leaving_box], now);
         let mut shards = BTreeSet::new();
         for _ in 0..10 {
             let acquire = Acquire {
@@ -64,8 +64,8 @@
 fn many_boxes_keep_to_one_shard_each_and_few_use_all() {
     let layout = layout();
     let shards = layout.shards.len();
-    assert!(shards > 1, "the pool is cut");
-    let many = asked(&layout, 5 * shards);
+    assert!(shards > 1, "the pool has several shards");
+    let many = shards_used(&layout, 5 * shards);
     let mut boxes: BTreeMap<ShardId, usize> = BTreeMap::new();
     for one in &many {
         // An owner that hasn't heard its lessees yet grants itself nothing, and shows no ask.
@@ -73,8 +73,8 @@
         one.iter().for_each(|shard| *boxes.entry(*shard).or_default() += 1);
     }
     assert_eq!(boxes.len(), shards, "every shard is used");
-    assert!(boxes.values().all(|count| (4..=5).contains(count)), "dealt out evenly: {boxes:?}");
-    let few = asked(&layout, 2);
+    assert!(boxes.values().all(|count| (4..=5).contains(count)), "spread evenly: {boxes:?}");
+    let few = shards_used(&layout, 2);
     let used: BTreeSet<ShardId> = few.into_iter().flatten().collect();
     assert_eq!(used.len(), shards);
 }
--- a/crates/policy/tests/world/mod.rs
+++ b/crates/policy/tests/simulation/mod.rs
@@ -43,19 +43,19 @@
     /// Messages lost.
     pub lost: u32,
     /// Messages delivered twice.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Most milliseconds that a message takes.
     pub delay_ms: u64,
     /// Boxes pausing, each step.
     pub pauses: u32,
     /// Boxes dying, each step.
-    pub deaths: u32,
+    pub crashes: u32,
     /// Views that go on differing, each step.
-    pub views: u32,
+    pub wrong_views: u32,
     /// Servers failing a request.
     pub failures: u32,
     /// Callers going away.
-    pub gone: u32,
+    pub abandoned: u32,
 }
 
 #[derive(Debug)]
@@ -70,26 +70,26 @@
 struct Request {
     class: usize,
     answers: u32,
-    asked: u32,
+    attempts: u32,
     lost: bool,
     key: Option<u64>,
 }
 
-struct Node {
+struct SimulatedBox {
     id: BoxId,
     hall: String,
     broker: Option<Broker>,
     paused_until: Time,
-    life: u64,
+    incarnation: u64,
     /// Wishes that have no answer, by number.
-    wishes: BTreeMap<u64, usize>,
+    pending: BTreeMap<u64, usize>,
     claims: BTreeMap<u64, usize>,
     running: BTreeMap<u64, Running>,
     /// Actions that came while the box was paused are carried out when it wakes.
-    held_back: Vec<Action>,
+    deferred: Vec<Action>,
 }
 
-struct Flight {
+struct InFlight {
     at: Time,
     order: u64,
     from: BoxId,
@@ -98,17 +98,17 @@
 }
 
 /// The whole world of one run.
-pub struct World {
+pub struct Simulation {
     pub now: Time,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     layout: Rc<Layout>,
-    nodes: Vec<Node>,
-    flights: Vec<Flight>,
+    nodes: Vec<SimulatedBox>,
+    in_flight: Vec<InFlight>,
     count: u64,
     requests: Vec<Request>,
     pub faults: Faults,
     /// Anything here is a fault of the program.
-    pub wrongs: Vec<String>,
+    pub violations: Vec<String>,
     /// When a grant was first said, by lessee, number, granter and the wait that it names.
     ///
     /// A grant said again names the same wait; a new lease for the same number names a longer one.
@@ -117,11 +117,11 @@
     ran: BTreeMap<u64, u32>,
     pub finished: BTreeMap<usize, u32>,
     pub refused: BTreeMap<usize, u32>,
-    pub most_overlap: u32,
+    pub max_overlap: u32,
     /// Most leases on one server that one box had granted.
-    pub most_of_one: u32,
+    pub max_by_one_box: u32,
     /// Starts from this time on that put more on a server than its slots are wrong.
-    pub exact_from: Option<Time>,
+    pub no_overlap_from: Option<Time>,
     slots: BTreeMap<ServerId, u32>,
 }
 
@@ -138,63 +138,63 @@
     Rc::new(Layout::from_catalog(&catalog))
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, halls: usize, boxes: usize, faults: Faults) -> Self {
         let layout = layout(halls, 2, SLOTS);
-        let mut world = Self {
+        let mut sim = Self {
             now: Time(10_000),
-            random: ChaCha8Rng::seed_from_u64(seed),
+            rng: ChaCha8Rng::seed_from_u64(seed),
             nodes: Vec::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             count: 0,
             requests: Vec::new(),
             faults,
-            wrongs: Vec::new(),
+            violations: Vec::new(),
             grants: BTreeMap::new(),
             ran: BTreeMap::new(),
             finished: BTreeMap::new(),
             refused: BTreeMap::new(),
-            most_overlap: 0,
-            most_of_one: 0,
-            exact_from: None,
+            max_overlap: 0,
+            max_by_one_box: 0,
+            no_overlap_from: None,
             slots: layout.shards.values().flat_map(|s| &s.servers).map(|u| (ServerId::of(&u.name), u.slots)).collect(),
             layout,
         };
         for index in 0..halls * boxes {
             let hall = format!("h{}", index / boxes);
             let id = BoxId::of(&format!("box{index}"));
-            world.nodes.push(Node {
+            sim.nodes.push(SimulatedBox {
                 id,
                 hall,
                 broker: None,
                 paused_until: Time(0),
-                life: 0,
-                wishes: BTreeMap::new(),
+                incarnation: 0,
+                pending: BTreeMap::new(),
                 claims: BTreeMap::new(),
                 running: BTreeMap::new(),
-                held_back: Vec::new(),
+                deferred: Vec::new(),
             });
         }
-        for index in 0..world.nodes.len() {
-            world.revive(index);
+        for index in 0..sim.nodes.len() {
+            sim.restart(index);
         }
-        for index in 0..world.nodes.len() {
-            world.set_true_view(index);
+        for index in 0..sim.nodes.len() {
+            sim.set_true_view(index);
         }
-        world
+        sim
     }
 
     fn chance(&mut self, thousandths: u32) -> bool {
-        self.random.random_range(0..1_000) < thousandths
+        self.rng.random_range(0..1_000) < thousandths
     }
 
-    fn revive(&mut self, index: usize) {
+    fn restart(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        node.life += 1;
-        let mut broker = Broker::new(node.id, &node.hall, SchedulingMode::Owner, node.life << 32, self.now);
+        node.incarnation += 1;
+        let mut broker = Broker::new(node.id, &node.hall, SchedulingMode::Owner, node.incarnation << 32, self.now);
         let actions = broker.set_layout(Rc::clone(&self.layout), self.now);
         node.broker = Some(broker);
-        self.carry_out(index, actions);
+        self.apply(index, actions);
     }
 
     fn view(&self) -> BTreeMap<String, Vec<BoxId>> {
@@ -210,7 +210,7 @@
         let now = self.now;
         let Some(broker) = &mut self.nodes[index].broker else { return };
         let actions = broker.set_boxes(view, Vec::new(), now);
-        self.carry_out(index, actions);
+        self.apply(index, actions);
     }
 
     fn set_true_view(&mut self, index: usize) {
@@ -221,14 +221,14 @@
     }
 
     /// A view in which some other box of the hall is missing.
-    fn set_wrong_view(&mut self, index: usize) {
+    fn set_incomplete_view(&mut self, index: usize) {
         let mut view = self.view();
         let (me, hall) = (self.nodes[index].id, self.nodes[index].hall.clone());
         if let Some(ids) = view.get_mut(&hall) {
             let others: Vec<BoxId> = ids.iter().copied().filter(|id| *id != me).collect();
             if !others.is_empty() {
-                let gone = others[self.random.random_range(0..others.len())];
-                ids.retain(|id| *id != gone);
+                let missing = others[self.rng.random_range(0..others.len())];
+                ids.retain(|id| *id != missing);
             }
         }
         self.set_view(index, view);
@@ -236,17 +236,17 @@
 
     // ------------------------------------------------------------------------
 
-    fn carry_out(&mut self, index: usize, actions: Vec<Action>) {
+    fn apply(&mut self, index: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(index, to, &message),
                 Action::Log(event, detail) if event.number() >= 900 => {
-                    self.wrongs.push(format!("E{} {detail}", event.number()));
+                    self.violations.push(format!("E{} {detail}", event.number()));
                 }
                 Action::Log(..) => {}
                 other => {
                     self.check_expiry(index, &other);
-                    self.answer(index, other);
+                    self.on_answer(index, other);
                 }
             }
         }
@@ -259,7 +259,7 @@
         let said = self.grants.range((me, *id, *granter, 0)..=(me, *id, *granter, u32::MAX));
         let granted = if *granter == me { Some(self.now) } else { said.map(|(_, at)| *at).max() };
         if granted.is_none_or(|granted| *expires > granted.after(LEASE_TTL_MS)) {
-            self.wrongs.push(format!("a permit ends at {expires:?}, granted at {granted:?}"));
+            self.violations.push(format!("a permit expires at {expires:?}, granted at {granted:?}"));
         }
     }
 
@@ -271,43 +271,43 @@
         if self.chance(self.faults.lost) {
             return;
         }
-        let copies = if self.chance(self.faults.doubled) { 2 } else { 1 };
+        let copies = if self.chance(self.faults.duplicated) { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = self.random.random_range(0..=self.faults.delay_ms);
+            let delay = self.rng.random_range(0..=self.faults.delay_ms);
             self.count += 1;
             let (at, order, message) = (self.now.after(delay), self.count, message.clone());
-            self.flights.push(Flight { at, order, from, to, message });
+            self.in_flight.push(InFlight { at, order, from, to, message });
         }
     }
 
     /// What traffic threads would do with an answer. A paused box's threads are paused as well.
-    fn answer(&mut self, index: usize, action: Action) {
+    fn on_answer(&mut self, index: usize, action: Action) {
         if self.now < self.nodes[index].paused_until {
-            self.nodes[index].held_back.push(action);
+            self.nodes[index].deferred.push(action);
             return;
         }
         match action {
             Action::Granted { id, server, expires, granter, .. } => {
-                let Some(request) = self.nodes[index].wishes.remove(&id) else {
-                    self.wrongs.push(format!("a second answer to wish {id}"));
+                let Some(request) = self.nodes[index].pending.remove(&id) else {
+                    self.violations.push(format!("a second answer to request {id}"));
                     return;
                 };
                 self.requests[request].answers += 1;
                 self.start(index, id, (server, granter), expires, request);
             }
             Action::Refused(id, refusal) => {
-                let Some(request) = self.nodes[index].wishes.remove(&id) else {
-                    self.wrongs.push(format!("a second answer to wish {id}"));
+                let Some(request) = self.nodes[index].pending.remove(&id) else {
+                    self.violations.push(format!("a second answer to request {id}"));
                     return;
                 };
                 if refusal.retry_ms == 0 {
-                    self.wrongs.push("a refusal without a time to come back".to_owned());
+                    self.violations.push("a refusal without a retry time".to_owned());
                 }
                 self.requests[request].answers += 1;
                 *self.refused.entry(self.requests[request].class).or_default() += 1;
             }
-            Action::Recalled(id) => self.recalled(index, id),
-            Action::Claimed(id, verdict) => self.claimed(index, id, verdict),
+            Action::Recalled(id) => self.on_recall(index, id),
+            Action::Claimed(id, verdict) => self.on_claim_result(index, id, verdict),
             Action::Send(..) | Action::Log(..) => {}
         }
     }
@@ -325,7 +325,7 @@
         if let Some(key) = self.requests[request].key {
             *self.ran.entry(key).or_default() += 1;
         }
-        let length = self.random.random_range(100..3_000);
+        let length = self.rng.random_range(100..3_000);
         self.nodes[index].running.insert(id, Running { server, granter, ends: now.after(length), request });
         self.measure_overlap(server, granter);
     }
@@ -338,10 +338,11 @@
             of_one += u32::from(running.granter == granter);
         }
         let slots = self.slots[&server];
-        self.most_overlap = self.most_overlap.max(all.saturating_sub(slots));
-        self.most_of_one = self.most_of_one.max(of_one);
-        if all > slots && self.exact_from.is_some_and(|from| self.now >= from) {
-            self.wrongs.push(format!("{all} on {server} with {slots} slots at {:?}, long after the faults", self.now));
+        self.max_overlap = self.max_overlap.max(all.saturating_sub(slots));
+        self.max_by_one_box = self.max_by_one_box.max(of_one);
+        if all > slots && self.no_overlap_from.is_some_and(|from| self.now >= from) {
+            self.violations
+                .push(format!("{all} on {server} with {slots} slots at {:?}, long after the faults", self.now));
         }
     }
 
@@ -349,37 +350,37 @@
         let now = self.now;
         if let Some(broker) = &mut self.nodes[index].broker {
             let actions = broker.return_lease(id, report, now);
-            self.carry_out(index, actions);
+            self.apply(index, actions);
         }
     }
 
-    fn recalled(&mut self, index: usize, id: u64) {
+    fn on_recall(&mut self, index: usize, id: u64) {
         let Some(running) = self.nodes[index].running.remove(&id) else { return };
         self.return_lease(index, id, Report { tokens: 3, ..Report::default() });
         self.acquire(index, running.request, Cause::Recall);
     }
 
-    fn claimed(&mut self, index: usize, id: u64, verdict: Verdict) {
+    fn on_claim_result(&mut self, index: usize, id: u64, verdict: Verdict) {
         let Some(request) = self.nodes[index].claims.remove(&id) else { return };
         if verdict == Verdict::Fresh {
             self.acquire(index, request, Cause::First);
         } else {
             self.requests[request].answers += 1;
-            self.requests[request].asked += 1;
+            self.requests[request].attempts += 1;
         }
     }
 
     // ------------------------------------------------------------------------
 
     /// A new request of `class` (0 is the urgent one) at a random living box.
-    pub fn request(&mut self, class: usize, key: Option<u64>) {
+    pub fn submit(&mut self, class: usize, key: Option<u64>) {
         let alive: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.nodes[*i].broker.is_some() && self.now >= self.nodes[*i].paused_until)
             .collect();
         if alive.is_empty() {
             return;
         }
-        let index = alive[self.random.random_range(0..alive.len())];
+        let index = alive[self.rng.random_range(0..alive.len())];
         self.requests.push(Request { class, key, ..Request::default() });
         let request = self.requests.len() - 1;
         match key {
@@ -389,7 +390,7 @@
                 let Some(broker) = &mut self.nodes[index].broker else { return };
                 let (id, actions) = broker.claim(key, Some(0), now);
                 self.nodes[index].claims.insert(id, request);
-                self.carry_out(index, actions);
+                self.apply(index, actions);
             }
         }
     }
@@ -399,36 +400,36 @@
         let acquire = Acquire {
             serves: "m".to_owned(),
             class: ClassId::of(class),
-            customer: CustomerId(self.random.random_range(0..5)),
-            tokens: self.random.random_range(1..200),
-            prefix: self.random.random_range(0..4),
+            customer: CustomerId(self.rng.random_range(0..5)),
+            tokens: self.rng.random_range(1..200),
+            prefix: self.rng.random_range(0..4),
             resumable: self.requests[request].key.is_none(),
             arrived: self.now,
             cause,
             avoid: None,
         };
-        self.requests[request].asked += 1;
+        self.requests[request].attempts += 1;
         let now = self.now;
         let Some(broker) = &mut self.nodes[index].broker else { return };
         let (id, actions) = broker.acquire(acquire, now);
-        self.nodes[index].wishes.insert(id, request);
-        self.carry_out(index, actions);
+        self.nodes[index].pending.insert(id, request);
+        self.apply(index, actions);
     }
 
-    fn kill(&mut self, index: usize) {
+    fn crash(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.broker = None;
         let lost: Vec<usize> = node
-            .wishes
+            .pending
             .values()
             .chain(node.claims.values())
             .chain(node.running.values().map(|r| &r.request))
             .copied()
             .collect();
-        node.wishes.clear();
+        node.pending.clear();
         node.claims.clear();
         node.running.clear();
-        node.held_back.clear();
+        node.deferred.clear();
         for request in lost {
             self.requests[request].lost = true;
         }
@@ -436,85 +437,85 @@
 
     // ------------------------------------------------------------------------
 
-    fn bring_faults(&mut self) {
-        let index = self.random.random_range(0..self.nodes.len());
+    fn inject_faults(&mut self) {
+        let index = self.rng.random_range(0..self.nodes.len());
         if self.chance(self.faults.pauses) {
-            let length = self.random.random_range(200..6_000);
+            let length = self.rng.random_range(200..6_000);
             self.nodes[index].paused_until = self.now.after(length);
         }
         let one_dead = self.nodes.iter().any(|n| n.broker.is_none());
-        if self.chance(self.faults.deaths) {
+        if self.chance(self.faults.crashes) {
             if self.nodes[index].broker.is_none() {
-                self.revive(index);
+                self.restart(index);
                 (0..self.nodes.len()).for_each(|i| self.set_true_view(i));
             } else if !one_dead {
-                self.kill(index);
+                self.crash(index);
             }
         }
-        if self.chance(self.faults.views) {
-            self.set_wrong_view(index);
+        if self.chance(self.faults.wrong_views) {
+            self.set_incomplete_view(index);
         }
         // Sooner or later everybody sees what is.
         if self.chance(20) {
             self.set_true_view(index);
         }
-        if self.chance(self.faults.gone) {
-            self.someone_goes(index);
+        if self.chance(self.faults.abandoned) {
+            self.abandon_one(index);
         }
     }
 
-    fn someone_goes(&mut self, index: usize) {
+    fn abandon_one(&mut self, index: usize) {
         let node = &self.nodes[index];
-        if self.now < node.paused_until || !node.held_back.is_empty() {
+        if self.now < node.paused_until || !node.deferred.is_empty() {
             // A paused box notices only when it wakes, after the answers that came before.
             return;
         }
-        let Some((id, request)) = self.nodes[index].wishes.pop_first() else { return };
+        let Some((id, request)) = self.nodes[index].pending.pop_first() else { return };
         self.requests[request].lost = true;
         let now = self.now;
         if let Some(broker) = &mut self.nodes[index].broker {
             let actions = broker.abandon(id, now);
-            self.carry_out(index, actions);
+            self.apply(index, actions);
         }
     }
 
     /// One step of virtual time.
     pub fn step(&mut self) {
         self.now = self.now.after(STEP_MS);
-        self.bring_faults();
+        self.inject_faults();
         self.deliver();
         for index in 0..self.nodes.len() {
-            self.live(index);
+            self.run_box(index);
         }
     }
 
     fn deliver(&mut self) {
-        let (mut due, later): (Vec<Flight>, Vec<Flight>) =
-            std::mem::take(&mut self.flights).into_iter().partition(|f| f.at <= self.now);
-        self.flights = later;
+        let (mut due, later): (Vec<InFlight>, Vec<InFlight>) =
+            std::mem::take(&mut self.in_flight).into_iter().partition(|f| f.at <= self.now);
+        self.in_flight = later;
         due.sort_by_key(|f| (f.at, f.order));
         for flight in due {
             let Some(index) = self.nodes.iter().position(|n| n.id == flight.to) else { continue };
             if self.now < self.nodes[index].paused_until {
                 // It waits in the paused box's socket.
-                self.flights.push(Flight { at: self.nodes[index].paused_until, ..flight });
+                self.in_flight.push(InFlight { at: self.nodes[index].paused_until, ..flight });
                 continue;
             }
             let now = self.now;
             if let Some(broker) = &mut self.nodes[index].broker {
                 let actions = broker.receive(flight.from, flight.message, now);
-                self.carry_out(index, actions);
+                self.apply(index, actions);
             }
         }
     }
 
-    fn live(&mut self, index: usize) {
+    fn run_box(&mut self, index: usize) {
         let now = self.now;
         if now < self.nodes[index].paused_until {
             return;
         }
-        for action in std::mem::take(&mut self.nodes[index].held_back) {
-            self.answer(index, action);
+        for action in std::mem::take(&mut self.nodes[index].deferred) {
+            self.on_answer(index, action);
         }
         let ended: Vec<u64> =
             self.nodes[index].running.iter().filter(|(_, r)| r.ends <= now).map(|(id, _)| *id).collect();
@@ -527,7 +528,7 @@
         }
         if let Some(broker) = &mut self.nodes[index].broker {
             let actions = broker.tick(now);
-            self.carry_out(index, actions);
+            self.apply(index, actions);
         }
     }
 
@@ -536,27 +537,27 @@
         self.faults = Faults { delay_ms: 5, ..Faults::default() };
         for index in 0..self.nodes.len() {
             if self.nodes[index].broker.is_none() {
-                self.revive(index);
+                self.restart(index);
             }
         }
         (0..self.nodes.len()).for_each(|i| self.set_true_view(i));
     }
 
     /// Ends all faults, waits until everything must have come to rest, and checks that it has.
-    pub fn come_to_rest(&mut self) {
+    pub fn settle_and_check(&mut self) {
         self.heal();
         for _ in 0..12_000 {
             self.step();
         }
         for request in &self.requests {
-            if !request.lost && request.answers != request.asked {
-                self.wrongs.push(format!("{request:?} was not answered once for each time it asked"));
+            if !request.lost && request.answers != request.attempts {
+                self.violations.push(format!("{request:?} was not answered exactly once per attempt"));
             }
         }
         for node in &self.nodes {
             let Some(broker) = &node.broker else { continue };
             if broker.lease_count() != 0 || broker.pending_count() != 0 {
-                self.wrongs.push(format!(
+                self.violations.push(format!(
                     "{} holds {} and waits for {}",
                     node.id,
                     broker.lease_count(),
@@ -565,13 +566,13 @@
             }
             for shard in broker.owned_shards() {
                 if shard.lease_count() != 0 {
-                    self.wrongs.push(format!("{} still counts {} leases", node.id, shard.lease_count()));
+                    self.violations.push(format!("{} still counts {} leases", node.id, shard.lease_count()));
                 }
             }
         }
         let twice: BTreeSet<u64> = self.ran.iter().filter(|(_, n)| **n > 1).map(|(key, _)| *key).collect();
         if !twice.is_empty() {
-            self.wrongs.push(format!("keys ran twice: {twice:?}"));
+            self.violations.push(format!("keys ran twice: {twice:?}"));
         }
     }
 }
