--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases between two boxes: what a lessee may believe of the time a lease lives.
+//! Leases between two boxes: their expiry, adoption and renewal.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ShardId};
 use policy::{Acquire, Action, Broker, Cause, Layout, Message, SchedulingMode, Time, LEASE_TTL_MS};
@@ -35,7 +35,7 @@
     *layout.shards.keys().next().expect("one shard")
 }
 
-/// Two boxes, of which the first is the shard's owner when both are alive.
+/// Returns two boxes, the first of which owns the shard when both are alive.
 fn boxes(layout: &Layout) -> (BoxId, BoxId) {
     let (a, b) = (BoxId::of("a"), BoxId::of("b"));
     let owner = policy::owner(u64::from(shard_of(layout).0), &[a, b]).expect("an owner");
@@ -46,7 +46,7 @@
     }
 }
 
-/// A box that would be the owner if it were alive.
+/// Returns a box that would be the owner if it were alive.
 fn preferred_third_box(layout: &Layout, a: BoxId, b: BoxId) -> BoxId {
     let shard = u64::from(shard_of(layout).0);
     let mut ids = (0..).map(|i| BoxId::of(&format!("c{i}")));
@@ -81,7 +81,8 @@
 
     let (_, actions) = lessee.acquire(acquire(now), now);
     let request = sent_to(&actions, owner_id).remove(0);
-    // The grant is lost, and so is the cancel when the lessee's view leaves the owner for a while.
+    // The grant is lost, and so is the cancellation that is sent when the lessee's view names another owner
+    // for a while.
     let granted_at = now;
     owner.receive(lessee_id, request, now);
     now = now.after(30);
@@ -113,7 +114,8 @@
     let now = Time(10_000);
     let mut owner = broker(owner_id, &layout, now);
     owner.set_boxes(view(&[owner_id, lessee_id]), Vec::new(), now);
-    // While the owner recovers, an ask waits; its lessee got a slot elsewhere and the cancel is lost.
+    // While the owner recovers, a request waits. Its lessee got a slot elsewhere, and the cancellation is
+    // lost.
     let request = policy::SlotRequest {
         id: 7,
         class: ClassId::of("hotline"),
@@ -150,7 +152,7 @@
     let both = view(&[owner_id, lessee_id]);
     let mut messages = sent_to(&owner.set_boxes(both.clone(), Vec::new(), now), lessee_id);
     lessee.set_boxes(both, Vec::new(), now);
-    // The lists of the recovery.
+    // The lists of leases for the recovery.
     let answers: Vec<Message> =
         messages.drain(..).flat_map(|m| sent_to(&lessee.receive(owner_id, m, now), owner_id)).collect();
     answers.into_iter().for_each(|m| drop(owner.receive(lessee_id, m, now)));
@@ -163,7 +165,7 @@
         lessee.receive(owner_id, grant, now);
     }
     assert_eq!(lessee.lease_count(), 1);
-    // The second grant is on its way while the lessee renews what it knows of.
+    // The second grant is in transit while the lessee renews the leases that it knows of.
     for ms in [300, 600, 900] {
         lessee.tick(now.after(ms));
         owner.tick(now.after(ms));
--- a/crates/policy/tests/random.rs
+++ b/crates/policy/tests/random.rs
@@ -1,4 +1,4 @@
-//! Long seeded random runs of the boxes' decision code, with its assertions on.
+//! Long seeded random runs of the brokers, with their invariants checked.
 //!
 //! `CLEATSHELF_LONG=N cargo test --release -p policy --test random -- long` runs N cases of the long mode.
 
@@ -23,7 +23,7 @@
     )
 }
 
-/// Requests of all classes come for `steps` steps.
+/// Submits requests of all classes for `steps` steps.
 fn load(sim: &mut Simulation, steps: u64) {
     for step in 0..steps {
         if step % 3 == 0 {
@@ -39,7 +39,7 @@
     }
 }
 
-/// One run: load under faults, then rest.
+/// Runs a load under faults, then lets the boxes settle without faults.
 fn run(seed: u64, halls: usize, boxes: usize, faults: Faults, steps: u64) -> Simulation {
     let mut sim = Simulation::new(seed, halls, boxes, faults);
     load(&mut sim, steps);
@@ -52,7 +52,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]))
 }
 
-/// Runs `holds` on so many inputs, and panics with the smallest that it fails on.
+/// Runs `holds` on `cases` inputs, and panics with the smallest one on which it fails.
 fn check_property<S: Strategy>(cases: u32, seed: u8, input: &S, holds: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     if let Err(failure) = runner(cases, seed).run(input, holds) {
         panic!("{failure}");
@@ -89,8 +89,8 @@
     });
 }
 
-/// How long after the last fault slots may still be used twice, in milliseconds: boxes that were paused wake
-/// within 6 s, a lease that its lessee no longer renews lives 3 s, and an owner asks again within 1 s.
+/// Time after the last fault for which slots may still be used twice: boxes that were paused wake within 6 s,
+/// a lease that its lessee no longer renews lives for 3 s, and an owner asks again within 1 s.
 const MAX_OVERLAP_MS: u64 = 10_000;
 
 #[test]
--- a/crates/policy/tests/remote.rs
+++ b/crates/policy/tests/remote.rs
@@ -1,4 +1,4 @@
-//! What an owner does with asks of other halls.
+//! Requests from other halls at an owner.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId};
 use policy::{Decision, Layout, Message, Scheduler, Shard, SlotRequest, Time};
@@ -47,7 +47,8 @@
     matches!(message, Message::Recall(..))
 }
 
-/// A hall whose slots are all taken by its own reviews, which have had more than their floor for a while.
+/// Returns a shard whose slots are all used by its own reviews, which have had more than their floor for a
+/// while.
 fn full_of_reviews(now: &mut Time) -> Shard {
     let mut shard = shard();
     for id in 0..SLOTS {
--- a/crates/policy/tests/server_recovery.rs
+++ b/crates/policy/tests/server_recovery.rs
@@ -1,4 +1,4 @@
-//! A server that failed or slowed gets its share back, but slowly and not for ever without it.
+//! A server that failed or slowed down regains its share gradually, and is not left without it forever.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ServerId};
 use policy::{
@@ -69,7 +69,8 @@
     }
 }
 
-/// Urgent requests only, a little below what one server bears; counts those that the ill server got.
+/// Applies urgent requests only, slightly below what one server can bear. Returns the number granted on the
+/// slow server.
 fn urgent_load(shard: &mut Shard, now: &mut Time, seconds: u64, slow_gap_ms: u32, next_id: &mut u64) -> u32 {
     const STEP_MS: u64 = 20;
     let slow = ServerId::of("slow");
--- a/crates/policy/tests/shard_affinity.rs
+++ b/crates/policy/tests/shard_affinity.rs
@@ -1,4 +1,4 @@
-//! Which of a pool's shards a box uses.
+//! The choice of a pool's shard by each box.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ShardId};
 use policy::{Acquire, Action, Broker, Cause, Layout, Message, SchedulingMode, Time, SERVERS_PER_SHARD};
@@ -12,7 +12,7 @@
 fn layout() -> Rc<Layout> {
     let mut upstreams = String::new();
     for i in 0..2 * SERVERS_PER_SHARD {
-        // Writing to a String can't fail.
+        // Writing to a String cannot fail.
         let _ = write!(
             upstreams,
             "[[upstream]]\nname='s{i}'\nhall='h'\nmodel='m'\naddress='127.0.0.1:1'\nslots=4\nresume=true\n"
@@ -22,12 +22,12 @@
     Rc::new(Layout::from_catalog(&catalog))
 }
 
-/// The shards that each of `count` boxes asks for ten requests each.
+/// Returns the shards that each of `count` boxes uses for ten requests.
 fn shards_used(layout: &Rc<Layout>, count: usize) -> Vec<BTreeSet<ShardId>> {
     let now = Time(1_000);
     let mut ids: Vec<BoxId> = (0..count).map(|i| BoxId::of(&format!("b{i}"))).collect();
     ids.sort_unstable();
-    // One more that owns everything, so that all asks go out.
+    // A leaving box, which owns nothing and never answers.
     let leaving_box = BoxId::of("elsewhere");
     let of_box = |me: &BoxId| {
         let mut broker = Broker::new(*me, "h", SchedulingMode::Owner, 0, now);
@@ -68,7 +68,7 @@
     let many = shards_used(&layout, 5 * shards);
     let mut boxes: BTreeMap<ShardId, usize> = BTreeMap::new();
     for one in &many {
-        // An owner that hasn't heard its lessees yet grants itself nothing, and shows no ask.
+        // An owner whose lessees have not answered yet grants nothing to itself, so it shows no request.
         assert!(one.len() <= 1, "{one:?}");
         one.iter().for_each(|shard| *boxes.entry(*shard).or_default() += 1);
     }
--- a/crates/policy/tests/simulation/mod.rs
+++ b/crates/policy/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Boxes' decision code in virtual time: messages are lost, doubled, delayed and reordered; boxes
-//! pause, die and return; views differ. Not a simulation of speed: only what must never happen counts.
+//! Brokers in virtual time: messages are lost, duplicated, delayed and reordered; boxes pause, crash and
+//! restart; views differ. Speed is not modelled; only what must never happen is checked.
 
 use catalog::{BoxId, Catalog, ClassId, CustomerId, ServerId};
 use policy::{
@@ -37,24 +37,24 @@
 preemptible = true
 "#;
 
-/// What goes wrong, in shares of a thousand.
+/// Rates of faults, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// Messages lost.
+    /// Messages that are lost.
     pub lost: u32,
-    /// Messages delivered twice.
+    /// Messages that are delivered twice.
     pub duplicated: u32,
-    /// Most milliseconds that a message takes.
+    /// Maximum delay of a message in milliseconds.
     pub delay_ms: u64,
-    /// Boxes pausing, each step.
+    /// Pauses of boxes, per step.
     pub pauses: u32,
-    /// Boxes dying, each step.
+    /// Crashes of boxes, per step.
     pub crashes: u32,
-    /// Views that go on differing, each step.
+    /// Views that become incomplete, per step.
     pub wrong_views: u32,
-    /// Servers failing a request.
+    /// Requests that a server fails.
     pub failures: u32,
-    /// Callers going away.
+    /// Callers that go away, per step.
     pub abandoned: u32,
 }
 
@@ -81,11 +81,11 @@
     broker: Option<Broker>,
     paused_until: Time,
     incarnation: u64,
-    /// Wishes that have no answer, by number.
+    /// Requests without an answer, by id.
     pending: BTreeMap<u64, usize>,
     claims: BTreeMap<u64, usize>,
     running: BTreeMap<u64, Running>,
-    /// Actions that came while the box was paused are carried out when it wakes.
+    /// Actions that came while the box was paused. They are carried out when it wakes.
     deferred: Vec<Action>,
 }
 
@@ -97,7 +97,7 @@
     message: Message,
 }
 
-/// The whole world of one run.
+/// The state of one run.
 pub struct Simulation {
     pub now: Time,
     rng: ChaCha8Rng,
@@ -107,20 +107,20 @@
     count: u64,
     requests: Vec<Request>,
     pub faults: Faults,
-    /// Anything here is a fault of the program.
+    /// Violated invariants. Each is a fault of the program.
     pub violations: Vec<String>,
-    /// When a grant was first said, by lessee, number, granter and the wait that it names.
+    /// Time at which a grant was first sent, by lessee, id, granter and the wait that it names.
     ///
-    /// A grant said again names the same wait; a new lease for the same number names a longer one.
+    /// A repeated grant names the same wait; a new lease for the same id names a longer one.
     grants: BTreeMap<(BoxId, u64, BoxId, u32), Time>,
-    /// Requests that began to run, by key.
+    /// Number of runs by request key.
     ran: BTreeMap<u64, u32>,
     pub finished: BTreeMap<usize, u32>,
     pub refused: BTreeMap<usize, u32>,
     pub max_overlap: u32,
-    /// Most leases on one server that one box had granted.
+    /// Maximum number of leases on one server that one box had granted.
     pub max_by_one_box: u32,
-    /// Starts from this time on that put more on a server than its slots are wrong.
+    /// From this time on, more requests on a server than its slots are a violation.
     pub no_overlap_from: Option<Time>,
     slots: BTreeMap<ServerId, u32>,
 }
@@ -220,7 +220,7 @@
         self.set_view(index, view);
     }
 
-    /// A view in which some other box of the hall is missing.
+    /// Sets a view in which some other box of the hall is missing.
     fn set_incomplete_view(&mut self, index: usize) {
         let mut view = self.view();
         let (me, hall) = (self.nodes[index].id, self.nodes[index].hall.clone());
@@ -252,7 +252,8 @@
         }
     }
 
-    /// A permit ends no later than the lease's life after the owner's grant, whatever the messages went through.
+    /// Checks that a permit expires no later than the lifetime of a lease after the owner's grant, however
+    /// messages were delayed or duplicated.
     fn check_expiry(&mut self, index: usize, action: &Action) {
         let Action::Granted { id, granter, expires, .. } = action else { return };
         let me = self.nodes[index].id;
@@ -280,7 +281,7 @@
         }
     }
 
-    /// What traffic threads would do with an answer. A paused box's threads are paused as well.
+    /// Does what the traffic threads would do with an answer. The threads of a paused box are paused as well.
     fn on_answer(&mut self, index: usize, action: Action) {
         if self.now < self.nodes[index].paused_until {
             self.nodes[index].deferred.push(action);
@@ -317,7 +318,7 @@
         let now = self.now;
         let sent = Unsent::new(true).send(Permit::new(expires), now);
         if sent.is_err() {
-            // Too late: hand it back and ask again, as the gateway does.
+            // Too late: returns the lease and requests a slot again, as the gateway does.
             self.return_lease(index, id, Report { unused: true, ..Report::default() });
             self.acquire(index, request, Cause::Recall);
             return;
@@ -372,7 +373,7 @@
 
     // ------------------------------------------------------------------------
 
-    /// A new request of `class` (0 is the urgent one) at a random living box.
+    /// Submits a new request of `class` (0 is the urgent one) at a random running box.
     pub fn submit(&mut self, class: usize, key: Option<u64>) {
         let alive: Vec<usize> = (0..self.nodes.len())
             .filter(|i| self.nodes[*i].broker.is_some() && self.now >= self.nodes[*i].paused_until)
@@ -455,7 +456,7 @@
         if self.chance(self.faults.wrong_views) {
             self.set_incomplete_view(index);
         }
-        // Sooner or later everybody sees what is.
+        // Sooner or later every box gets the true view.
         if self.chance(20) {
             self.set_true_view(index);
         }
@@ -479,7 +480,7 @@
         }
     }
 
-    /// One step of virtual time.
+    /// Advances virtual time by one step.
     pub fn step(&mut self) {
         self.now = self.now.after(STEP_MS);
         self.inject_faults();
@@ -497,7 +498,7 @@
         for flight in due {
             let Some(index) = self.nodes.iter().position(|n| n.id == flight.to) else { continue };
             if self.now < self.nodes[index].paused_until {
-                // It waits in the paused box's socket.
+                // The message waits in the paused box's socket.
                 self.in_flight.push(InFlight { at: self.nodes[index].paused_until, ..flight });
                 continue;
             }
@@ -532,7 +533,7 @@
         }
     }
 
-    /// Ends all faults: every box lives and sees all others.
+    /// Ends all faults: every box runs and sees all others.
     pub fn heal(&mut self) {
         self.faults = Faults { delay_ms: 5, ..Faults::default() };
         for index in 0..self.nodes.len() {
@@ -543,7 +544,7 @@
         (0..self.nodes.len()).for_each(|i| self.set_true_view(i));
     }
 
-    /// Ends all faults, waits until everything must have come to rest, and checks that it has.
+    /// Ends all faults, waits until everything must have settled, and checks that it has.
     pub fn settle_and_check(&mut self) {
         self.heal();
         for _ in 0..12_000 {
--- a/crates/policy/tests/usage.rs
+++ b/crates/policy/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Customers' limits: what is told to their keepers, and what isn't.
+//! Customers' limits: the usage that is reported to a customer's owner, and the answers.
 
 use catalog::{BoxId, CustomerId};
 use policy::{Quota, Time, UsageMeter, UsageTable};
@@ -9,7 +9,7 @@
 const A: BoxId = BoxId(1);
 const B: BoxId = BoxId(2);
 
-/// One second's telling, and what comes back.
+/// Reports one second's usage and records the answer. Returns the number of reported customers.
 fn report(meter: &mut UsageMeter, owner: &mut UsageTable, from: BoxId, now: Time) -> usize {
     let usages = meter.usage_to_report(now);
     let others = owner.record(from, &usages, now);
@@ -35,7 +35,7 @@
         assert!(a.admit(CUSTOMER, QUOTA, Time(0)));
     }
     report(&mut a, &mut owner, A, Time(1_000));
-    // The other box has heard of nothing yet; it learns by its first request.
+    // The other box has no report yet; it gets one with its first request.
     assert!(b.admit(CUSTOMER, QUOTA, Time(1_500)));
     report(&mut b, &mut owner, B, Time(2_000));
     assert!(!b.admit(CUSTOMER, QUOTA, Time(2_500)));
