--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -104,7 +104,7 @@
             match around.owner.on_permit_request(&permit, ask.now) {
                 PermitReply::Granted => return Ok(choice),
                 PermitReply::Denied { retry_ms: again } => {
-                    self.placement.record_denial(SERVICE, &id, ask.urgency, ask.now + again)
+                    self.placement.record_denial(SERVICE, &id, ask.urgency, ask.now + again);
                 }
             }
             denied.push(id);
