--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -1,31 +1,31 @@
-//! Whether a request is sent or told to come back.
+//! Admission control: whether a request is sent or refused for now.
 //!
-//! Where all places are taken and a request would wait beyond its aim, sending it makes it late and those after it too.
-//! It is refused at once instead, the less urgent ones before the more urgent.
+//! Where all slots are taken and a request would wait beyond its latency target, sending it makes it late and delays
+//! those after it. It is refused at once instead, less urgent requests before more urgent ones.
 
 use crate::urgency::{class_index, PerUrgency};
 use crate::{Millis, PlacementRequest};
 
-/// How long a class counts as present after its last request.
+/// How long an urgency class counts as present after its last request.
 const PRESENCE_WINDOW: Millis = 2_000;
 
-/// The admission of one service.
+/// Admission control for one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Admission {
-    /// When a request of each urgency last came; none before the first.
+    /// When a request of each urgency last arrived; `None` before the first.
     last_request: PerUrgency<Option<Millis>>,
 }
 
 impl Admission {
-    /// A request came.
+    /// Records the arrival of a request.
     pub(crate) fn record(&mut self, urgency: u8, now: Millis) {
         self.last_request[class_index(urgency)] = Some(now);
     }
 
-    /// True when a request may be sent where it would wait so many milliseconds for a place.
+    /// True when a request may be sent although it would wait `wait_ms` for a slot.
     ///
-    /// Each more urgent class that is present halves, thirds, … what a class may wait, so that it is refused before
-    /// them.
+    /// Each more urgent class that is present reduces the wait allowed to a half, a third, and so on, so that less
+    /// urgent classes are refused first.
     pub(crate) fn admits(&self, request: &PlacementRequest<'_>, wait_ms: f64) -> bool {
         let present = |seen: &&Option<Millis>| seen.is_some_and(|at| request.now < at + PRESENCE_WINDOW);
         let more_urgent = self.last_request[..class_index(request.urgency)].iter().filter(present).count();
--- a/crates/placement/src/admission_state.rs
+++ b/crates/placement/src/admission_state.rs
@@ -1,44 +1,45 @@
-//! What is in force for a server, derived in one place and asked by everybody.
+//! Admission state of a server. It is derived in one place, so that every caller applies the same rules.
 
 use crate::member::Member;
 use crate::Millis;
 
-/// What may be sent to a server now.
+/// Limits on the requests that may be sent to a server now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionState {
-    /// Whatever suits it.
+    /// Any request that suits it.
     Open,
-    /// A few requests a second of all boxes together, each with its owner's leave: it has just started, or turned cold
-    /// again.
+    /// A few requests per second from all boxes together, each with a send permit from its owner: the server has just
+    /// started, or has turned cold again.
     Cold,
-    /// As many requests a second of all boxes together as it said that it takes, each with leave.
+    /// As many requests per second from all boxes together as its own limit allows, each with a send permit.
     Limited,
-    /// Nothing while others are sound: the publisher is back from an older copy, which alone has it, and it may have ended.
+    /// Nothing while healthy servers are available. The publisher was restored from an older copy, and only that copy
+    /// lists the server, so it may have terminated.
     Unconfirmed,
-    /// Nothing while others are sound: it failed lately.
+    /// Nothing while healthy servers are available: it failed recently.
     Paused,
-    /// Nothing of this box: the server asked for rest.
+    /// Nothing from this box: the server asked for a back-off.
     BackingOff,
     /// Nothing: its hall is evacuated.
     Evacuated,
-    /// Nothing: it is about to end.
+    /// Nothing: it is about to terminate.
     Leaving,
 }
 
 impl AdmissionState {
-    /// True where nothing may be sent by any box, whatever else there is.
+    /// True if no box may send anything, even if no other server is available.
     pub(crate) fn is_closed(self) -> bool {
         matches!(self, Self::Evacuated | Self::Leaving)
     }
 
-    /// True where this box may send nothing, whatever else there is.
+    /// True if this box may send nothing, even if no other server is available.
     pub(crate) fn is_blocked(self) -> bool {
         self.is_closed() || self == Self::BackingOff
     }
 }
 
 impl Member {
-    /// What is in force for it.
+    /// Returns its current admission state.
     pub(crate) fn admission_state(&self, now: Millis) -> AdmissionState {
         if self.leaving {
             AdmissionState::Leaving
--- a/crates/placement/src/cache_directory.rs
+++ b/crates/placement/src/cache_directory.rs
@@ -1,27 +1,29 @@
-//! Where parts of prompts were read that their first home does not keep.
+//! Directory of servers that cache prompt parts outside the parts' home servers.
 //!
-//! Under load prompts are read away from their homes, and the next box that looks for their parts asks the homes only: it
-//! has them read again though a server keeps them, which takes an engine's time, and its price is four times that of moving
-//! them. So each part has one server, the same for every box, whose owner is told of all that read it.
+//! Under load, prompts are read away from their homes, and the next box that looks for their parts queries only the
+//! homes. Without a directory it would have the parts read again although a server caches them, which takes engine
+//! time and costs four times as much as a transfer. So each part has one server, the same for every box, whose owner
+//! records all servers that read the part.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Servers that are remembered for one part: the last ones that read it.
+/// Servers remembered for one part: those that read it last.
 const MAX_SERVERS_PER_PART: usize = 3;
 
-/// Parts that are remembered for one server. With some tens of live parts a server, those that nobody uses any more are let go.
+/// Parts remembered for one server. Enough for some tens of live parts per server; the oldest entries are evicted
+/// first.
 const MAX_PARTS: usize = 400;
 
-/// The parts whose register one server's owner keeps, and who read them.
+/// The cache directory kept by one server's owner: parts, and the servers that read them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CacheDirectory {
     parts: HashMap<u64, VecDeque<String>>,
-    /// Ids of the parts, those first that were told of first.
+    /// Ids of the parts, oldest first.
     order: VecDeque<u64>,
 }
 
 impl CacheDirectory {
-    /// A server has read a part.
+    /// Records that a server has read a part.
     pub(crate) fn record(&mut self, part: u64, server: String) {
         let servers = self.parts.entry(part).or_insert_with(|| {
             self.order.push_back(part);
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Who read a part, the last one first.
+    /// Returns the servers that read a part, the most recent first.
     pub(crate) fn servers(&self, part: u64) -> Vec<String> {
         self.parts.get(&part).map(|servers| servers.iter().cloned().collect()).unwrap_or_default()
     }
--- a/crates/placement/src/cached_parts.rs
+++ b/crates/placement/src/cached_parts.rs
@@ -1,33 +1,34 @@
-//! Which prompt parts a server keeps, as far as this box knows.
+//! Prompt parts cached by a server, as far as this box knows.
 
 use crate::{Millis, Part};
 use std::collections::HashMap;
 
-/// What is known of one part on one server.
+/// State of one part on one server.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     tokens: u32,
     used: Millis,
-    /// True once an answer showed that the server has read it; before, it may still be waiting.
+    /// True once an answer showed that the server has read it; before that, it may still be queued.
     read: bool,
 }
 
-/// Parts believed to be in one server's memory; the ones unused for longest are forgotten first.
+/// Parts believed to be in one server's cache; the least recently used are evicted first.
 #[derive(Clone, Debug, Default)]
 pub struct CachedParts {
     parts: HashMap<u64, Entry>,
-    /// Sum of the parts' tokens.
+    /// Total tokens of all parts.
     tokens: u64,
 }
 
 impl CachedParts {
-    /// Tokens of `parts`, from the first on without a gap, that are kept or will be when they are needed.
+    /// Returns the tokens of the longest run of leading `parts` that are cached, or will be by the time they are
+    /// needed.
     #[must_use]
     pub fn cached_prefix(&self, parts: &[Part]) -> u32 {
         self.count(parts, |_| true)
     }
 
-    /// Tokens of `parts`, from the first on without a gap, that have surely been read.
+    /// Returns the tokens of the longest run of leading `parts` that are known to have been read.
     #[must_use]
     pub fn confirmed_prefix(&self, parts: &[Part]) -> u32 {
         self.count(parts, |entry| entry.read)
@@ -38,7 +39,7 @@
         cached.map(|part| part.tokens).sum()
     }
 
-    /// Notes that `parts` are being used; forgets the oldest beyond `most` tokens.
+    /// Marks `parts` as used now; evicts the least recently used parts beyond `max_tokens`.
     pub fn touch(&mut self, parts: &[Part], max_tokens: u64, now: Millis) {
         for part in parts {
             let read = self.parts.get(&part.id).is_some_and(|entry| entry.read);
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Drops those of `parts` that nobody has read.
+    /// Removes those of `parts` that are not known to have been read.
     pub fn remove_unread(&mut self, parts: &[Part]) {
         for part in parts {
             if self.parts.get(&part.id).is_some_and(|entry| !entry.read) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Notes that `parts` have been read.
+    /// Marks `parts` as read.
     pub fn mark_read(&mut self, parts: &[Part]) {
         for part in parts {
             if let Some(entry) = self.parts.get_mut(&part.id) {
--- a/crates/placement/src/cold.rs
+++ b/crates/placement/src/cold.rs
@@ -1,39 +1,39 @@
-//! Until when a server is taken for cold, and what it bears meanwhile.
+//! How long a server counts as cold, and the requests that it may get meanwhile.
 //!
-//! A server is cold for some seconds after a start, and may turn cold at other moments. Its entry says so, seconds late.
-//! Sooner than that show: answers that broke off, after which it may have started again under its name, and the end of
-//! its hall's evacuation.
+//! A server is cold for some seconds after a start, and may turn cold at other times. Its directory entry shows this
+//! seconds late. Two signs show it sooner: lost connections, after which the server may have restarted under its
+//! name, and the end of its hall's evacuation.
 
 use crate::{Ending, Millis, Quota};
 use routing::ColdStart;
 use serde::{Deserialize, Serialize};
 
-/// The span over which arrivals at a cold server are counted: a second, and as long as a request may be under way between its
-/// owner's leave and the server, so that no second at the server holds more.
+/// Window over which arrivals at a cold server are counted. It is one second plus the time that a request may take
+/// from its owner's permit to the server, so that no second at the server holds more requests.
 pub(crate) const COLD_WINDOW: Millis = 1_200;
 
-/// Arrivals in a second that are left free of what a cold server may get, for those that nobody counted.
+/// Requests per second held back from what a cold server may get, to allow for requests that were not counted.
 const UNCOUNTED_PER_S: f64 = 2.0;
 
-/// What all boxes together may send to a cold server, by the platform's bounds.
+/// The requests that all boxes together may send to a cold server, by the platform's bounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdAllowance {
-    /// Times what its service says that it bears in a second.
+    /// Multiple of the rate that its service declares for cold servers.
     pub ratio: f64,
-    /// Requests in a second besides.
+    /// Additional requests per second.
     pub slack: f64,
 }
 
 impl Default for ColdAllowance {
-    /// Where no bound is set, just what it bears.
+    /// Without configured bounds, exactly the declared rate.
     fn default() -> Self {
         Self { ratio: 1.0, slack: 0.0 }
     }
 }
 
 impl ColdAllowance {
-    /// Most requests that a cold server is to get: below the bound for bursts, and no more than the bound without its slack where
-    /// they go on.
+    /// Returns the quota of a cold server: below the bound for bursts, and no more than the bound without its slack
+    /// under sustained load.
     pub(crate) fn quota(&self, cold: &ColdStart) -> Quota {
         let sustained = cold.requests_per_s * self.ratio;
         let burst = sustained + self.slack - UNCOUNTED_PER_S;
@@ -41,19 +41,19 @@
     }
 }
 
-/// How long ago a server broke off, and has answered since.
+/// Time since a server's connections were lost, and whether it has answered since.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Disconnect {
-    /// It has not broken off.
+    /// No connection was lost.
     #[default]
     None,
-    /// It has not answered since.
+    /// The server has not answered since.
     Open,
-    /// It has answered since, for the first time so many milliseconds ago.
+    /// The server has answered since, for the first time this many milliseconds ago.
     Over(u32),
 }
 
-/// What sends show of a server that may have started again.
+/// Observations of a server that may have restarted.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) enum Disconnects {
     #[default]
@@ -63,7 +63,7 @@
 }
 
 impl Disconnects {
-    /// Takes how a send ended.
+    /// Records how a send ended.
     pub(crate) fn record(&mut self, ending: Ending, now: Millis) {
         match (ending, *self) {
             (Ending::Broken | Ending::Unreached, _) => *self = Self::Open,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The same for those who don't share this clock.
+    /// Converts to a form that other boxes can use, which don't share this clock.
     pub(crate) fn elapsed(&self, now: Millis) -> Disconnect {
         match self {
             Self::None => Disconnect::None,
@@ -83,7 +83,7 @@
 }
 
 impl Disconnect {
-    /// Until when a server is cold that breaks off as told at `at`, by this; 0 when it says nothing.
+    /// Returns until when a server counts as cold that reported this at `at`; 0 if nothing suggests a restart.
     pub(crate) fn cold_until(self, cold: &ColdStart, at: Millis) -> Millis {
         let time = cold.duration.as_millis() as Millis;
         match self {
--- a/crates/placement/src/completions.rs
+++ b/crates/placement/src/completions.rs
@@ -1,22 +1,23 @@
-//! How often places at a server become free.
+//! How often slots at a server become free.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How far back ends count: long enough for some ends of answers of seconds, short enough to follow a burst.
+/// How far back completions count: long enough to see some completions of answers that take seconds, short enough to
+/// follow a burst.
 const WINDOW: Millis = 2_000;
 
-/// Most ends that are kept. More a window mean that places become free faster than anybody waits.
+/// Most completions kept. With more than this per window, slots become free faster than requests queue up.
 const MAX_COMPLETIONS: usize = 256;
 
-/// When requests that ran at a server ended lately.
+/// Times of recent completions at a server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Completions {
     recent: VecDeque<Millis>,
 }
 
 impl Completions {
-    /// One ended.
+    /// Records a completion.
     pub(crate) fn record(&mut self, now: Millis) {
         if self.recent.len() == MAX_COMPLETIONS {
             self.recent.pop_front();
@@ -24,7 +25,7 @@
         self.recent.push_back(now);
     }
 
-    /// Milliseconds between two of them on average; 0 where none ended lately.
+    /// Returns the average interval between completions in milliseconds; 0 without recent ones.
     pub(crate) fn interval_ms(&self, now: Millis) -> f32 {
         let count = self.recent.iter().filter(|at| **at + WINDOW >= now).count();
         if count == 0 {
--- a/crates/placement/src/demand.rs
+++ b/crates/placement/src/demand.rs
@@ -1,70 +1,68 @@
-//! What the work of a pool takes of its engines, as far as their owners told.
+//! Share of a pool's engines that its current work needs, as reported by the engines' owners.
 
 use crate::ServerStatus;
 
-/// The part of an engine's places that are to be taken on either side: beyond, some engines are full while others are not.
+/// Target for the share of slots in use on either side of the split. Above it, some engines are full while others are
+/// not.
 const MAX_SLOT_RATIO: f64 = 0.7;
 
-/// What requests take of a pool's engines, in pools of this size.
+/// Use of a pool's engines, in units of the whole pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Usage {
-    /// Time for reading.
+    /// Prefill time.
     pub(crate) prefill: f64,
-    /// Places.
+    /// Slots.
     pub(crate) slots: f64,
 }
 
-/// What the work of a pool takes.
+/// Demand of a pool's work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Demand {
-    /// By requests with long prompts.
+    /// Requests with long prompts.
     pub(crate) long: Usage,
-    /// By the others.
+    /// All other requests.
     pub(crate) short: Usage,
 }
 
 impl Usage {
-    /// Both.
     fn plus(self, other: Self) -> Self {
         Self { prefill: self.prefill + other.prefill, slots: self.slots + other.slots }
     }
 
-    /// So many times this.
     fn scaled(self, factor: f64) -> Self {
         Self { prefill: self.prefill * factor, slots: self.slots * factor }
     }
 
-    /// The part of the pool that it takes, where engines are to spend so much of their time reading.
+    /// Returns the share of the pool needed if engines may spend at most `max_prefill_ratio` of their time on
+    /// prefill.
     pub(crate) fn engines_needed(self, max_prefill_ratio: f64) -> f64 {
         (self.prefill / max_prefill_ratio).max(self.slots / MAX_SLOT_RATIO)
     }
 }
 
 impl Demand {
-    /// Both.
     pub(crate) fn plus(self, other: Self) -> Self {
         Self { long: self.long.plus(other.long), short: self.short.plus(other.short) }
     }
 
-    /// So many times this.
     pub(crate) fn scaled(self, factor: f64) -> Self {
         Self { long: self.long.scaled(factor), short: self.short.scaled(factor) }
     }
 }
 
-/// What was heard of the engines on one side of the division.
+/// Reports from the engines on one side of the split.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Side {
-    /// How many there are.
+    /// Number of engines.
     pub(crate) engines: f64,
-    /// Of how many something was heard.
+    /// Number of engines with a recent report.
     reporting: f64,
-    /// Sums over those heard of.
+    /// Total over the engines that reported.
     demand: Demand,
 }
 
 impl Side {
-    /// Takes what the owner of one of them said.
+    /// Adds the report of one engine's owner.
     pub(crate) fn add(&mut self, status: &ServerStatus, slots: u32) {
         let slots = f64::from(slots.max(1));
         let short = status.load.running.saturating_sub(status.load.long);
@@ -75,7 +73,8 @@
         });
     }
 
-    /// What the work on this side takes, in parts of a pool of so many engines.
+    /// Returns the demand on this side as a share of a pool of `pool_size` engines, extrapolated to engines without a
+    /// report.
     pub(crate) fn demand(&self, pool_size: f64) -> Demand {
         if self.reporting == 0.0 {
             return Demand::default();
--- a/crates/placement/src/fingerprint.rs
+++ b/crates/placement/src/fingerprint.rs
@@ -1,16 +1,16 @@
-//! Tells a request that comes again from others.
+//! Fingerprints that identify repeats of a request.
 
 use routing::rank_bytes;
 use serde::{Deserialize, Serialize};
 
-/// What a request is known by, whichever box it comes to and however often: equal for equal method, host, target, customer
-/// and body. Made in 1.1 us for a body of 20 kB, 6 us for 100 kB (`examples/fingerprint.rs`).
+/// Identifies a request on every box: equal for equal method, host, target, customer and body. Takes 1.1 us for a
+/// body of 20 kB and 6 us for 100 kB (`examples/fingerprint.rs`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of these fields in this order. Callers don't know `secret`, and so can't make requests that are taken
-    /// for those of others.
+    /// Computes the fingerprint of these fields in this order. Callers don't know `secret`, so they can't craft
+    /// requests that collide with those of others.
     #[must_use]
     pub fn of(secret: u64, fields: &[&[u8]]) -> Self {
         Self(fields.iter().fold(secret, |key, field| rank_bytes(key, field)))
--- a/crates/placement/src/health.rs
+++ b/crates/placement/src/health.rs
@@ -1,50 +1,50 @@
-//! How a server has behaved lately.
+//! Recent failures of a server.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// How a send ended, as far as the server is to blame.
+/// Outcome of a send, as far as the server is responsible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Ending {
-    /// A whole answer.
+    /// A complete answer.
     Good,
-    /// An answer that says the server failed.
+    /// An answer that reports a failure of the server.
     Failed,
-    /// Full, or not the server expected: it did not run the request.
+    /// Full, or not the expected server: it did not run the request.
     NotRun,
     /// No answer, or a broken one.
     Broken,
     /// No connection; nothing was sent.
     Unreached,
-    /// Ended by the caller; says nothing of the server.
+    /// Ended by the caller; says nothing about the server.
     Left,
 }
 
-/// Failures in a row after which a server is left alone for a while. Two, since one may be chance.
+/// Consecutive failures after which a server is paused. Two, since a single one may be chance.
 const MAX_CONSECUTIVE_FAILURES: u32 = 2;
 
-/// How long a failing server is left alone at first, and at most. A crash on the platform lasts seconds.
+/// First and longest pause of a failing server. A crash on the platform lasts seconds.
 const MIN_PAUSE: Millis = 300;
 const MAX_PAUSE: Millis = 2_400;
 
-/// Weight of the newest ending in the mean of failures: about the last ten count.
+/// Weight of the newest outcome in the moving average of failures: about the last ten count.
 const EWMA_WEIGHT: f64 = 0.12;
 
-/// The record of one server.
+/// Failure record of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     /// Broken or unreached sends since the last answer.
     consecutive_failures: u32,
-    /// Until when the server is left alone; afterwards one request tries it.
+    /// End of the pause; after it, one request probes the server.
     pause_until: Millis,
-    /// How long the next pause lasts.
+    /// Length of the current or last pause; doubles with each further failure.
     pause: Millis,
-    /// Mean of failures, 0 to 1.
+    /// Moving average of failures, from 0 to 1.
     failure_ratio: f64,
 }
 
 impl Health {
-    /// Takes in how a send ended.
+    /// Records the outcome of a send.
     pub fn record(&mut self, ending: Ending, now: Millis) {
         match ending {
             Ending::Good => self.record_answer(0.0),
@@ -70,30 +70,30 @@
         }
     }
 
-    /// True while the server is left alone.
+    /// True while the server is paused.
     #[must_use]
     pub fn is_paused(&self, now: Millis) -> bool {
         now < self.pause_until
     }
 
-    /// When the pause ends.
+    /// Returns the end of the pause.
     #[must_use]
     pub fn pause_until(&self) -> Millis {
         self.pause_until
     }
 
-    /// True when the next request is the first after a pause.
+    /// True if the next request is a half-open probe: the first one after a pause.
     #[must_use]
     pub fn is_half_open(&self, now: Millis) -> bool {
         self.pause > 0 && !self.is_paused(now)
     }
 
-    /// A request tries the server after a pause: no other does until it has ended, or for a while.
+    /// Begins a half-open probe: no other request is sent until it has ended, or for another pause.
     pub fn begin_probe(&mut self, now: Millis) {
         self.pause_until = now + self.pause;
     }
 
-    /// The share of sends that failed lately.
+    /// Returns the recent share of sends that failed.
     #[must_use]
     pub fn failure_ratio(&self) -> f64 {
         self.failure_ratio
--- a/crates/placement/src/homes.rs
+++ b/crates/placement/src/homes.rs
@@ -1,12 +1,12 @@
-//! Which servers are to keep a shared part of prompts.
+//! Home servers of shared prompt parts.
 //!
-//! Every box names the same ones, without a word between them, by rendezvous hashing over the servers' lives.
+//! All boxes compute the same homes without communication, by rendezvous hashing over the server instances.
 
 use crate::member::Member;
 use crate::Prompt;
 use std::cmp::Reverse;
 
-/// The servers in the order in which every box would have them keep a prompt's last shared part; none without one.
+/// Returns the servers in order of preference for caching the prompt's last shared part; empty without a shared part.
 pub(crate) fn homes<'a>(eligible: impl Iterator<Item = &'a Member>, prompt: &Prompt) -> Vec<&'a Member> {
     let Some(last) = prompt.shared().last() else { return Vec::new() };
     let mut ranked: Vec<(u64, &Member)> =
--- a/crates/placement/src/impact.rs
+++ b/crates/placement/src/impact.rs
@@ -1,37 +1,39 @@
-//! How many answers a choice is expected to make late.
+//! Expected number of answers that a placement makes late.
 
 use crate::{Load, Speed, Work};
 
-/// How far pauses and memory differ from what is expected, as a part of it: a pause expected to be this much shorter than
-/// what an answer bears may be too long, one that is this much longer may be borne.
+/// Relative uncertainty of expected pauses and memory use. A pause expected to be shorter than the limit by up to
+/// this ratio may exceed it, and one expected to be longer by up to this ratio may stay below it.
 const UNCERTAINTY_RATIO: f64 = 0.08;
 
-/// The part of its aim up to which an expected first event is sure to come in time: what comes between a choice and the
-/// reading, as other boxes' requests, makes waits longer and never shorter.
+/// Share of the latency target up to which an expected first event is certain to be in time. Events between a
+/// placement and the prefill, such as requests from other boxes, make waits longer and never shorter.
 const CERTAIN_WAIT_RATIO: f64 = 0.6;
 
-/// The chance that the first event comes after the aim.
+/// Returns the probability that the first event comes after the target.
 pub(crate) fn first_event_late(wait_ms: f64, target_ms: f64) -> f64 {
     ((wait_ms / target_ms.max(1.0) - CERTAIN_WAIT_RATIO) / (1.0 - CERTAIN_WAIT_RATIO)).clamp(0.0, 1.0)
 }
 
-/// The chance that something expected to be so much, as a pause or the memory that answers will fill, is more than `most`.
+/// Returns the probability that a quantity with this expected value, such as a pause or the memory that answers will
+/// use, exceeds `limit`.
 pub(crate) fn exceeds(expected: f64, limit: f64) -> f64 {
     ((expected / limit.max(1.0) - 1.0 + UNCERTAINTY_RATIO) / (2.0 * UNCERTAINTY_RATIO)).clamp(0.0, 1.0)
 }
 
-/// The chance that one of the stalls that come `per_second` makes an answer late that takes so long.
+/// Returns the probability that an answer that takes `took_ms` is made late by one of `per_second` stalls.
 pub(crate) fn stall_probability(per_second: f64, took_ms: f64) -> f64 {
     1.0 - (-per_second * took_ms / 1e3).exp()
 }
 
-/// How many of those that run are put back and read again: for want of memory before they have ended, or of a place.
+/// Returns the expected number of running requests that the engine preempts and prefills again, for want of memory
+/// before they complete or for want of a slot.
 pub(crate) fn preemptions(load: &Load, work: &Work, memory: u64, slots: u32) -> f64 {
     let displaces = load.running >= slots && load.not_displaced_by(work.urgency) < slots;
     exceeds((load.held + u64::from(work.held)) as f64, memory as f64) + if displaces { 1.0 } else { 0.0 }
 }
 
-/// How many answers running beside it become late when `work` is added to a load.
+/// Returns the expected number of running answers that become late when `work` is added to a load.
 pub(crate) fn others_late(load: &Load, work: &Work, speed: &Speed) -> f64 {
     if work.prefill.tokens == 0 {
         return 0.0;
--- a/crates/placement/src/least_squares.rs
+++ b/crates/placement/src/least_squares.rs
@@ -1,22 +1,22 @@
-//! A line through noisy observations that forgets old ones.
+//! Online linear regression on noisy observations, with forgetting.
 
-/// What an old observation counts after each new one: about the last forty do.
+/// Weight kept by old observations after each new one: about the last forty count.
 const FORGETTING_FACTOR: f64 = 0.975;
 
-/// Trust in the first guess, as the square of its error in relation to its size.
+/// Variance of the initial weights, relative to their squares.
 const PRIOR_VARIANCE: f64 = 0.5;
 
-/// Errors beyond this part of what was expected are cut to it: what waited for something else, as for memory or a
-/// transfer, says little.
+/// Relative errors are clamped to this. Larger ones come from waits for something else, such as memory or a transfer,
+/// and carry little information.
 const MAX_ERROR_RATIO: f64 = 1.0;
 
-/// Variance of an observation in relation to what was expected: errors are some tenths.
+/// Variance of an observation relative to its expected value: errors are some tenths.
 const NOISE_VARIANCE: f64 = 0.1;
 
-/// What is expected in milliseconds at the least where errors are measured: below, the network's jitter counts more.
+/// Lower bound of the expected value used for relative errors; below it, network jitter dominates.
 const MIN_SCALE_MS: f64 = 20.0;
 
-/// Recursive least squares with forgetting, over `N` features, by relative errors.
+/// Recursive least squares with forgetting, over `N` features, on relative errors.
 #[derive(Clone, Debug)]
 pub(crate) struct LeastSquares<const N: usize> {
     weights: [f64; N],
@@ -25,7 +25,7 @@
 }
 
 impl<const N: usize> LeastSquares<N> {
-    /// Starts from a guess of the weights.
+    /// Creates a model with these initial weights.
     pub(crate) fn new(weights: [f64; N]) -> Self {
         let mut covariance = [[0.0; N]; N];
         for (index, weight) in weights.iter().enumerate() {
@@ -34,13 +34,13 @@
         Self { weights, covariance }
     }
 
-    /// The weights; none is below 0.
+    /// Returns the weights, clamped to 0 from below.
     pub(crate) fn weights(&self) -> [f64; N] {
         self.weights.map(|weight| weight.max(0.0))
     }
 
-    /// Something with these features took so long. What took less than expected counts by `shorter`: below 1, the line
-    /// runs above the middle of what is observed.
+    /// Learns from an observation with these features that took `took_ms`. Errors of observations that took less than
+    /// expected are multiplied by `shorter_weight`: below 1, the line runs above the middle of the observations.
     pub(crate) fn update(&mut self, features: &[f64; N], took_ms: f64, shorter_weight: f64) {
         let expected = dot(features, &self.weights);
         let scale = expected.max(MIN_SCALE_MS);
@@ -59,7 +59,8 @@
         self.bound_covariance();
     }
 
-    /// Forgetting must not let the trust in a direction that is never seen fade without bound.
+    /// Bounds the variance of each weight. Forgetting would otherwise let it grow without limit in directions that
+    /// are never observed.
     fn bound_covariance(&mut self) {
         for index in 0..N {
             let max = PRIOR_VARIANCE * self.weights[index].powi(2) + f64::MIN_POSITIVE;
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which server a request is sent to, and whether it may be sent again.
+//! Selects the server for each request, and decides whether a request may be sent again.
 //!
-//! A [`Placement`] knows the servers of every service, what this box has running there, what other
-//! boxes said of theirs, and how servers behaved lately. It weighs the expected wait, the prompt
-//! parts that a server would have to read, memory and distance. A [`RetryBudget`] bounds second sends.
-//! No I/O and no clock: the time is an argument.
+//! A [`Placement`] knows the servers of every service, the requests that this box runs there, the status that other
+//! boxes report for theirs, and how servers behaved recently. It weighs the expected wait, the prompt parts that a
+//! server would have to read, memory and distance. A [`RetryBudget`] bounds second sends. The crate does no I/O and
+//! reads no clock: time is an argument.
 
 mod admission;
 mod admission_state;
@@ -57,5 +57,5 @@
 pub use speed::Speed;
 pub use speed_estimator::SpeedEstimator;
 
-/// Milliseconds of a clock that never goes back.
+/// Milliseconds on a monotonic clock.
 pub type Millis = u64;
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -1,58 +1,59 @@
-//! What runs on a server.
+//! Load of a server.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one request adds to its server's load.
+/// Load that one request adds to its server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Work {
-    /// What the server must read before the first answer.
+    /// Prompt tokens that the server must process before the first event.
     #[serde(rename = "reading")]
     pub prefill: Prefill,
-    /// Tokens of memory that it holds while it runs.
+    /// Tokens of memory that it occupies while it runs.
     pub held: u32,
-    /// Tokens that it is expected to generate.
+    /// Expected number of generated tokens.
     pub out: u32,
-    /// How urgent it is, 0 first: where all places are taken, the more urgent displace others.
+    /// Urgency, 0 first. Where all slots are taken, more urgent requests displace others.
     pub urgency: u8,
-    /// Longest pause between events that is still in time, in milliseconds; 0 where no pause makes it late.
+    /// Longest inter-token gap that is still in time, in milliseconds; 0 if no gap makes it late.
     pub gap_ms: u32,
-    /// True where its prompt takes long to read, as [`crate::Split`] tells long from short.
+    /// True if its prompt counts as long; see `split`.
     pub long: bool,
 }
 
-/// Prompt tokens that are still to be read.
+/// Prompt tokens that still have to be processed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Prefill {
-    /// How many.
+    /// Number of tokens.
     pub tokens: u64,
-    /// Thousands of pairs of one of them and a token before it: an engine looks back at all that stands before.
+    /// Attention pairs in thousands: pairs of one of these tokens and a token before it, since an engine attends to
+    /// the whole context.
     #[serde(rename = "pairs_k")]
     pub attention_pairs_k: u64,
-    /// Tokens that stand before those that are read between two events, where that is the most.
+    /// Tokens in the context before those that are processed between two events, at the deepest point.
     pub depth: u32,
 }
 
 impl Prefill {
-    /// Reading the last `unread` tokens of a prompt, of which `stretch` are read between two events.
+    /// Prefill of the last `unread` tokens of a prompt, `chunk` of which are processed between two events.
     #[must_use]
     pub fn tail(unread: u32, prompt: u32, chunk: u32) -> Self {
         let tokens = u64::from(unread);
         let before = u64::from(prompt) - u64::from(unread.min(prompt) / 2);
         let last = unread.min(chunk);
         let last_depth = u64::from(prompt.saturating_sub(last / 2));
-        // A short rest of a deep prompt is read with others between the same events.
+        // A short remainder of a deep prompt is processed together with others between the same two events.
         let depth = last_depth * u64::from(last) / u64::from(chunk.max(1));
         Self { tokens, attention_pairs_k: tokens * before / 1_000, depth: u32::try_from(depth).unwrap_or(u32::MAX) }
     }
 
-    /// Thousands of tokens that stand before those read between two events, where that is the most.
+    /// Returns the depth in thousands of tokens.
     #[must_use]
     pub fn depth_k(self) -> f64 {
         f64::from(self.depth) / 1e3
     }
 
-    /// A part of it.
+    /// Returns this multiplied by `ratio`; the depth stays.
     #[must_use]
     pub fn scaled(self, ratio: f64) -> Self {
         Self {
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Both.
+    /// Returns the total of both, with the greater depth.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// This without `other`. The depth stays until nothing is left.
+    /// Returns this without `other`. The depth stays until nothing is left.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         let tokens = self.tokens.saturating_sub(other.tokens);
@@ -84,27 +85,28 @@
     }
 }
 
-/// The load that one box, or all other boxes, put on a server.
+/// Load that one box, or all other boxes, put on a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests sent and not ended.
+    /// Requests that were sent and have not ended.
     pub running: u32,
-    /// How many of them have long prompts; never above `running`.
+    /// Running requests with long prompts; never above `running`.
     pub long: u32,
-    /// What of their prompts is still to be read.
+    /// Remaining prefill of their prompts.
     #[serde(rename = "reading")]
     pub prefill: Prefill,
-    /// Tokens of memory that they hold.
+    /// Tokens of memory that they occupy.
     pub held: u64,
-    /// How many of them there are of each urgency. No entry is 0.
+    /// Running requests by urgency. No entry is 0.
     pub urgencies: BTreeMap<u8, u32>,
-    /// How many of them are still in time and will be late after a pause of so many milliseconds. No entry is 0.
+    /// Running requests that are still in time, by the inter-token gap in milliseconds above which they become late.
+    /// No entry is 0.
     #[serde(rename = "paces")]
     pub gap_limits: BTreeMap<u32, u32>,
 }
 
 impl Load {
-    /// A request was sent.
+    /// Records a request that was sent.
     pub fn record_sent(&mut self, work: Work) {
         self.running += 1;
         self.long += u32::from(work.long);
@@ -116,23 +118,24 @@
         }
     }
 
-    /// A request's prompt has been read.
+    /// Records that a request's prompt has been read.
     pub fn record_prefilled(&mut self, work: Work) {
         self.prefill = self.prefill.minus(work.prefill);
     }
 
-    /// A request is late already: no further pause harms it.
+    /// Records that a request has become late: further gaps do it no harm.
     pub fn record_late(&mut self, work: Work) {
         decrement(&mut self.gap_limits, &work.gap_ms);
     }
 
-    /// How many run that a request of this urgency doesn't displace.
+    /// Returns the number of running requests that a request of this urgency doesn't displace.
     #[must_use]
     pub fn not_displaced_by(&self, urgency: u8) -> u32 {
         self.urgencies.range(..=urgency).fold(0, |sum, (_, count)| sum.saturating_add(*count))
     }
 
-    /// A request ended; [`Load::record_prefilled`] was called before, and [`Load::record_late`] unless it was `late` already.
+    /// Records the end of a request. [`Load::record_prefilled`] must have been called before, and
+    /// [`Load::record_late`] unless the request had become late already.
     pub fn record_end(&mut self, work: Work) {
         self.running = self.running.saturating_sub(1);
         self.long = self.long.saturating_sub(u32::from(work.long));
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -1,46 +1,48 @@
-//! What servers said of themselves in their answers.
+//! Notices that servers give in their answers.
 //!
-//! A server may say that it leaves, that it wants nothing from this box for a while, or how many requests it takes from all boxes
-//! together. Each is said of one life, and by the server itself: neither an older entry nor one that comes back takes it away. What
-//! follows is decided in [`crate::AdmissionState`].
+//! A server may announce that it is leaving, ask this box to back off for a while, or limit the requests that it
+//! takes from all boxes together. Each notice is given by one instance for itself: neither an older entry nor one
+//! that reappears revokes it. [`crate::AdmissionState`] decides the consequences.
 
 use crate::{Limit, LimitUpdate, Millis};
 use routing::{rank, Server};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How long it is known of a life that it leaves after its entry has gone: longer than an entry can come back that lapsed, or
-/// that was read from an old copy.
+/// How long notices are kept after the instance's entry has gone: longer than it may take for an expired entry, or
+/// one read from an old copy, to reappear.
 const UNLISTED_TTL: Millis = 600_000;
 
-/// What is known from servers themselves.
+/// Notices by server instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Notices {
-    /// Lives that leave, and since when each is not listed; none while it is. A life that said so never takes new work again.
+    /// Instances that are leaving, each with the time since which it is not listed; `None` while it is. An instance
+    /// that has announced this never takes new work again.
     leaving: HashMap<String, Option<Millis>>,
-    /// Those of them whose listed entry says nothing of it: what other boxes may not know.
+    /// Leaving instances whose listed entry doesn't show it: other boxes may not know.
     unpublished: BTreeSet<String>,
-    /// Until when it is doubted that a life has not ended: only an older copy of the list has it.
+    /// Instances listed only by an older copy, which may have terminated, each with the end of the time for which
+    /// that is assumed.
     unconfirmed: HashMap<String, Millis>,
-    /// Until when a life wants nothing from this box. Holds between the two: other boxes have their own.
+    /// End of the back-off that an instance asked of this box. Applies to this box only: other boxes have their own.
     backing_off: HashMap<String, Millis>,
-    /// What lives that ever named a limit take of all boxes together.
+    /// Limits of instances that have ever named one.
     limits: HashMap<String, KnownLimit>,
 }
 
-/// What is known of a life's limit.
+/// Limit of an instance.
 #[derive(Clone, Copy, Debug)]
 struct KnownLimit {
     limit: Limit,
-    /// Rises with each change, on whichever box; of two boxes that change it at once the stricter holds.
+    /// Increases with each change, on whichever box; if two boxes change it at once, the stricter limit applies.
     version: u64,
-    /// Since when this box knows it.
+    /// When this box learned of it.
     since: Millis,
-    /// Since when the life is not listed; none while it is, as far as is known.
+    /// Since when the instance is not listed; `None` while it is known to be listed.
     unlisted_at: Option<Millis>,
 }
 
 impl KnownLimit {
-    /// Never 0, which stands for lives that leave.
+    /// Never 0, which stands for leaving instances.
     fn digest(&self) -> u64 {
         let bits = match self.limit {
             Limit::PerS(per_s) => per_s.to_bits(),
@@ -55,7 +57,7 @@
 }
 
 impl Notices {
-    /// A life leaves; `listed` is what its entry says of that, if there is one. True when this wasn't known.
+    /// Records that an instance is leaving; `listed` is what its entry shows, if there is one. True if this was new.
     pub(crate) fn record_leaving(&mut self, instance: &str, listed: Option<bool>, now: Millis) -> bool {
         let unlisted_at = if listed.is_some() { None } else { Some(now) };
         let is_new = self.leaving.insert(instance.to_owned(), unlisted_at).is_none();
@@ -65,17 +67,18 @@
         is_new
     }
 
-    /// A life wants nothing from this box until then. What it wanted before still counts.
+    /// Records a back-off until then. An earlier, longer one still applies.
     pub(crate) fn record_back_off(&mut self, instance: &str, until: Millis) {
         let known = self.backing_off.entry(instance.to_owned()).or_default();
         *known = until.max(*known);
     }
 
-    /// A life names this limit in the answer to a request that was sent to it at `sent`. What other boxes are to be told, where this
-    /// wasn't known.
+    /// Records a limit from the answer to a request that was sent to the instance at `sent`. Returns the update for
+    /// all other boxes if this was new.
     ///
-    /// A stricter one always counts. One that is less strict, or none, counts where the request was sent after what is known was:
-    /// only then is it surely the later word. An answer can be late, and servers name limits in the heads of long streams.
+    /// A stricter limit always counts. A looser one, or none, counts only if the request was sent after the known
+    /// limit was learned: only then is it certainly newer. Answers can be late, and servers name limits in the heads
+    /// of long streams.
     pub(crate) fn record_limit(
         &mut self,
         instance: &str,
@@ -94,7 +97,7 @@
         Some(LimitUpdate { instance: instance.to_owned(), limit, version })
     }
 
-    /// Takes what another box knows of a life's limit. True when this wasn't known.
+    /// Applies another box's update of a limit. True if this was new.
     pub(crate) fn on_limit_update(&mut self, update: &LimitUpdate, now: Millis) -> bool {
         let is_new = self.limits.get(&update.instance).is_none_or(|known| known.is_older_than(update));
         if is_new {
@@ -104,12 +107,13 @@
         is_new
     }
 
-    /// What a life takes of all boxes together.
+    /// Returns an instance's limit on requests from all boxes together.
     pub(crate) fn limit(&self, instance: &str) -> Limit {
         self.limits.get(instance).map_or(Limit::None, |known| known.limit)
     }
 
-    /// What listed lives say of their limits, those included that no longer name one: a box that was away may not know.
+    /// Returns the limits of listed instances, including those that no longer name one: a box that was disconnected
+    /// may not know.
     pub(crate) fn limit_updates(&self) -> Vec<LimitUpdate> {
         let update = |(instance, known): (&String, &KnownLimit)| LimitUpdate {
             instance: instance.clone(),
@@ -119,43 +123,43 @@
         self.limits.iter().filter(|(_, known)| known.unlisted_at.is_none()).map(update).collect()
     }
 
-    /// It is doubted until then that these lives have not ended.
+    /// Marks instances as possibly terminated until then.
     pub(crate) fn mark_unconfirmed(&mut self, instances: &[String], until: Millis) {
         self.unconfirmed.extend(instances.iter().map(|instance| (instance.clone(), until)));
     }
 
-    /// This life has not ended. True where that was doubted.
+    /// Records that an instance has not terminated. True if that was unconfirmed.
     pub(crate) fn confirm(&mut self, instance: &str) -> bool {
         self.unconfirmed.remove(instance).is_some()
     }
 
-    /// Until when a life is doubted; 0 where it isn't.
+    /// Returns until when an instance is unconfirmed; 0 if it isn't.
     pub(crate) fn unconfirmed_until(&self, instance: &str) -> Millis {
         self.unconfirmed.get(instance).copied().unwrap_or_default()
     }
 
-    /// True where a life leaves.
+    /// True if an instance is leaving.
     pub(crate) fn is_leaving(&self, instance: &str) -> bool {
         self.leaving.contains_key(instance)
     }
 
-    /// Until when a life wants nothing from this box; 0 where it said nothing.
+    /// Returns the end of an instance's back-off; 0 if it never asked for one.
     pub(crate) fn back_off_until(&self, instance: &str) -> Millis {
         self.backing_off.get(instance).copied().unwrap_or_default()
     }
 
-    /// Lives that want nothing from this box, each with the milliseconds left.
+    /// Returns the instances that asked this box to back off, each with the milliseconds left.
     pub(crate) fn backing_off(&self, now: Millis) -> BTreeMap<String, Millis> {
         let left = |(instance, until): (&String, &Millis)| (now < *until).then(|| (instance.clone(), until - now));
         self.backing_off.iter().filter_map(left).collect()
     }
 
-    /// Lives that leave though their entries don't say so.
+    /// Returns the leaving instances whose entries don't show it.
     pub(crate) fn unpublished(&self) -> &BTreeSet<String> {
         &self.unpublished
     }
 
-    /// Equal for boxes that know the same of what entries don't say.
+    /// Returns a digest that is equal on boxes with the same notices, as far as entries don't show them.
     pub(crate) fn digest(&self) -> u64 {
         let leaving = self.unpublished.iter().map(|instance| rank(0, instance));
         let limits = self.limits.iter().filter(|(_, known)| known.unlisted_at.is_none());
@@ -163,7 +167,7 @@
         leaving.chain(limits).fold(0, u64::wrapping_add)
     }
 
-    /// Takes what a listed entry says.
+    /// Applies a listed entry.
     pub(crate) fn on_listed(&mut self, server: &Server) {
         let instance = &server.id;
         self.unpublished.remove(instance);
@@ -178,7 +182,7 @@
         }
     }
 
-    /// A life's entry is no longer listed.
+    /// Records that an instance's entry is no longer listed.
     pub(crate) fn on_unlisted(&mut self, instance: &str, now: Millis) {
         self.unpublished.remove(instance);
         if let Some(unlisted_at) = self.leaving.get_mut(instance) {
@@ -189,7 +193,7 @@
         }
     }
 
-    /// Forgets what is over.
+    /// Removes expired notices.
     pub(crate) fn expire(&mut self, now: Millis) {
         let retained = |unlisted_at: Option<Millis>| unlisted_at.is_none_or(|at| now < at + UNLISTED_TTL);
         self.limits.retain(|_, known| retained(known.unlisted_at));
--- a/crates/placement/src/order.rs
+++ b/crates/placement/src/order.rs
@@ -1,21 +1,21 @@
-//! An order of a pool's servers that is the same on every box.
+//! Order of a pool's servers that is the same on every box.
 
 use routing::Server;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The servers of a pool that aren't draining, by a hash of their lives within their halls.
+/// The servers of a pool that aren't draining, ordered within their halls by a hash of their instance ids.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Order {
-    /// By hall. None of them is empty.
+    /// By hall. No set is empty.
     halls: BTreeMap<String, BTreeSet<(u64, String)>>,
-    /// All of them, whatever their hall.
+    /// All servers, whatever their hall.
     ring: BTreeSet<(u64, String)>,
-    /// Halls whose servers stand elsewhere than when positions were last told.
+    /// Halls with servers whose positions have changed since positions were last reported.
     moved_halls: BTreeSet<String>,
 }
 
 impl Order {
-    /// Takes a server's entry in place of a former one of the same life.
+    /// Replaces an instance's former entry.
     pub(crate) fn replace(&mut self, former: &Server, server: &Server) {
         if former.hall != server.hall || former.draining != server.draining {
             self.remove(former);
@@ -23,7 +23,7 @@
         self.insert(server);
     }
 
-    /// Takes a server in, unless it is draining.
+    /// Inserts a server, unless it is draining.
     fn insert(&mut self, server: &Server) {
         if server.draining {
             return;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes a server out, where it is in.
+    /// Removes a server if it is present.
     pub(crate) fn remove(&mut self, server: &Server) {
         let former_count = self.halls.len();
         let Some(hall) = self.halls.get_mut(&server.hall) else { return };
@@ -50,7 +50,8 @@
         self.mark_moved(&server.hall, former_count);
     }
 
-    /// Notes that servers of `hall` stand elsewhere, or those of all halls, where there were `among` halls before and are no longer.
+    /// Marks the servers of `hall` as moved, or those of all halls if the number of halls is no longer
+    /// `former_count`.
     fn mark_moved(&mut self, hall: &str, former_count: usize) {
         if self.halls.len() == former_count {
             self.moved_halls.insert(hall.to_owned());
@@ -59,16 +60,17 @@
         }
     }
 
-    /// The first `most` servers that follow `from` in the order of their hashes, which begins anew at its end, each with its hash: each
-    /// server is among them for about the same part of all numbers, and most stay among them when some come or go.
+    /// Returns the first `most` servers at or after hash `from`, wrapping around at the end of the ring, each with
+    /// its hash. Each server is returned for about the same share of all values of `from`, and most of the result
+    /// stays the same when some servers come or go.
     pub(crate) fn following(&self, from: u64, most: usize) -> impl Iterator<Item = (u64, &str)> {
         let start = (from, String::new());
         let (before, after) = (self.ring.range(..start.clone()), self.ring.range(start..));
         after.chain(before).take(most).map(|(hash, id)| (*hash, id.as_str()))
     }
 
-    /// Tells where the servers stand, by id, that may stand elsewhere than they were last told to: from 0 to 1, the halls taken in turn,
-    /// so that a part of the order is about the same part of each hall.
+    /// Reports the positions of servers whose position may have changed since the last call. Positions run from 0 to
+    /// 1 and interleave the halls, so that a range of the order covers about the same share of each hall.
     pub(crate) fn report_moved(&mut self, mut tell: impl FnMut(&str, f64)) {
         let moved = std::mem::take(&mut self.moved_halls);
         let count = self.halls.len() as f64;
--- a/crates/placement/src/permit.rs
+++ b/crates/placement/src/permit.rs
@@ -1,60 +1,61 @@
-//! Leave for single requests to servers that take few from all boxes together.
+//! Send permits: per-request permission to send to servers that take few requests from all boxes together.
 //!
-//! One box gives all leave for a server, so that no two count apart: what a cold server bears, and what a server in need says that it
-//! takes, hold over all boxes.
+//! One box issues all permits for a server, so that no two boxes count separately: the quota of a cold server, and
+//! the limit that a server names, apply to all boxes together.
 
 use crate::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Most requests that a server is to get, of all boxes together, in any span of some length.
+/// Upper bound on the requests that all boxes together send to a server within any window of a given length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quota {
-    /// So many requests.
+    /// Maximum number of requests.
     #[serde(rename = "most")]
     pub max_requests: u32,
-    /// The length of the span, in milliseconds.
+    /// Length of the window in milliseconds.
     #[serde(rename = "within")]
     pub window: Millis,
 }
 
-/// All that holds for a server at a time. Each binds by itself.
+/// All quotas that apply to a server at a time. Each is enforced on its own.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quotas {
-    /// What it bears while it is cold; none where it isn't.
+    /// Quota while the server is cold; `None` if it isn't.
     pub cold: Option<Quota>,
-    /// What it says that it takes; none where it names no limit.
+    /// Quota that follows from the server's own limit; `None` if it names no limit.
     pub limit: Option<Quota>,
 }
 
 impl Quotas {
-    /// True where requests may be sent without leave.
+    /// True if requests may be sent without a permit.
     pub(crate) fn is_empty(&self) -> bool {
         self.cold.is_none() && self.limit.is_none()
     }
 }
 
-/// Asks for leave to send one request to a server.
+/// Request for a permit to send one request to a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitRequest {
-    /// Names the question, unique for the asking box.
+    /// Number of this request, unique on the requesting box.
     pub number: u64,
     /// Id of the server.
     pub server: String,
-    /// What holds for the server, as far as the asking box knows.
+    /// Quotas of the server, as far as the requesting box knows.
     pub quotas: Quotas,
-    /// How urgent the request is, 0 first.
+    /// Urgency of the request, 0 first.
     pub urgency: u8,
 }
 
-/// What comes of a permit.
+/// Reply to a [`PermitRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitReply {
-    /// The request may be sent, and has been counted. Leave that isn't used is lost: a server gets a request less.
+    /// The request may be sent, and has been counted. A permit that isn't used is lost: the server gets one request
+    /// less.
     #[serde(rename = "Given")]
     Granted,
-    /// It may not.
+    /// The request must not be sent.
     Denied {
-        /// In how many milliseconds there may be leave again for a server that names a limit; 0 where that isn't known.
+        /// Milliseconds until a permit may be granted for a server that names a limit; 0 if unknown.
         #[serde(rename = "again")]
         retry_ms: Millis,
     },
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -1,4 +1,4 @@
-//! All services of a box.
+//! Placement for all services of a box.
 
 use crate::notices::Notices;
 use crate::pool::Pool;
@@ -13,11 +13,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Boxes that are assumed before others were heard of: as many as a small deployment has, so that a box
-/// that has just started takes no more than its part of the budget.
+/// Number of boxes assumed before others are known: that of a small deployment, so that a box that has just started
+/// takes no more than its share of the budget.
 const INITIAL_BOX_COUNT: usize = 8;
 
-/// What is published and in force on this box.
+/// The published state that this box applies.
 #[derive(Clone, Copy, Debug)]
 pub struct Snapshot<'a> {
     /// The configuration.
@@ -28,34 +28,34 @@
     pub evacuations: &'a Evacuations,
 }
 
-/// Chooses servers and keeps the records behind the choices.
+/// Chooses servers and keeps the records that the choices are based on.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// This box's hall.
     hall: String,
-    /// What second sends a service may get; each service has one of its own.
+    /// Template for the budget of second sends; each service has a budget of its own.
     budget: RetryBudget,
     budgets: HashMap<String, RetryBudget>,
     /// By service.
     pools: HashMap<String, Pool>,
-    /// The servers that pools and notices were told of, by name.
+    /// The servers known to pools and notices, by name.
     listed: OrdMap<String, Arc<Server>>,
-    /// The evacuated halls that the pools were told of.
+    /// The evacuated halls known to the pools.
     evacuated: BTreeSet<String>,
-    /// What servers said of themselves.
+    /// Notices by server instances.
     notices: Notices,
-    /// Boxes that share the budget, this one included.
+    /// Boxes that share the budget, including this one.
     boxes: usize,
-    /// What all boxes may send to a cold server.
+    /// The requests that all boxes together may send to a cold server.
     allowance: ColdAllowance,
-    /// HallRegions of halls.
+    /// Regions of halls.
     regions: HallRegions,
     /// Differs from box to box.
     seed: u64,
 }
 
 impl Placement {
-    /// A placement for a box of `hall`, whose services may get second sends by `budget`.
+    /// Creates a placement for a box in `hall`, whose services may get second sends within `budget`.
     #[must_use]
     pub fn new(hall: &str, budget: RetryBudget) -> Self {
         Self {
@@ -73,25 +73,25 @@
         }
     }
 
-    /// The same with this allowance for cold servers.
+    /// Sets the allowance for cold servers.
     #[must_use]
     pub fn with_allowance(self, allowance: ColdAllowance) -> Self {
         Self { allowance, ..self }
     }
 
-    /// The same with a seed of its own, by which servers that cost the same are ordered.
+    /// Sets the seed by which servers with equal costs are ordered.
     #[must_use]
     pub fn with_seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// The same with these regions of halls.
+    /// Sets the regions of halls.
     #[must_use]
     pub fn with_regions(self, regions: HallRegions) -> Self {
         Self { regions, ..self }
     }
 
-    /// Takes what is in force from now on. What it costs goes by what differs from before.
+    /// Applies a new published state. The time taken depends on the differences to the former one.
     pub fn update(&mut self, in_force: &Snapshot<'_>, now: Millis) {
         let Snapshot { table, directory, evacuations } = in_force;
         for name in table.services.keys() {
@@ -109,7 +109,7 @@
         self.notices.expire(now);
     }
 
-    /// Takes what the configuration says of a pool.
+    /// Applies the configuration of a pool.
     fn configure(pool: &mut Pool, name: &str, table: &Table, allowance: &ColdAllowance) {
         let service = table.services.get(name);
         pool.set_gap_limit(table.min_gap_target(name).map_or(0.0, |gap| gap.as_secs_f64() * 1e3));
@@ -117,7 +117,7 @@
         pool.set_cold(service.and_then(|service| service.cold_start), allowance);
     }
 
-    /// Takes the listed servers; records of others are dropped.
+    /// Applies the listed servers; drops the records of others.
     fn apply_servers(
         &mut self,
         table: &Table,
@@ -126,7 +126,7 @@
         now: Millis,
     ) {
         let former = std::mem::replace(&mut self.listed, listed.clone());
-        // All that go before all that come: a life may have another name or service than it had.
+        // All removals come before all additions: an instance may have changed its name or service.
         for change in former.diff(listed) {
             match change {
                 DiffItem::Update { old: (_, old), new: (_, new) } if !same_entry(old, new) => self.remove(old, now),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A life is no longer listed.
+    /// Removes an instance that is no longer listed.
     fn remove(&mut self, server: &Server, now: Millis) {
         self.notices.on_unlisted(&server.id, now);
         if let Some(pool) = self.pools.get_mut(&server.service) {
@@ -159,19 +159,19 @@
         }
     }
 
-    /// Tells the pools of what a life said of itself.
+    /// Notifies the pools that the notices of an instance have changed.
     fn notify_pools(&mut self, instance: &str) {
         self.pools.values_mut().for_each(|pool| pool.apply_notices(instance, &self.notices));
     }
 
-    /// The listed entry of a life, if there is one.
+    /// Returns the listed entry of an instance.
     #[must_use]
     pub fn listed(&self, instance: &str) -> Option<&Arc<Server>> {
         self.pools.values().find_map(|pool| pool.server(instance))
     }
 
-    /// This life said that it leaves: it gets nothing any more. `listed` is what its entry says of that, if there is one. True
-    /// when it wasn't known.
+    /// Records that an instance is leaving: it gets nothing any more. `listed` is what its entry shows, if there is
+    /// one. True if this was new.
     pub fn record_leaving(&mut self, instance: &str, listed: Option<bool>, now: Millis) -> bool {
         let is_new = self.notices.record_leaving(instance, listed, now);
         if is_new {
@@ -180,14 +180,14 @@
         is_new
     }
 
-    /// This life wants nothing from this box until then.
+    /// Records that an instance asked this box to back off until then.
     pub fn record_back_off(&mut self, instance: &str, until: Millis) {
         self.notices.record_back_off(instance, until);
         self.notify_pools(instance);
     }
 
-    /// This life names a limit in the answer to a request that was sent to it at `sent`. What all other boxes are to be told, where
-    /// this wasn't known.
+    /// Records a limit from the answer to a request that was sent to the instance at `sent`. Returns the update for
+    /// all other boxes if this was new.
     #[must_use]
     pub fn record_limit(&mut self, instance: &str, limit: Limit, sent: Millis, now: Millis) -> Option<LimitUpdate> {
         let update = self.notices.record_limit(instance, limit, sent, now);
@@ -197,7 +197,7 @@
         update
     }
 
-    /// Tells the pools of a life's limit; others are told of it while the life is listed.
+    /// Notifies the pools of an instance's limit. Other boxes are notified only while the instance is listed.
     fn limit_changed(&mut self, instance: &str) {
         if let Some(server) = self.listed(instance).cloned() {
             self.notices.on_listed(&server);
@@ -205,7 +205,7 @@
         self.notify_pools(instance);
     }
 
-    /// Takes what another box knows of a life's limit. True when this wasn't known.
+    /// Applies another box's update of a limit. True if this was new.
     pub fn on_limit_update(&mut self, update: &LimitUpdate, now: Millis) -> bool {
         let is_new = self.notices.on_limit_update(update, now);
         if is_new {
@@ -214,53 +214,54 @@
         is_new
     }
 
-    /// What listed lives that ever named a limit say of it.
+    /// Returns the limits of all listed instances that have ever named one.
     #[must_use]
     pub fn limit_updates(&self) -> Vec<LimitUpdate> {
         self.notices.limit_updates()
     }
 
-    /// Leave for a server that names a limit was denied for a request of this urgency, and is until then.
+    /// Records that a permit for a server with a limit was denied to a request of this urgency, and that none is
+    /// granted until then.
     pub fn record_denial(&mut self, service: &str, id: &str, urgency: u8, until: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_denial(id, urgency, until);
         }
     }
 
-    /// Only an older copy of the list has these lives, so that they may have ended: until then they get something only where
-    /// no other server takes requests.
+    /// Marks instances that only an older copy of the list has as possibly terminated: until then they get requests
+    /// only if no other server is available.
     pub fn mark_unconfirmed(&mut self, instances: &[String], until: Millis) {
         self.notices.mark_unconfirmed(instances, until);
         instances.iter().for_each(|instance| self.notify_pools(instance));
     }
 
-    /// This life has not ended: it has written its entry.
+    /// Records that an instance has not terminated: it has written its entry.
     pub fn confirm_instance(&mut self, instance: &str) {
         if self.notices.confirm(instance) {
             self.notify_pools(instance);
         }
     }
 
-    /// Lives that are listed and leave though their entries don't say so.
+    /// Returns the listed instances that are leaving though their entries don't show it.
     #[must_use]
     pub fn leaving(&self) -> Vec<String> {
         self.notices.unpublished().iter().cloned().collect()
     }
 
-    /// Lives that want nothing from this box, each with the milliseconds left.
+    /// Returns the instances that asked this box to back off, each with the milliseconds left.
     #[must_use]
     pub fn backing_off(&self, now: Millis) -> BTreeMap<String, Millis> {
         self.notices.backing_off(now)
     }
 
-    /// Equal for boxes that know the same of what servers said of themselves to all boxes.
+    /// Returns a digest that is equal on boxes with the same notices, as far as these concern all boxes.
     #[must_use]
     pub fn notices_digest(&self) -> u64 {
         self.notices.digest()
     }
 
-    /// False where a request that was to go to this server must not leave this box any more: what was chosen a moment ago
-    /// may have said something of itself since, or have gone. `leave` is true where leave was given for it.
+    /// False if a request must not be sent to this server any more: since it was chosen, it may have given a notice
+    /// or been removed. `permitted` is true if a permit was granted.
     #[must_use]
     pub fn may_send(&self, service: &str, id: &str, permitted: bool, now: Millis) -> bool {
         let Some(pool) = self.pools.get(service) else { return true };
@@ -268,12 +269,12 @@
         open && (permitted || !pool.is_limited(id))
     }
 
-    /// Takes how many boxes share the budget, this one included.
+    /// Sets the number of boxes that share the budget, including this one.
     pub fn set_box_count(&mut self, boxes: usize) {
         self.boxes = boxes.max(1);
     }
 
-    /// Servers whose owners are worth asking before a choice, the most likely one first.
+    /// Returns the servers whose owners should be queried before a choice, the most likely choice first.
     #[must_use]
     pub fn servers_to_query(&mut self, request: &PlacementRequest<'_>, max: usize) -> Vec<Arc<Server>> {
         self.pools
@@ -281,13 +282,13 @@
             .map_or_else(Vec::new, |pool| pool.servers_to_query(request, &self.hall, max))
     }
 
-    /// Tokens of parts that a server of this service can keep.
+    /// Returns the tokens of parts that a server of this service can cache.
     #[must_use]
     pub fn cache_capacity(&self, service: &str) -> u64 {
         self.pools.get(service).map_or(0, Pool::cache_capacity)
     }
 
-    /// Takes what the owner of a server said.
+    /// Records the status of a server that its owner reported.
     pub fn on_status(&mut self, service: &str, id: &str, status: ServerStatus, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.on_status(id, status, now);
@@ -297,17 +298,17 @@
     /// Chooses a server.
     ///
     /// # Errors
-    /// [`Refusal`] when none may be tried.
+    /// [`Refusal`] if no server may be used.
     pub fn choose(&mut self, request: &PlacementRequest<'_>) -> Result<Choice, Refusal> {
         self.pools.get_mut(request.service).ok_or(Refusal::NoServer)?.choose(request, &self.hall)
     }
 
-    /// Counts a request for a service; to be called once for each.
+    /// Records a request for a service; to be called once per request.
     pub fn record_request(&mut self, service: &str, now: Millis) {
         self.budget_of(service).record_request(now);
     }
 
-    /// Takes a second send from the service's budget; false when it is used up.
+    /// Takes a second send from the service's budget; false if it is used up.
     pub fn take_retry(&mut self, service: &str, now: Millis) -> bool {
         let boxes = self.boxes;
         self.budget_of(service).take_retry(boxes, now)
@@ -320,42 +321,43 @@
         self.budgets.get_mut(service).expect("just inserted")
     }
 
-    /// A request is being sent.
+    /// Records that a request is being sent.
     pub fn record_sent(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_sent(id, work);
         }
     }
 
-    /// A request's prompt has been read: its first event came, or it ended.
+    /// Records that a request's prompt has been read: its first event came, or it ended.
     pub fn record_prefilled(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_prefilled(id, work);
         }
     }
 
-    /// A pause has made a request's answer late.
+    /// Records that a gap has made a request's answer late.
     pub fn record_late(&mut self, service: &str, id: &str, work: Work) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_late(id, work);
         }
     }
 
-    /// A server has answered a prompt, so that its parts are in the server's memory.
+    /// Records that a server has answered a prompt, so that it has the prompt's parts in its cache.
     pub fn record_cached(&mut self, service: &str, id: &str, prompt: &Prompt) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_cached(id, prompt);
         }
     }
 
-    /// A send ended badly, and its end was not told yet as that.
+    /// Records a bad outcome of a send that has not been recorded with its end.
     pub fn record_ending(&mut self, service: &str, id: &str, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_ending(id, ending, now);
         }
     }
 
-    /// A request's send has ended; [`Placement::record_prefilled`] was called before, and [`Placement::record_late`].
+    /// Records the end of a send; [`Placement::record_prefilled`] and [`Placement::record_late`] must have been
+    /// called before.
     pub fn record_end(&mut self, service: &str, id: &str, work: Work, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_end(id, work, ending, now);
@@ -363,7 +365,7 @@
     }
 }
 
-/// True where both entries are of one life in one pool.
+/// True if both entries are of one instance in one pool.
 fn same_entry(one: &Server, other: &Server) -> bool {
     one.id == other.id && one.service == other.service
 }
--- a/crates/placement/src/prompt.rs
+++ b/crates/placement/src/prompt.rs
@@ -1,4 +1,4 @@
-//! What is known of a prompt.
+//! Prompt metadata.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,45 +7,45 @@
 pub struct Part {
     /// Equal for equal parts.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// A prompt's size and parts.
+/// Size and parts of a prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
     /// Tokens of the whole prompt.
     pub tokens: u32,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub max_out_tokens: u32,
-    /// Expected number of generated tokens, a guess.
+    /// Estimated number of tokens to generate.
     pub out_tokens_hint: Option<u32>,
-    /// Parts in order; the last is this request's or its session's own.
+    /// Parts in order; the last one belongs to this request or its session only.
     pub parts: Vec<Part>,
 }
 
 impl Prompt {
-    /// The parts that other requests may share: all but the last.
+    /// Returns the parts that other requests may share: all but the last.
     #[must_use]
     pub fn shared(&self) -> &[Part] {
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// The last part that other requests may share; none where there is none.
+    /// Returns the id of the last part that other requests may share.
     #[must_use]
     pub fn last_shared(&self) -> Option<u64> {
         self.shared().last().map(|part| part.id)
     }
 
-    /// Tokens of the shared parts.
+    /// Returns the tokens of the shared parts.
     #[must_use]
     pub fn shared_tokens(&self) -> u32 {
         self.shared().iter().map(|part| part.tokens).sum()
     }
 
-    /// Expected number of generated tokens.
+    /// Returns the expected number of generated tokens.
     #[must_use]
     pub fn expected_out_tokens(&self) -> u32 {
         self.out_tokens_hint.unwrap_or(self.max_out_tokens).min(self.max_out_tokens)
--- a/crates/placement/src/rate.rs
+++ b/crates/placement/src/rate.rs
@@ -1,27 +1,27 @@
-//! How much work came to a server lately.
+//! Recent work sent to a server.
 
 use crate::Millis;
 
-/// After so many milliseconds work counts a third: long enough to smooth over single requests, which come a few a second
-/// to one engine, and short enough to follow a burst of some seconds.
+/// Time constant of the decay, after which work counts for about a third. Long enough to smooth over single requests,
+/// which arrive a few per second at one engine, and short enough to follow a burst of some seconds.
 const TIME_CONSTANT_MS: f64 = 3_000.0;
 
-/// Milliseconds of work, a sum that fades.
+/// Milliseconds of work, summed with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rate {
-    /// What came, as far as it still counted at `at`.
+    /// The sum, decayed up to `at`.
     sum: f64,
     at: Millis,
 }
 
 impl Rate {
-    /// Work of so many milliseconds came now.
+    /// Records `work_ms` milliseconds of work that arrived now.
     pub(crate) fn record(&mut self, work_ms: f64, now: Millis) {
         self.sum = self.decayed(now) + work_ms;
         self.at = now;
     }
 
-    /// The part of the time that it takes; above 1 where more came than can be done.
+    /// Returns the share of time that the work takes; above 1 if more arrived than can be done.
     pub(crate) fn ratio(&self, now: Millis) -> f32 {
         (self.decayed(now) / TIME_CONSTANT_MS) as f32
     }
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -1,4 +1,4 @@
-//! Questions and answers of a placement.
+//! Requests to a placement, and its results.
 
 use crate::{Load, Millis, Prompt, Quotas, ServerStatus, Speed, Work};
 use routing::{AllowedRegions, Server};
@@ -13,100 +13,101 @@
     pub service: &'a str,
     /// Its prompt, if it is for a model.
     pub prompt: Option<&'a Prompt>,
-    /// Aim for the answer; for streams, for the first event.
+    /// Latency target for the answer; for streams, for the first event.
     pub target: Duration,
-    /// Longest pause between events of its answer that is still in time.
+    /// Longest inter-token gap of its answer that is still in time.
     pub gap_limit: Option<Duration>,
-    /// How urgent it is, 0 first.
+    /// Urgency, 0 first.
     pub urgency: u8,
     /// Bytes of its body, which cross the network to the server.
     pub bytes: usize,
     /// Ids of servers that it must not be sent to again.
     pub tried: &'a [String],
-    /// Ids of servers for which no leave was given.
+    /// Ids of servers for which a permit was denied.
     pub denied: &'a [String],
-    /// HallRegions in which it may run, by its route and by its customer; both bind.
+    /// Regions in which it may run, by its route and by its customer; both apply.
     pub allowed_regions: [Option<&'a AllowedRegions>; 2],
-    /// What owners said for this request, by server id.
+    /// Status that the owners of servers reported for this request, by server id.
     pub statuses: &'a [(String, ServerStatus)],
-    /// Now.
+    /// Current time.
     pub now: Millis,
 }
 
 impl PlacementRequest<'_> {
-    /// True when it may run in this region.
+    /// True if it may run in this region.
     #[must_use]
     pub fn allows_region(&self, region: Option<&str>) -> bool {
         self.allowed_regions.iter().flatten().all(|homes| homes.contains(region))
     }
 
-    /// What the owner of this server said for this request.
+    /// Returns the status of this server that its owner reported for this request.
     #[must_use]
     pub fn status(&self, id: &str) -> Option<&ServerStatus> {
         self.statuses.iter().find(|(server, _)| server == id).map(|(_, status)| status)
     }
 }
 
-/// What a choice expects, for the log.
+/// Cost estimate of a choice, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CostEstimate {
-    /// In answers that come late.
+    /// Expected number of late answers.
     pub cost: f64,
     /// Milliseconds to the first event.
     pub wait_ms: f64,
-    /// Of these, milliseconds until a place is free; 0 where one is.
+    /// Of these, milliseconds until a slot is free; 0 if one is free now.
     pub slot_wait_ms: f64,
-    /// The chance that reading beside it makes it late.
+    /// Probability that prefill of other requests makes it late.
     pub stall_probability: f64,
-    /// How many others it makes late.
+    /// Expected number of other answers that it makes late.
     pub others_late: f64,
-    /// The part of the engines that was preferred for long prompts.
+    /// Share of the engines that was preferred for long prompts.
     pub long_share: f64,
-    /// How fast the server was taken to be.
+    /// Assumed speed of the server.
     pub speed: Speed,
 }
 
-/// Where a request goes.
+/// The chosen server and the conditions of the send.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The server.
     pub server: Arc<Server>,
-    /// Another server that keeps shared parts of the prompt which this one lacks.
+    /// Another server that caches shared parts of the prompt which this one lacks.
     pub fetch: Option<SocketAddr>,
-    /// What it adds to the server's load.
+    /// Load that the request adds to the server.
     pub work: Work,
-    /// What it is expected to cost, for the log.
+    /// Cost estimate, for the log.
     pub estimate: CostEstimate,
-    /// What ran there before, as far as this box knows; for the log.
+    /// Load of the server before, as far as this box knows; for the log.
     pub load: Load,
-    /// Servers that could have been chosen, for the log.
+    /// Number of eligible servers, for the log.
     pub candidates: usize,
-    /// Where the server will have read a shared part that it lacked: whose owners keep the part's register, and its id.
+    /// If the server will read a shared part that it lacks: the servers whose owners keep the part's cache directory,
+    /// each with the part's id.
     pub cache_directories: Vec<(Arc<Server>, u64)>,
-    /// What holds for the server, where leave for the send is to be asked for.
+    /// Quotas of the server, if the send needs a permit.
     pub permit_quotas: Option<Quotas>,
 }
 
-/// Why no server was chosen. The request has not run.
+/// Reason why no server was chosen. The request has not run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Refusal {
-    /// The service has no server that may be tried.
+    /// The service has no server that may be used.
     NoServer,
-    /// All that may be tried are cold, and get as much as they bear.
+    /// All usable servers are cold and have reached their quotas.
     Cold,
-    /// All that may be tried want nothing from this box for now.
+    /// All usable servers asked this box to back off.
     BackingOff {
-        /// When the first of them takes requests again, in milliseconds from now.
+        /// Milliseconds until the first of them accepts requests again.
         retry_ms: Millis,
     },
-    /// All that may be tried take few requests from all boxes together, and got them.
+    /// All usable servers limit the requests from all boxes together, and have reached their limits.
     Limited {
-        /// When the first of them may take one again, in milliseconds from now; 0 where that isn't known.
+        /// Milliseconds until the first of them may accept a request again; 0 if unknown.
         retry_ms: Millis,
     },
-    /// All places are taken, and it would wait beyond its aim.
+    /// All slots are taken, and the request would wait beyond its latency target.
     Overloaded {
-        /// How long it would wait for a place, in milliseconds.
+        /// Expected wait for a slot in milliseconds.
         wait_ms: f64,
     },
 }
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,37 +1,37 @@
-//! How many second sends a service may get.
+//! Budget of second sends per service.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// Part of the shared slack that all boxes together may use; the rest covers what a box can't know,
-/// as how many others there are.
+/// Part of the shared slack that all boxes together use. The rest covers what a box can't know exactly, such as the
+/// number of other boxes.
 const SLACK_RATIO: f64 = 0.7;
 
-/// Part of the share of requests that second sends may reach.
+/// Part of the allowed ratio of second sends to requests that is used.
 const RETRY_RATIO_FACTOR: f64 = 0.8;
 
-/// This box's part of the bound on second sends to one service, over a sliding window.
+/// This box's share of the bound on second sends to one service, over a sliding window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Second sends allowed for each first one.
+    /// Second sends allowed per request.
     ratio: f64,
-    /// Second sends allowed besides, by all boxes together.
+    /// Additional second sends allowed for all boxes together.
     slack: f64,
     /// Length of the window.
     window: Millis,
-    /// Times of first and of second sends within the window.
+    /// Times of requests and of second sends within the window.
     requests: VecDeque<Millis>,
     retries: VecDeque<Millis>,
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` second sends for each first and `slack` besides, over `window`.
+    /// Creates a budget of `ratio` second sends per request and `slack` additional ones, over `window`.
     #[must_use]
     pub fn new(ratio: f64, slack: f64, window: Millis) -> Self {
         Self { ratio, slack, window, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// Counts a first send.
+    /// Records the first send of a request.
     pub fn record_request(&mut self, now: Millis) {
         self.requests.push_back(now);
         self.expire(now);
--- a/crates/placement/src/speed.rs
+++ b/crates/placement/src/speed.rs
@@ -1,38 +1,38 @@
-//! What an engine was observed to take.
+//! Observed speed of an engine.
 
 use crate::Prefill;
 use serde::{Deserialize, Serialize};
 
-/// Observations of its own that count as much as what is known of other engines of the same pool.
+/// Number of an engine's own observations that weigh as much as the mean of other engines of its pool.
 const PRIOR_SAMPLES: f32 = 4.0;
 
-/// How fast an engine reads prompts and answers, and how long its reading holds up the answers beside it.
+/// Speed of an engine at prefill and generation, and the stalls that its prefill causes in other answers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Speed {
-    /// Milliseconds from a send to its first event that are not spent reading.
+    /// Milliseconds from a send to its first event that are not spent on prefill.
     pub base_ms: f32,
-    /// Milliseconds for reading a thousand tokens.
+    /// Milliseconds of prefill per thousand tokens.
     pub read_ms: f32,
-    /// Milliseconds for a million pairs of a token that is read and one before it.
+    /// Milliseconds of prefill per million attention pairs.
     pub pair_ms: f32,
-    /// Milliseconds for a generated token, with all that runs beside it.
+    /// Milliseconds per generated token, under the current load.
     pub out_ms: f32,
     /// Observations behind these figures; old ones count less.
     pub seen: f32,
-    /// Longest pause between two events of an answer beside which nothing is read, in milliseconds.
+    /// Longest gap between two events of an answer without concurrent prefill, in milliseconds.
     pub calm_ms: f32,
-    /// Longest pause between two events that reading without an end makes, in milliseconds, if nothing stands before
-    /// what is read.
+    /// Longest gap between two events under continuous prefill, in milliseconds, with no context before the tokens
+    /// that are processed.
     pub stall_ms: f32,
-    /// How much longer it is for each thousand tokens that stand before.
+    /// Increase of that gap per thousand tokens of context.
     pub stall_depth_ms: f32,
-    /// Observations behind these two.
+    /// Observations behind the two stall figures.
     pub stalls_seen: f32,
 }
 
 impl Default for Speed {
-    /// Before anything was observed: the middle of what published engines take, from 10 to 60 ms for a thousand tokens,
-    /// and some hundred for an event beside reading. A handful of observations outweighs it.
+    /// Initial values: the middle of published figures for engines, from 10 to 60 ms per thousand tokens and some
+    /// hundred milliseconds per event during prefill. A handful of observations outweighs them.
     fn default() -> Self {
         Self {
             base_ms: 20.0,
@@ -49,20 +49,21 @@
 }
 
 impl Speed {
-    /// Milliseconds for reading.
+    /// Returns the milliseconds that a prefill takes.
     #[must_use]
     pub fn prefill_ms(&self, prefill: Prefill) -> f64 {
         let tokens = prefill.tokens as f64 / 1e3 * f64::from(self.read_ms);
         tokens + prefill.attention_pairs_k as f64 / 1e3 * f64::from(self.pair_ms)
     }
 
-    /// Tokens that are read between two events at most.
+    /// Returns the number of tokens processed between two events at most.
     #[must_use]
     pub fn chunk_tokens(&self) -> u32 {
         (self.stall_ms / self.read_ms.max(f32::MIN_POSITIVE) * 1e3) as u32
     }
 
-    /// The longest pause between two events of answers beside it, in milliseconds, that reading all this makes.
+    /// Returns the longest gap between two events of concurrent answers, in milliseconds, that this prefill is
+    /// expected to cause.
     #[must_use]
     pub fn expected_stall_ms(&self, prefill: Prefill) -> f64 {
         if prefill.tokens == 0 {
@@ -71,13 +72,14 @@
         (self.prefill_ms(prefill) + f64::from(self.calm_ms)).min(self.max_stall_ms(prefill))
     }
 
-    /// The longest such pause at the depth of `reading`, however much is read.
+    /// Returns the longest such gap at the depth of `prefill`, whatever its size.
     #[must_use]
     pub fn max_stall_ms(&self, prefill: Prefill) -> f64 {
         f64::from(self.stall_ms) + prefill.depth_k() * f64::from(self.stall_depth_ms)
     }
 
-    /// The mean of several, weighted by their observations up to `most` each; the default where there are none.
+    /// Returns the mean of several, weighted by their observations up to `max_samples` each; the default if there are
+    /// none.
     #[must_use]
     pub fn mean<'a>(speeds: impl Iterator<Item = &'a Self>, max_samples: f32) -> Self {
         let mut mean = Self::default();
@@ -92,7 +94,7 @@
         mean
     }
 
-    /// This, as far as it rests on observations, and `other` for the rest.
+    /// Returns a blend of this, weighted by its observations, and `other`.
     #[must_use]
     pub fn or_fallback(&self, other: &Self) -> Self {
         let mut blended = *self;
@@ -119,7 +121,7 @@
     }
 }
 
-/// The part that `weight` is of itself and what was there before.
+/// Returns the ratio of `weight` to its sum with `before`.
 fn weight_ratio(weight: f32, before: f32) -> f32 {
     if weight <= 0.0 {
         return 0.0;
--- a/crates/placement/src/speed_estimator.rs
+++ b/crates/placement/src/speed_estimator.rs
@@ -1,32 +1,32 @@
-//! Learns one engine's speed from what is seen of its answers.
+//! Estimates an engine's speed from observations of its answers.
 
 use crate::least_squares::LeastSquares;
 use crate::{Prefill, Speed};
 
-/// How much the newest observation of a mean counts: about the last ten do.
+/// Weight of the newest observation in a moving average: about the last ten count.
 const EWMA_WEIGHT: f32 = 0.1;
 
-/// Observations are counted up to about so many: older ones hardly weigh in the fits.
+/// Cap on the observation counts: older observations hardly weigh in the fits.
 const MAX_SAMPLES: f32 = 40.0;
 
-/// How much longer than the longest expected pause a reading must take for the pauses beside it to say how long they
-/// get. Chosen by what is read and not by the pause that came of it: short pauses would choose themselves.
+/// How much longer than the longest expected gap a prefill must take for the gaps beside it to show the upper bound.
+/// Selected by the size of the prefill and not by the observed gap, since short gaps would select themselves.
 const MIN_PREFILL_FACTOR: f64 = 1.3;
 
-/// How much a pause counts that was shorter than expected: often less was read beside it than was known of, since the
-/// server kept more of the prompts.
+/// Weight of a gap that was shorter than expected. Often less was prefilled beside it than assumed, because the
+/// server had cached more of the prompts.
 const SHORTER_PAUSE_WEIGHT: f64 = 0.2;
 
-/// Pauses that weigh as much as the first guess.
+/// Number of observed gaps that weigh as much as the initial values.
 const PRIOR_SAMPLES: f64 = 8.0;
 
-/// Pauses that must have been seen before the longest of them says how long they get.
+/// Number of observed gaps before the longest of them is used as a bound.
 const MIN_PEAK_SAMPLES: u32 = 6;
 
-/// How much of the way to a shorter pause the longest one shrinks.
+/// Part of the difference to a shorter gap by which the peak decays.
 const PEAK_DECAY_RATIO: f64 = 0.02;
 
-/// The longest pause seen lately, beside any reading.
+/// Longest recent gap, beside any prefill.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peak {
     ms: f64,
@@ -40,7 +40,7 @@
         self.ms += (pause_ms - self.ms) * step;
     }
 
-    /// The longest that pauses are known to get; without a bound until enough were seen.
+    /// Returns the longest known gap; unbounded until enough were observed.
     fn max_ms(&self) -> f64 {
         if self.samples < MIN_PEAK_SAMPLES {
             f64::INFINITY
@@ -50,12 +50,12 @@
     }
 }
 
-/// Learns one engine's [`Speed`].
+/// Estimates one engine's [`Speed`].
 #[derive(Clone, Debug)]
 pub struct SpeedEstimator {
-    /// Over one, thousands of tokens and millions of pairs.
+    /// Features: one, thousands of tokens, and millions of attention pairs.
     prefill: LeastSquares<3>,
-    /// Over one and thousands of tokens that stand before what is read.
+    /// Features: one, and thousands of tokens of context before what is processed.
     stalls: LeastSquares<2>,
     peak: Peak,
     speed: Speed,
@@ -74,13 +74,13 @@
 }
 
 impl SpeedEstimator {
-    /// What was learned.
+    /// Returns the current estimate.
     #[must_use]
     pub fn speed(&self) -> Speed {
         self.speed
     }
 
-    /// A first event came so long after the send, when all of `reading` had to be read before it.
+    /// Records a first event that came `took_ms` after the send, when all of `prefill` had to be done before it.
     pub fn record_first_event(&mut self, prefill: Prefill, took_ms: f64) {
         self.prefill.update(&[1.0, prefill.tokens as f64 / 1e3, prefill.attention_pairs_k as f64 / 1e3], took_ms, 1.0);
         let [base, read, pair] = self.prefill.weights().map(|weight| weight as f32);
@@ -90,7 +90,7 @@
         self.speed.seen = (self.speed.seen + 1.0).min(MAX_SAMPLES);
     }
 
-    /// An answer's longest pause was this long, and the most that was read beside it was `reading`.
+    /// Records the longest gap of an answer beside which at most `prefill` was pending.
     pub fn record_pause(&mut self, prefill: Prefill, pause_ms: f64) {
         if prefill.tokens == 0 {
             self.speed.calm_ms += (pause_ms as f32 - self.speed.calm_ms) * EWMA_WEIGHT;
@@ -101,7 +101,7 @@
         if prefill_ms < MIN_PREFILL_FACTOR * self.speed.max_stall_ms(prefill).min(self.peak.max_ms()) {
             return;
         }
-        // The first guess is no better than the first pauses, whichever way they differ from it.
+        // The initial values are no better than the first observations, whichever way they differ.
         let weight = SHORTER_PAUSE_WEIGHT.max(1.0 / (1.0 + f64::from(self.speed.stalls_seen) / PRIOR_SAMPLES));
         self.stalls.update(&[1.0, prefill.depth_k()], pause_ms, weight);
         let [stall, depth] = self.stalls.weights().map(|weight| weight as f32);
@@ -110,7 +110,7 @@
         self.speed.stalls_seen = (self.speed.stalls_seen + 1.0).min(MAX_SAMPLES);
     }
 
-    /// An answer that was expected to have so many tokens took this long after its first event.
+    /// Records an answer that was expected to have `tokens` tokens and took `took_ms` after its first event.
     pub fn record_answer(&mut self, tokens: u32, took_ms: f64) {
         if tokens > 0 {
             let per_token = (took_ms / f64::from(tokens)) as f32;
--- a/crates/placement/src/stalls.rs
+++ b/crates/placement/src/stalls.rs
@@ -1,23 +1,23 @@
-//! How long the reading of prompts has lately held up the answers beside it.
+//! Recent stalls of answers by the prefill of other prompts.
 
 use crate::impact::exceeds;
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How far back stalls count: about as long as an answer takes, and what came lately comes again.
+/// How far back stalls count: about the duration of an answer. Recent stalls predict further ones.
 const WINDOW: Millis = 3_000;
 
-/// Most stalls that are kept; more in the window are as bad as these.
+/// Most stalls kept. A window with more of them is as bad as one with this many.
 const MAX_STALLS: usize = 48;
 
-/// The expected stalls of one server within the last seconds.
+/// Expected stalls of one server within the last seconds.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Stalls {
     recent: VecDeque<(Millis, u32)>,
 }
 
 impl Stalls {
-    /// Reading that began now is expected to make a pause of so many milliseconds.
+    /// Records a prefill that began now and is expected to cause a gap of `pause_ms`.
     pub(crate) fn record(&mut self, pause_ms: f64, now: Millis) {
         if self.recent.len() == MAX_STALLS {
             self.recent.pop_front();
@@ -25,7 +25,7 @@
         self.recent.push_back((now, pause_ms as u32));
     }
 
-    /// How many a second made pauses longer than this; 0 where no pause is too long.
+    /// Returns how many stalls per second exceeded this gap; 0 if no gap is too long.
     pub(crate) fn per_second(&self, gap_ms: u32, now: Millis) -> f32 {
         if gap_ms == 0 {
             return 0.0;
--- a/crates/placement/src/urgency.rs
+++ b/crates/placement/src/urgency.rs
@@ -1,40 +1,40 @@
-//! Whose turn it is where a server takes few requests.
+//! Fair sharing between urgency classes where a server takes few requests.
 //!
-//! Leave is given to who asks first, and the less urgent ask more often. So that they don't take what more urgent ones need, they get
-//! leave only where the server had less than it takes.
+//! Permits are granted in the order of requests, and less urgent classes ask more often. So that they don't take what
+//! more urgent ones need, they get permits only while the server receives less than it takes.
 
 use crate::permit::Quota;
 use crate::Millis;
 
-/// How long a class counts as present after it asked.
+/// How long a class counts as present after its last request for a permit.
 const PRESENCE_WINDOW: Millis = 2_000;
 
-/// A class that asks and got no leave for so long gets its turn whoever else is present: none starves.
+/// A class that has waited this long for a permit gets one whichever other classes are present, so that none starves.
 const STARVATION_TIMEOUT: Millis = 10_000;
 
-/// Most urgencies that are told apart.
+/// Number of urgency classes that are distinguished.
 const URGENCY_CLASSES: usize = 10;
 
-/// The place of an urgency among those that are told apart, 0 for the most urgent.
+/// Returns the index of an urgency's class, 0 for the most urgent.
 pub(crate) fn class_index(urgency: u8) -> usize {
     usize::from(urgency).min(URGENCY_CLASSES - 1)
 }
 
-/// What each urgency has of it.
+/// One value per urgency class.
 pub(crate) type PerUrgency<T> = [T; URGENCY_CLASSES];
 
-/// The classes that ask for leave to send to one server.
+/// The classes that request permits for one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairShare {
-    /// When each asked last; none before the first.
+    /// When each class last requested a permit; `None` before the first request.
     last_requested: PerUrgency<Option<Millis>>,
-    /// Since when each waits for leave; none where it doesn't.
+    /// Since when each class has been waiting for a permit; `None` if it isn't.
     waiting_since: PerUrgency<Option<Millis>>,
 }
 
 impl FairShare {
-    /// A class asks for leave by this quota. Returns the quota by which it may have it: each more urgent class that is present makes
-    /// the span twice, three times, … as long.
+    /// Records a request for a permit, and returns the quota that applies to its class: each more urgent class that
+    /// is present makes the window twice, three times, … as long.
     pub(crate) fn quota_for(&mut self, urgency: u8, quota: &Quota, now: Millis) -> Quota {
         let class = class_index(urgency);
         self.last_requested[class] = Some(now);
@@ -47,7 +47,7 @@
         Quota { window: quota.window * (1 + before), ..*quota }
     }
 
-    /// It got leave.
+    /// Records that a permit was granted.
     pub(crate) fn record_granted(&mut self, urgency: u8) {
         self.waiting_since[class_index(urgency)] = None;
     }
