--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -1,4 +1,4 @@
-//! What it costs to send a request to a server, in answers that come late for it.
+//! Cost of sending a request to a server, as the expected number of answers that come late.
 
 use crate::impact;
 use crate::member::Member;
@@ -6,92 +6,92 @@
 use crate::{CostEstimate, Load, PlacementRequest, Prefill, Prompt, Speed, Work};
 use routing::Engine;
 
-/// What a first event at its aim costs while it is in time: sooner is better, all else being equal.
+/// Cost of a first event exactly at its latency target while it is in time: sooner is better, all else being equal.
 const WAIT_WEIGHT: f64 = 0.3;
 
-/// What reading a thousand shared tokens again costs beyond its time. From the sheets' prices: 0.09 to 0.31 of an answer
-/// worth one to four.
+/// Cost of prefilling a thousand shared tokens again, beyond its time. From the price sheets: 0.09 to 0.31 of an
+/// answer that is worth one to four.
 const REPEATED_PREFILL_COST_PER_K: f64 = 0.2;
 
-/// What fetching a thousand tokens from another server costs, by the same measure (0.32 for 13,300).
+/// Cost of fetching a thousand tokens from another server, by the same prices (0.32 for 13,300).
 const FETCH_COST_PER_K: f64 = 0.03;
 
-/// Fewest missing tokens that are worth fetching: a transfer takes some milliseconds to set up.
+/// Fewest missing tokens that are worth a fetch: a transfer takes some milliseconds to set up.
 pub(crate) const MIN_FETCH_TOKENS: u32 = 1_000;
 
-/// What sending a kilobyte to another hall costs. From the sheets: 17 KB cost 0.02 to 0.15 of a request.
+/// Cost of sending a kilobyte to another hall. From the price sheets: 17 KB cost 0.02 to 0.15 of a request.
 const REMOTE_HALL_COST_PER_KB: f64 = 0.005;
 
-/// What the way to another hall costs whatever its size.
+/// Cost of sending to another hall, whatever the size.
 const REMOTE_HALL_COST: f64 = 0.001;
 
-/// Cost of a server that failed every time lately: the answer.
+/// Cost of a server whose recent sends all failed: the whole answer.
 const FAILURE_COST: f64 = 1.0;
 
-/// What waiting in a plain server's queue costs for each request above its slots, and below them.
+/// Cost of waiting at a plain server, for each running request above its slots and below them.
 const PLAIN_QUEUED_COST: f64 = 0.0075;
 const PLAIN_RUNNING_COST: f64 = 0.0005;
 
-/// What it costs to take the other side of the engines: a long prompt among short ones will make answers late that come
-/// after it, and a short one among long ones is late by what is read after it.
+/// Cost of choosing the other side of the split: a long prompt among short ones makes later answers late, and a short
+/// one among long ones is made late by the prefill after it.
 const OTHER_SIDE_COST: f64 = 0.3;
 
-/// A member that could be chosen, with its cost.
+/// An eligible server with its cost.
 pub(crate) struct Candidate<'a> {
     pub(crate) member: &'a Member,
     pub(crate) estimate: CostEstimate,
-    /// What the request adds there, after a fetch if one is worth it.
+    /// Load that the request adds there, after a fetch if one is worth it.
     pub(crate) work: Work,
     pub(crate) fetch: bool,
 }
 
 impl Candidate<'_> {
-    /// What the choice would cost, in answers that come late.
+    /// Returns the cost, as the expected number of answers that come late.
     pub(crate) fn cost(&self) -> f64 {
         self.estimate.cost
     }
 }
 
-/// A server that surely keeps the first `tokens` of a prompt's shared parts.
+/// A server that is known to cache the first `tokens` of a prompt's shared parts.
 #[derive(Clone, Copy)]
 pub(crate) struct Source<'a> {
     pub(crate) member: &'a Member,
     pub(crate) tokens: u32,
 }
 
-/// What reading a prompt at some server takes.
+/// Prefill of a prompt at one server.
 struct PrefillPlan {
     /// Tokens to read, after a fetch if one is worth it.
     unread: u32,
     fetch: bool,
-    /// What it costs besides the time.
+    /// Cost in addition to the time.
     cost: f64,
 }
 
-/// What the servers of a pool are weighed by, for one request.
+/// Data that the costs of a pool's servers are computed from, for one request.
 pub(crate) struct CostModel<'a> {
     pub(crate) request: &'a PlacementRequest<'a>,
     pub(crate) engine: Option<&'a Engine>,
-    /// What engines of this pool take, on average.
+    /// Average speed of the pool's engines.
     pub(crate) speed: Speed,
-    /// How the pool's engines are divided.
+    /// Split of the pool's engines.
     pub(crate) split: Split,
-    /// How much the prompt counts as long, from 0 to 1.
+    /// Degree to which the prompt counts as long, from 0 to 1.
     pub(crate) longness: f64,
     /// This box's hall.
     pub(crate) hall: &'a str,
-    /// Least share of failures among the servers: only more than that counts against one.
+    /// Smallest failure ratio among the servers: only the excess over it counts against a server.
     pub(crate) min_failure_ratio: f64,
-    /// All servers that may be chosen, in the order in which they would keep the prompt's shared parts; none without such parts.
+    /// All eligible servers, in order of preference for caching the prompt's shared parts; empty without such parts.
     pub(crate) ranked: Vec<&'a Member>,
-    /// The servers that are to keep the prompt's shared parts, the first of them first; none without such parts.
+    /// The home servers of the prompt's shared parts in order of preference; empty without such parts.
     pub(crate) homes: Vec<&'a Member>,
-    /// From where these can be fetched.
+    /// Server from which these parts can be fetched.
     pub(crate) source: Option<Source<'a>>,
 }
 
 impl CostModel<'_> {
-    /// A server with its cost.
+    /// Computes the cost of a server.
     pub(crate) fn candidate<'m>(&self, member: &'m Member) -> Candidate<'m> {
         let base = (member.health.failure_ratio() - self.min_failure_ratio) * FAILURE_COST + self.distance_cost(member);
         let status = self.request.status(&member.server.id);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// What the way to the server costs.
+    /// Returns the cost of the distance to the server.
     fn distance_cost(&self, member: &Member) -> f64 {
         if member.server.hall == self.hall {
             return 0.0;
@@ -140,24 +140,24 @@
         Candidate { member, estimate, work, fetch: plan.fetch }
     }
 
-    /// What it costs to be on the side of the engines that is meant for others.
+    /// Returns the cost of choosing a server on the side of the split that is meant for other prompts.
     fn other_side_cost(&self, member: &Member) -> f64 {
         let meant = if self.split.prefers_long(member.position) { self.longness } else { 1.0 - self.longness };
         OTHER_SIDE_COST * (1.0 - meant)
     }
 
-    /// How long a request waits for a place where all are taken by others that are as urgent.
+    /// Returns how long a request waits for a slot if all are taken by others of at least its urgency.
     fn slot_wait_ms(&self, member: &Member, load: &Load) -> f64 {
         let before = load.not_displaced_by(self.request.urgency);
         let ends = f64::from(before.saturating_add(1).saturating_sub(member.server.slots));
         let interval_ms = self.request.status(&member.server.id).map_or(0.0, |status| status.completion_interval_ms);
-        // Where none ended lately, none is expected to.
+        // Without recent completions, none is expected before the latency target.
         let interval_ms =
             if interval_ms > 0.0 { f64::from(interval_ms) } else { self.request.target.as_secs_f64() * 1e3 };
         ends * interval_ms
     }
 
-    /// What a request adds to the load of a server that has `unread` of its tokens to read.
+    /// Returns the load that a request adds to a server that has `unread` of its tokens to read.
     fn work(&self, prompt: &Prompt, unread: u32, speed: &Speed) -> Work {
         Work {
             prefill: Prefill::tail(unread, prompt.tokens, speed.chunk_tokens()),
@@ -176,11 +176,11 @@
         let unread = prompt.tokens.saturating_sub(cached);
         let at_home = self.homes.first().is_some_and(|home| home.server.id == member.server.id);
         if at_home && status.is_none() {
-            // Where the owner is not heard, it is taken that other boxes sent the parts there already.
+            // Without a status from the home's owner, assume that other boxes have sent the parts there already.
             let unread = unread.min(prompt.tokens.saturating_sub(shared));
             return PrefillPlan { unread, fetch: false, cost: 0.0 };
         }
-        // What is read at home for the first time is not read again.
+        // The first prefill at a home server is not a repeated one.
         let repeated_cost =
             |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REPEATED_PREFILL_COST_PER_K };
         let source = self.source.filter(|source| source.member.server.id != member.server.id);
@@ -194,7 +194,7 @@
     }
 }
 
-/// The wait at a plain server.
+/// Returns the cost of the wait at a plain server.
 fn plain_wait_cost(member: &Member, load: &Load) -> f64 {
     let over = load.running.saturating_sub(member.server.slots.saturating_sub(1));
     f64::from(load.running) * PLAIN_RUNNING_COST + f64::from(over) * PLAIN_QUEUED_COST
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -1,4 +1,4 @@
-//! One server of a pool, and what is known of it.
+//! One server of a pool and its state.
 
 use crate::cold::Disconnects;
 use crate::notices::Notices;
@@ -7,49 +7,50 @@
 use routing::{ColdStart, Evacuations, HallRegions, Server};
 use std::sync::Arc;
 
-/// How long what an owner said of a server's load is better than what this box has there itself.
+/// How long the load reported by a server's owner is more accurate than this box's own load there.
 const STATUS_TTL: Millis = 400;
 
-/// The same of its stalls, which change slowly.
+/// The same for its stall rate, which changes slowly.
 const STALLS_TTL: Millis = 2_000;
 
-/// A server and what is known of it.
+/// A server and its state.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub(crate) server: Arc<Server>,
-    /// Where it stands in the order of the pool's servers, from 0 to 1; see [`crate::order`].
+    /// Position in the order of the pool's servers, from 0 to 1; see [`crate::order`].
     pub(crate) position: f64,
-    /// What this box has running there.
+    /// Load that this box has there.
     pub(crate) own_load: Load,
     pub(crate) cached: CachedParts,
     pub(crate) health: Health,
-    /// What its owner said last, and when.
+    /// Last status reported by its owner, and when it was received.
     pub(crate) status: Option<(ServerStatus, Millis)>,
     /// True while its hall is evacuated.
     pub(crate) evacuated: bool,
-    /// True once it said that it leaves, by whatever way.
+    /// True once it has announced that it is leaving, in any way.
     pub(crate) leaving: bool,
-    /// Until when it wants nothing from this box; not in the future where it doesn't say so.
+    /// End of the back-off that it asked of this box; in the past if there is none.
     pub(crate) back_off_until: Millis,
-    /// What it says that it takes of all boxes together.
+    /// Its limit on requests from all boxes together.
     pub(crate) limit: Limit,
-    /// Until when its limit allows nothing more for requests of each urgency, as far as this box was told; not in the future where it
-    /// wasn't. Rises with urgencies that come later.
+    /// For each urgency class, until when no permits are granted under its limit, as far as this box knows; in the
+    /// past if they are. Does not decrease from one class to the next less urgent one.
     denied_until: PerUrgency<Millis>,
-    /// Until when only an older copy of the list has it, and it may have ended; not in the future where it is certain.
+    /// Until when it may have terminated, since only an older copy of the list has it; in the past if its entry is
+    /// confirmed.
     pub(crate) unconfirmed_until: Millis,
-    /// Region of its hall, where that is known.
+    /// Region of its hall, if known.
     pub(crate) region: Option<String>,
-    /// What its service says of cold servers.
+    /// Cold-start settings of its service.
     pub(crate) cold: Option<ColdStart>,
-    /// Until when it is cold by its entry, or by what its hall went through; not in the future where it isn't.
+    /// Until when it is cold by its entry or after its hall's evacuation; in the past if it isn't.
     pub(crate) cold_until: Millis,
-    /// What this box's sends show of starts.
+    /// Possible restarts observed by this box's sends.
     pub(crate) disconnects: Disconnects,
 }
 
 impl Member {
-    /// A server of which nothing but its entry is known yet.
+    /// Creates the state of a server of which only the entry is known.
     pub(crate) fn new(server: &Arc<Server>, now: Millis) -> Self {
         Self {
             server: Arc::clone(server),
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Takes how a send there ended.
+    /// Records how a send to it ended.
     pub(crate) fn record_ending(&mut self, ending: Ending, now: Millis) {
         self.health.record(ending, now);
         self.disconnects.record(ending, now);
     }
 
-    /// Takes its entry as it is now.
+    /// Applies its current entry.
     pub(crate) fn apply_entry(&mut self, server: &Arc<Server>, now: Millis) {
         if *self.server != **server {
             self.server = Arc::clone(server);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Takes what it said of itself.
+    /// Applies its notices.
     pub(crate) fn apply_notices(&mut self, notices: &Notices) {
         let instance = &self.server.id;
         self.leaving = notices.is_leaving(instance);
@@ -95,7 +96,7 @@
         self.set_limit(limit);
     }
 
-    /// Takes which halls are evacuated, and the regions of halls.
+    /// Applies the evacuated halls and the regions of halls.
     pub(crate) fn apply_halls(&mut self, evacuations: &Evacuations, regions: &HallRegions, now: Millis) {
         self.set_evacuated(evacuations.is_evacuated(&self.server.hall), now);
         let region = regions.get(&self.server.hall);
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Takes whether its hall is evacuated. Servers may have turned cold meanwhile, and nobody may have heard yet.
+    /// Sets whether its hall is evacuated. After an evacuation, servers may have turned cold without any box knowing.
     fn set_evacuated(&mut self, evacuated: bool, now: Millis) {
         let reopened = std::mem::replace(&mut self.evacuated, evacuated) && !evacuated;
         if let Some(cold) = self.cold.as_ref().filter(|_| reopened) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// True while it is to be taken for cold: by its entry, or by what this box or its owner saw.
+    /// True while it counts as cold: by its entry, or by observations of this box or its owner.
     pub(crate) fn is_cold(&self, now: Millis) -> bool {
         let Some(cold) = &self.cold else { return false };
         let own = self.disconnects.elapsed(now).cold_until(cold, now);
@@ -120,12 +121,13 @@
         now < self.cold_until.max(own).max(reported)
     }
 
-    /// What holds for requests to it, each of which needs leave where that is anything. `bears` is what it bears while it is cold.
+    /// Returns the quotas for requests to it. If there are any, each request needs a permit. `cold_quota` applies
+    /// while it is cold.
     pub(crate) fn quotas(&self, cold_quota: Option<Quota>, now: Millis) -> Quotas {
         Quotas { cold: cold_quota.filter(|_| self.is_cold(now)), limit: self.limit.quota() }
     }
 
-    /// Takes what it says that it takes.
+    /// Sets its limit.
     fn set_limit(&mut self, limit: Limit) {
         if self.limit != limit {
             self.limit = limit;
@@ -133,39 +135,39 @@
         }
     }
 
-    /// Its limit allows nothing until then for requests of this urgency, nor for those that are less urgent.
+    /// Records that its limit allows nothing until then for requests of this urgency and for less urgent ones.
     pub(crate) fn record_denial(&mut self, urgency: u8, until: Millis) {
         for denied_until in &mut self.denied_until[class_index(urgency)..] {
             *denied_until = until.max(*denied_until);
         }
     }
 
-    /// Until when its limit allows nothing for requests of this urgency.
+    /// Returns until when its limit allows nothing for requests of this urgency.
     pub(crate) fn denied_until(&self, urgency: u8) -> Millis {
         self.denied_until[class_index(urgency)]
     }
 
-    /// What runs there: what its owner said lately, else what this box has there.
+    /// Returns its load: that recently reported by its owner, otherwise the load of this box.
     pub(crate) fn load(&self, now: Millis) -> &Load {
         self.status_within(STATUS_TTL, now).map_or(&self.own_load, |status| &status.load)
     }
 
-    /// What its owner said within the last so many milliseconds.
+    /// Returns the status that its owner reported within the last `max_age` milliseconds.
     pub(crate) fn status_within(&self, max_age: Millis, now: Millis) -> Option<&ServerStatus> {
         self.status.as_ref().filter(|(_, at)| now < at + max_age).map(|(status, _)| status)
     }
 
-    /// How fast its owner said that it is, whenever that was.
+    /// Returns the speed last reported by its owner, whatever its age.
     pub(crate) fn speed(&self) -> Option<&Speed> {
         self.status.as_ref().map(|(status, _)| &status.speed)
     }
 
-    /// How often reading lately stalled answers there, as far as its owner said not long ago.
+    /// Returns how often prefill recently stalled answers there, if its owner reported that recently.
     pub(crate) fn stalls_per_s(&self, now: Millis) -> f32 {
         self.status_within(STALLS_TTL, now).map_or(0.0, |status| status.stalls_per_s)
     }
 
-    /// True while the server is to be left alone, by what this box or its owner saw.
+    /// True while the server is paused after failures observed by this box or its owner.
     pub(crate) fn is_paused(&self, now: Millis) -> bool {
         self.health.is_paused(now) || self.status_within(STATUS_TTL, now).is_some_and(|status| status.paused)
     }
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -1,8 +1,8 @@
-//! What one box knows exactly of the servers that it owns.
+//! Exact state of the servers that a box owns.
 //!
-//! Each server has one box that all others ask before they send a long request there: it knows what they
-//! sent, which parts of prompts were read, and how sends ended. It answers at once and holds nothing back;
-//! a box that gets no answer goes by what it knows itself.
+//! Each server has one owner box that all others query before they send a long request there. The owner knows the
+//! requests that they sent, the prompt parts that were read, and how sends ended. It answers queries at once; a box
+//! that gets no answer relies on its own knowledge.
 
 use crate::arrivals::Arrivals;
 use crate::cache_directory::CacheDirectory;
@@ -19,124 +19,124 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// A lease whose end is never told is dropped after this long: its box has died, or no request takes longer.
+/// Time after which a lease without a reported end is dropped: its box has died, since no request takes longer.
 const LEASE_TTL: Millis = 60_000;
 
-/// The part of a prompt that is taken for read at most before its first event says that all of it was.
+/// Largest share of a prompt that is assumed to be read before its first event shows that all of it was.
 const MAX_PARTIAL_PREFILL_RATIO: f64 = 0.8;
 
-/// Asks the owner of a server what it knows.
+/// Queries the owner of a server for its status.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusQuery {
-    /// Names the question, unique for the asking box.
+    /// Number of this query, unique on the requesting box.
     pub number: u64,
     /// Id of the server.
     pub server: String,
     /// Parts of the prompt in order.
     pub parts: Vec<Part>,
-    /// Longest pause between events of its answer that is still in time, in milliseconds; 0 where none makes it late.
+    /// Longest inter-token gap of the answer that is still in time, in milliseconds; 0 if no gap makes it late.
     pub gap_ms: u32,
 }
 
-/// What an owner knows of its server.
+/// Status of a server, as known to its owner.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// Number of the question.
+    /// Number of the query.
     pub number: u64,
-    /// What runs there.
+    /// Current load.
     pub load: Load,
-    /// Tokens of the prompt's parts, from the first on, that the server keeps or is about to read.
+    /// Tokens of the leading prompt parts that the server caches or is about to read.
     #[serde(rename = "kept")]
     pub cached_tokens: u32,
-    /// The same, but surely read.
+    /// Tokens of the leading prompt parts that are known to have been read.
     #[serde(rename = "read")]
     pub confirmed_tokens: u32,
-    /// True while the server is left alone after failures.
+    /// True while the server is paused after failures.
     pub paused: bool,
-    /// How fast the server was seen to be.
+    /// Observed speed of the server.
     pub speed: Speed,
-    /// How often a second reading there lately made pauses too long for such an answer.
+    /// How many prefills per second there recently caused gaps too long for such an answer.
     pub stalls_per_s: f32,
-    /// Milliseconds until one of the requests that run there ends, on average; 0 where none ended lately.
+    /// Average time in milliseconds until a running request ends; 0 without recent completions.
     #[serde(rename = "end_ms")]
     pub completion_interval_ms: f32,
-    /// The part of its time that it takes to read the long prompts that were lately sent there; above 1 where more came
-    /// than it can read.
+    /// Share of its time needed for the prefill of long prompts that were recently sent there; above 1 if more
+    /// arrived than it can process.
     #[serde(rename = "long_reading")]
     pub long_prefill_ratio: f32,
-    /// The same of the other prompts.
+    /// The same for all other prompts.
     #[serde(rename = "short_reading")]
     pub short_prefill_ratio: f32,
-    /// Requests that were sent there within about the last second, by all boxes together.
+    /// Requests that all boxes together sent there within about the last second.
     pub arrivals: u32,
-    /// Whether it may have started again.
+    /// Possible restarts of the server.
     #[serde(rename = "broke")]
     pub disconnect: Disconnect,
-    /// Other servers that read the prompt's last shared part, the last one first; for parts whose register is kept with
-    /// this server.
+    /// Other servers that read the prompt's last shared part, the most recent first; for parts whose cache directory
+    /// is kept with this server.
     #[serde(rename = "elsewhere")]
     pub cached_by: Vec<String>,
 }
 
-/// Tells an owner of a request that is sent to its server.
+/// Reports on a request to the owner of its server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SendReport {
-    /// Names the request's lease, unique for the reporting box.
+    /// Number of the request's lease, unique on the reporting box.
     pub number: u64,
     /// Id of the server.
     pub server: String,
-    /// What is reported.
+    /// The reported update.
     #[serde(rename = "news")]
     pub update: SendUpdate,
 }
 
-/// What became of a request at a server, in this order; the end is always reported.
+/// Lifecycle updates of a request at a server, in this order; the end is always reported.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SendUpdate {
     /// It is being sent.
     Sent {
         /// Parts of the prompt in order.
         parts: Vec<Part>,
-        /// What it adds to the server's load.
+        /// Load that it adds to the server.
         work: Work,
-        /// Tokens of parts that this server's memory can keep.
+        /// Tokens of parts that this server can cache.
         memory: u64,
-        /// True when the owner gave leave for it, and so has counted it.
+        /// True if the owner granted a permit for it, and so has counted it already.
         permitted: bool,
     },
     /// Its prompt has been read.
     Read,
-    /// Another server has read a part whose register is kept with this server. Belongs to no lease.
+    /// Another server has read a part whose cache directory is kept with this server. Belongs to no lease.
     Elsewhere {
         /// Id of the part.
         part: u64,
         /// Id of the server that has read it.
         by: String,
     },
-    /// A pause between its events has made it late.
+    /// A gap between its events has made it late.
     Late,
     /// The send has ended.
     Ended {
-        /// How, as far as the server is to blame.
+        /// Outcome, as far as the server is responsible.
         ending: Ending,
-        /// The longest pause between two events, in milliseconds.
+        /// The longest gap between two events, in milliseconds.
         pause_ms: u32,
     },
 }
 
-/// A request that some box has at a server.
+/// A request that a box has at a server.
 #[derive(Clone, Debug)]
 struct Lease {
     work: Work,
     parts: Vec<Part>,
     sent_at: Millis,
-    /// What had to be read before its first event.
+    /// Prefill pending before its first event, its own included.
     ahead: Prefill,
-    /// When the prompt was read; none before.
+    /// When the prompt was read; `None` before.
     prefilled_at: Option<Millis>,
-    /// The most that was read beside its answer, and since when.
+    /// The largest prefill pending beside its answer, and when it began.
     prefill_beside: (Prefill, Millis),
-    /// True once a pause has made it late.
+    /// True once a gap has made it late.
     late: bool,
     expires_at: Millis,
 }
@@ -149,31 +149,31 @@
     estimator: SpeedEstimator,
     stalls: Stalls,
     completions: Completions,
-    /// Milliseconds of reading that were sent there with long prompts.
+    /// Prefill time in milliseconds of long prompts that were sent there.
     long_prefill: Rate,
-    /// The same with the others.
+    /// The same for all other prompts.
     short_prefill: Rate,
-    /// When the last prompt was read.
+    /// When a prompt was last read.
     last_prefilled: Millis,
     arrivals: Arrivals,
-    /// Since when this box hears of the server: what was sent there before isn't known.
+    /// When this box became its owner or was first queried; sends before that are unknown.
     since: Millis,
-    /// Who asked for leave, where the server names a limit.
+    /// Pending permit requests by urgency, if the server names a limit.
     fair_share: FairShare,
     disconnects: Disconnects,
     cache_directory: CacheDirectory,
-    /// By asking box and number. The sum of their works is `load`.
+    /// By sending box and number. The total of their work is `load`.
     leases: BTreeMap<(SocketAddr, u64), Lease>,
 }
 
-/// The servers that this box owns, or was asked about.
+/// The servers that this box owns or was queried about.
 #[derive(Clone, Debug, Default)]
 pub struct Owner {
     servers: HashMap<String, OwnedServer>,
 }
 
 impl Owner {
-    /// Answers a question.
+    /// Answers a query.
     pub fn on_query(&mut self, query: &StatusQuery, now: Millis) -> ServerStatus {
         let owned = self.owned(&query.server, now);
         owned.expire(now);
@@ -194,13 +194,14 @@
         }
     }
 
-    /// Gives leave for a request, which then counts as sent, or denies it. Bounds are over all boxes, and so is this count.
+    /// Grants or denies a permit; a request with a permit counts as sent. The quotas apply to all boxes together, and
+    /// so does this count.
     pub fn on_permit_request(&mut self, permit: &PermitRequest, now: Millis) -> PermitReply {
         let owned = self.owned(&permit.server, now);
         let Quotas { cold, limit } = &permit.quotas;
         let retry_at = limit.as_ref().map_or(now, |quota| {
             let stretched = owned.fair_share.quota_for(permit.urgency, quota, now);
-            // What a box gave leave for that did so before this one fills the quota in the beginning.
+            // Permits that a former owner granted are unknown here: at first, they are assumed to fill the quota.
             owned.arrivals.free_at(&stretched, now).max(owned.since + quota.window)
         });
         let cold_free = cold.as_ref().is_none_or(|quota| owned.arrivals.free_at(quota, now) <= now);
@@ -219,7 +220,7 @@
         self.servers.get_mut(server).expect("just inserted")
     }
 
-    /// Takes what the box `from` reports.
+    /// Applies a report of the box `from`.
     pub fn on_report(&mut self, from: SocketAddr, report: SendReport, now: Millis) {
         let owned = self.owned(&report.server, now);
         let key = (from, report.number);
@@ -243,7 +244,7 @@
     }
 }
 
-/// Id of the last part that requests may share: the last of all is a request's own.
+/// Returns the id of the last part that requests may share: the last part of all belongs to the request itself.
 fn last_shared_part(parts: &[Part]) -> Option<u64> {
     parts.iter().rev().nth(1).map(|part| part.id)
 }
@@ -269,7 +270,7 @@
         );
     }
 
-    /// What is still to be read: prompts are read in the order in which they came, so the first may be half done.
+    /// Returns the remaining prefill. Prompts are processed in order of arrival, so the first may be half done.
     fn remaining_prefill(&self, now: Millis) -> Prefill {
         let unread = || self.leases.values().filter(|lease| lease.prefilled_at.is_none());
         let Some(first) = unread().min_by_key(|lease| lease.sent_at) else { return self.load.prefill };
@@ -300,7 +301,7 @@
         let Some(lease) = self.leases.remove(key) else { return };
         if lease.prefilled_at.is_none() {
             self.load.record_prefilled(lease.work);
-            // Parts that no other request waits for either are not there.
+            // Parts that no other request is waiting for either will not be cached.
             let others = |part: &Part| self.leases.values().any(|other| other.parts.contains(part));
             let unread: Vec<Part> = lease.parts.iter().filter(|part| !others(part)).copied().collect();
             self.cached.remove_unread(&unread);
@@ -317,12 +318,12 @@
         self.load.record_end(lease.work);
     }
 
-    /// What a whole answer shows of the server's speed.
+    /// Updates the speed estimate from a complete answer.
     fn update_estimator(&mut self, lease: &Lease, pause_ms: u32, now: Millis) {
         let Some(read) = lease.prefilled_at else { return };
         self.estimator.record_answer(lease.work.out, now.saturating_sub(read) as f64);
         let (beside, since) = lease.prefill_beside;
-        // An answer that ended before all was read says nothing of it.
+        // An answer that ended before this prefill was done shows nothing about it.
         if now.saturating_sub(since) as f64 > self.estimator.speed().prefill_ms(beside) {
             self.estimator.record_pause(beside, f64::from(pause_ms));
         }
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -18,94 +18,95 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Part of a server's memory that kept parts are expected to fill at most.
+/// Share of a server's memory that cached parts are expected to fill at most.
 const CACHE_RATIO: f64 = 0.8;
 
-/// How many of the servers that are to keep a prompt's shared parts are always asked for: the first, those that had them
-/// before it came or take over when it goes, and those that get them while these are full. What is read there is kept where
-/// the next box looks for it: worth is 0.771, with three it is 0.767 (mean of six runs of days with bursts of long prompts).
+/// How many home servers of a prompt's shared parts are always queried: the first, those that were homes before it
+/// came or take over when it goes, and those that get parts while these are full. What is read there is cached where
+/// the next box looks for it. Three gave worse results under bursts of long prompts.
 const MAX_HOMES_QUERIED: usize = 6;
 
-/// How many servers of the other side that rank before the first home are asked for.
+/// How many servers of the other side of the split that rank before the first home are queried.
 const MAX_OTHER_SIDE_QUERIED: usize = 2;
 
-/// How many servers' owners keep the register of a part.
+/// Number of servers whose owners keep the cache directory of a part.
 const CACHE_DIRECTORIES_PER_PART: usize = 2;
 
-/// How many owners are asked for a prompt with few shared tokens: any server will do, and each question is two frames.
+/// Number of owners queried for a prompt with few shared tokens: any server will do, and each query costs two frames.
 const MAX_QUERIES_SHORT_PROMPT: usize = 4;
 
-/// How much one server's speed counts at most in the mean of all, in observations.
+/// Cap on the observations by which one server's speed is weighted in the mean of all.
 const MAX_SPEED_SAMPLES: f32 = 20.0;
 
-/// How much dearer than the cheapest a server may look, in answers that come late, to be as good to ask. Below what the
-/// other side or another hall costs a long prompt.
+/// Servers whose cost exceeds the lowest by no more than this are equally good to query. Below the cost of the other
+/// side or of another hall for a long prompt.
 const COST_TOLERANCE: f64 = 0.05;
 
-/// What it costs to choose a server of which nothing is known lately: about what a busy engine costs more than one at rest.
+/// Additional cost of a server without a recent status: about the difference between a busy engine and an idle one.
 const UNKNOWN_STATUS_COST: f64 = 0.2;
 
-/// Pause between two looks at how the engines are to be divided.
+/// Interval between updates of the split of the engines.
 const SPLIT_INTERVAL: Millis = 200;
 
-/// How long what an owner said counts for how the engines are to be divided.
+/// How long a reported status counts for the demand behind the split.
 const DEMAND_TTL: Millis = 4_000;
 
-/// How many servers may keep a shared part, and how many others are weighed for a request. In a pool of more than both, what it costs to
-/// choose doesn't grow with the fleet.
+/// Number of servers that may cache a shared part, and of other servers considered for a request. In a pool of more
+/// than both together, the time for a choice doesn't grow with the fleet.
 const MAX_HOLDERS: usize = 256;
 const MAX_OTHERS: usize = 256;
 
-/// Servers for which leave may be denied for one request before only those are chosen from that need none: each ask takes the
-/// way to another box and back.
+/// Number of servers that may deny a permit to one request before only servers without quotas are considered: each
+/// permit request takes a round trip to another box.
 const MAX_DENIALS: usize = 3;
 
-/// All servers of a service that aren't draining, and their records.
+/// All servers of a service with their state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Pool {
     engine: Option<Engine>,
     /// By id. Draining servers stay while they are listed, since requests may still run there.
     members: BTreeMap<String, Member>,
-    /// Where they stand; they are told when that is next asked.
+    /// Order of the servers; positions are updated before they are next needed.
     order: Order,
-    /// Ids of those whose owners were heard. Each is a member.
+    /// Ids of members with a status from their owner.
     with_status: BTreeSet<String>,
     admission: Admission,
-    /// What orders servers that cost the same: boxes with others don't all choose the same one.
+    /// Orders servers with equal costs. Differs between boxes, so that they don't all choose the same one.
     seed: u64,
-    /// Which of them are preferred for long prompts.
+    /// Split of the engines between long prompts and others.
     split: Split,
-    /// What its servers bear while they are cold.
+    /// Cold-start settings of the service.
     cold: Option<ColdStart>,
-    /// Most requests that a server of it is to get while it is cold, and while another can have them at other times too: it may
-    /// have turned cold, and news of that are seconds old. None where its service says nothing of cold servers.
+    /// Quota of a cold server. While another server is available, it also applies to servers not known to be cold: a
+    /// server may have turned cold, and reports of that take seconds. `None` if the service has no cold-start
+    /// settings.
     cold_quota: Option<Quota>,
-    /// Shortest pause that answers of the service's routes bear, in milliseconds; 0 where they bear any.
+    /// Shortest gap limit of the service's routes in milliseconds; 0 if none has a limit.
     gap_limit_ms: f64,
 }
 
 impl Pool {
-    /// A pool without servers, of a box with this seed.
+    /// Creates an empty pool for a box with this seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self { seed, ..Self::default() }
     }
 
-    /// Takes what its servers are.
+    /// Sets the engine type of its servers.
     pub(crate) fn set_engine(&mut self, engine: Option<Engine>) {
         self.engine = engine;
     }
 
-    /// Takes the shortest pause that answers bear, in milliseconds; 0 where they bear any.
+    /// Sets the shortest gap limit in milliseconds; 0 for none.
     pub(crate) fn set_gap_limit(&mut self, gap_ms: f64) {
         self.gap_limit_ms = gap_ms;
     }
 
-    /// Tokens of parts that one server is expected to keep at most.
+    /// Returns the tokens of parts that one server is expected to cache at most.
     pub(crate) fn cache_capacity(&self) -> u64 {
         self.engine.as_ref().map_or(0.0, |e| e.memory_tokens as f64 * CACHE_RATIO) as u64
     }
 
-    /// Takes what its servers bear while they are cold.
+    /// Sets the cold-start settings of its servers.
     pub(crate) fn set_cold(&mut self, cold: Option<ColdStart>, allowance: &ColdAllowance) {
         if self.cold != cold {
             self.members.values_mut().for_each(|member| member.cold = cold);
@@ -114,7 +115,7 @@
         self.cold_quota = cold.map(|cold| allowance.quota(&cold));
     }
 
-    /// Takes a server's entry, of a life that may be new here.
+    /// Applies the entry of an instance, which may be new.
     pub(crate) fn upsert(&mut self, server: &Arc<Server>, now: Millis) -> &mut Member {
         let member = self.members.entry(server.id.clone()).or_insert_with(|| Member::new(server, now));
         self.order.replace(&member.server, server);
@@ -123,7 +124,7 @@
         member
     }
 
-    /// Drops the record of a life that is no longer listed.
+    /// Removes an instance that is no longer listed.
     pub(crate) fn remove(&mut self, id: &str) {
         if let Some(member) = self.members.remove(id) {
             self.order.remove(&member.server);
@@ -131,24 +132,24 @@
         }
     }
 
-    /// The entry of a life.
+    /// Returns the entry of an instance.
     pub(crate) fn server(&self, instance: &str) -> Option<&Arc<Server>> {
         self.members.get(instance).map(|member| &member.server)
     }
 
-    /// The records of all servers.
+    /// Iterates over all servers.
     pub(crate) fn members_mut(&mut self) -> impl Iterator<Item = &mut Member> {
         self.members.values_mut()
     }
 
-    /// Takes what a life said of itself, if it is one of this pool's.
+    /// Applies the notices of an instance, if it belongs to this pool.
     pub(crate) fn apply_notices(&mut self, instance: &str, notices: &Notices) {
         if let Some(member) = self.members.get_mut(instance) {
             member.apply_notices(notices);
         }
     }
 
-    /// Notes where servers stand in the pool's order since others came or went.
+    /// Updates the positions of servers that have moved in the pool's order.
     fn update_positions(&mut self) {
         let members = &mut self.members;
         self.order.report_moved(|id, position| {
@@ -158,24 +159,25 @@
         });
     }
 
-    /// Leave for a server that names a limit was denied for a request of this urgency, and is until then.
+    /// Records that a permit for a server with a limit was denied to a request of this urgency, and that none is
+    /// granted until then.
     pub(crate) fn record_denial(&mut self, id: &str, urgency: u8, until: Millis) {
         if let Some(member) = self.members.get_mut(id) {
             member.record_denial(urgency, until);
         }
     }
 
-    /// What is in force for a server; none where it isn't listed.
+    /// Returns the admission state of a server; `None` if it isn't listed.
     pub(crate) fn admission_state(&self, id: &str, now: Millis) -> Option<AdmissionState> {
         self.members.get(id).map(|member| member.admission_state(now))
     }
 
-    /// True where a server names a limit, so that each request needs leave.
+    /// True if a server names a limit, so that each request needs a permit.
     pub(crate) fn is_limited(&self, id: &str) -> bool {
         self.members.get(id).is_some_and(|member| member.limit.quota().is_some())
     }
 
-    /// Looks at what the pool's work takes, now and then, and divides the engines by it.
+    /// Updates the split from the demand of the pool's work, at most once per interval.
     fn update_split(&mut self, now: Millis) {
         if now < self.split.updated_at() + SPLIT_INTERVAL {
             return;
@@ -193,7 +195,8 @@
         self.split.update(demand, now);
     }
 
-    /// Servers whose owners are worth asking: those that are to keep the prompt's shared parts, then the cheapest.
+    /// Returns the servers whose owners should be queried: the likely holders of the prompt's shared parts, then the
+    /// cheapest others.
     pub(crate) fn servers_to_query(
         &mut self,
         request: &PlacementRequest<'_>,
@@ -218,7 +221,7 @@
             .collect()
     }
 
-    /// The servers that may keep a shared part: the same on every box.
+    /// Returns the servers that may cache a shared part: the same on every box.
     fn part_sample(&self, part: u64) -> Sample<'_> {
         if self.members.len() <= MAX_HOLDERS + MAX_OTHERS {
             return Sample::all(self.members.values());
@@ -230,7 +233,7 @@
         Sample { servers, from, span }
     }
 
-    /// The servers that are looked at for a request, where all have few.
+    /// Returns the servers considered for a request: all of a small pool, a sample of a large one.
     fn sample(&self, request: &PlacementRequest<'_>) -> Sample<'_> {
         let own = request.prompt.and_then(|prompt| prompt.parts.last()).map_or(self.seed, |part| part.id);
         let shared = request.prompt.and_then(Prompt::last_shared).unwrap_or(own);
@@ -278,7 +281,7 @@
         }
     }
 
-    /// The server that surely has read the most of the prompt's shared parts, as far as this box has heard.
+    /// Returns the server that is known to have read the most of the prompt's shared parts, as far as this box knows.
     fn source<'a>(&'a self, request: &PlacementRequest<'_>, sample: &Sample<'a>) -> Option<Source<'a>> {
         let shared = request.prompt?.shared();
         let read = |m: &Member| {
@@ -296,14 +299,15 @@
         (tokens > 0).then_some(Source { member: best, tokens })
     }
 
-    /// A server that read the prompt's last shared part, by the part's register.
+    /// Returns a server that read the prompt's last shared part, according to the part's cache directory.
     fn source_from_directory(&self, request: &PlacementRequest<'_>) -> Option<&Member> {
         let ids = request.statuses.iter().flat_map(|(_, status)| &status.cached_by);
         ids.filter_map(|id| self.members.get(id)).find(|member| may_serve_fetch(member, request))
     }
 
-    /// The servers whose owners keep the register of a part: the same for every box, however it divides the engines. Two,
-    /// so that it is there when one of them has gone or a new server ranks first.
+    /// Returns the servers whose owners keep the cache directory of a part. They are the same on every box, however
+    /// it splits the engines, and two, so that the directory survives if one of them goes or a new server ranks
+    /// first.
     fn cache_directories(&self, part: u64, now: Millis) -> Vec<&Member> {
         let mut open = self.part_sample(part).servers;
         open.retain(|member| !member.admission_state(now).is_closed());
@@ -315,7 +319,8 @@
         open
     }
 
-    /// The registers to be told of a choice: of one that reads or fetches shared parts away from there.
+    /// Returns the cache directories to notify of a choice: one that reads or fetches shared parts outside their
+    /// home.
     fn directories_to_notify(&self, best: &Candidate<'_>, request: &PlacementRequest<'_>) -> Vec<(Arc<Server>, u64)> {
         let Some(prompt) = request.prompt.filter(|prompt| prompt.shared_tokens() >= MIN_FETCH_TOKENS) else {
             return Vec::new();
@@ -329,7 +334,7 @@
         others.map(|directory| (Arc::clone(&directory.server), part.id)).collect()
     }
 
-    /// Takes what the owner of a server said.
+    /// Records the status of a server that its owner reported.
     pub(crate) fn on_status(&mut self, id: &str, status: ServerStatus, now: Millis) {
         if let Some(member) = self.members.get_mut(id) {
             member.status = Some((status, now));
@@ -337,7 +342,8 @@
         }
     }
 
-    /// The servers that are looked at for a request, and those of them that may have it: of all servers, where none of few may.
+    /// Returns the servers considered for a request and the eligible ones among them. If none of a sample is
+    /// eligible, all servers are considered.
     fn eligible(&self, request: &PlacementRequest<'_>) -> (Sample<'_>, Vec<&Member>) {
         let sample = self.sample(request);
         let open = self.eligible_of(&sample.servers, request);
@@ -349,7 +355,7 @@
         (all, open)
     }
 
-    /// Those of these servers that may have a request.
+    /// Returns those of these servers that are eligible for a request.
     fn eligible_of<'a>(&self, sample: &[&'a Member], request: &PlacementRequest<'_>) -> Vec<&'a Member> {
         let mut sound = Vec::with_capacity(sample.len());
         let (mut doubted, mut paused) = (Vec::new(), Vec::new());
@@ -370,13 +376,13 @@
         }
     }
 
-    /// True when a request may go to this server, whatever is in force for it.
+    /// True if a request may go to this server, whatever its admission state.
     fn may_receive(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
         let id = &member.server.id;
         request.allows_region(member.region.as_deref()) && !request.tried.contains(id) && !request.denied.contains(id)
     }
 
-    /// True when a server that gets requests with leave only gets no more, as far as is known without asking for it.
+    /// True if a server that requires permits is known to grant no more, or must not be asked again.
     fn is_full(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
         let Quotas { cold, limit } = member.quotas(self.cold_quota, request.now);
         let denied = limit.is_some()
@@ -384,7 +390,8 @@
         denied || (cold.is_some() && (request.denied.len() >= MAX_DENIALS || self.is_at_cold_quota(member, request)))
     }
 
-    /// True when so many were sent to the server within a second that it would fall over if it had just turned cold.
+    /// True if so many requests were sent to the server within a second that it would be overloaded if it had just
+    /// turned cold.
     fn is_at_cold_quota(&self, member: &Member, request: &PlacementRequest<'_>) -> bool {
         let full = |quota: Quota| {
             request.status(&member.server.id).is_some_and(|status| status.arrivals >= quota.max_requests)
@@ -392,7 +399,7 @@
         self.cold_quota.is_some_and(full)
     }
 
-    /// The server with the least cost. `hall` is this box's.
+    /// Chooses the server with the lowest cost. `hall` is this box's hall.
     pub(crate) fn choose(&mut self, request: &PlacementRequest<'_>, hall: &str) -> Result<Choice, Refusal> {
         self.admission.record(request.urgency, request.now);
         self.update_positions();
@@ -403,7 +410,7 @@
         }
         let model = self.cost_model(request, hall, &sample, &eligible);
         let candidates = self.candidates(request, &eligible, &model);
-        // What was sent before is not refused: it may have run.
+        // A request that was sent before is not refused: it may have run.
         let admitted =
             |c: &&Candidate<'_>| !request.tried.is_empty() || self.admission.admits(request, c.estimate.slot_wait_ms);
         let at_cold_quota = |c: &Candidate<'_>| self.is_at_cold_quota(c.member, request);
@@ -432,7 +439,7 @@
         routing::rank(self.seed, &member.server.id)
     }
 
-    /// Why there is no server to choose from.
+    /// Returns the reason why there are no eligible servers.
     fn refusal_without_candidates(&self, request: &PlacementRequest<'_>) -> Refusal {
         let in_region = self.members.values().filter(|member| request.allows_region(member.region.as_deref()));
         let open = || in_region.clone().filter(|member| !member.admission_state(request.now).is_blocked());
@@ -450,11 +457,11 @@
         first_back.map_or(Refusal::NoServer, |retry_ms| Refusal::BackingOff { retry_ms })
     }
 
-    /// The servers to compare, with their costs.
+    /// Returns the servers to compare, with their costs.
     ///
-    /// A server whose owner wasn't heard looks idle: where some were heard that can have the request, only those are
-    /// compared, and the first home. That is where the shared parts are: owners that were late for it had a fifth of what
-    /// is read again read elsewhere.
+    /// A server without a status from its owner looks idle. So if some eligible servers have one, only those are
+    /// compared, and the first home, which holds the shared parts: without it, a fifth of all repeated prefill was
+    /// due to owners of homes that answered late.
     fn candidates<'a>(
         &self,
         request: &PlacementRequest<'_>,
@@ -476,7 +483,7 @@
         candidates
     }
 
-    /// Notes what a choice changes: a try after a pause, and the parts that will be kept.
+    /// Records the effects of a choice: a half-open probe, and the parts that will be cached.
     fn record_choice(&mut self, choice: &Choice, request: &PlacementRequest<'_>) {
         let max = self.cache_capacity();
         let Some(member) = self.members.get_mut(&choice.server.id) else { return };
@@ -526,8 +533,8 @@
     }
 }
 
-/// The servers that likely keep the prompt's shared parts: its first homes, and those of the other side that are its homes
-/// where a box divides the servers a little otherwise, or did so before.
+/// Returns the servers that are likely to cache the prompt's shared parts: its first homes, and servers of the other
+/// side that are its homes on boxes with a slightly different split, or were so before.
 fn likely_holders<'a>(model: &CostModel<'a>) -> Vec<&'a Member> {
     let Some(first) = model.homes.first() else { return Vec::new() };
     let other_side =
@@ -535,31 +542,31 @@
     model.homes.iter().take(MAX_HOMES_QUERIED).chain(other_side).copied().collect()
 }
 
-/// True when parts of the prompt may be fetched from a server.
+/// True if parts of the prompt may be fetched from a server.
 fn may_serve_fetch(member: &Member, request: &PlacementRequest<'_>) -> bool {
     !member.is_paused(request.now)
         && member.back_off_until <= request.now
         && request.allows_region(member.region.as_deref())
 }
 
-/// Why none of the candidates is chosen.
+/// Returns the reason why none of the candidates is chosen.
 fn overload_refusal(candidates: &[Candidate<'_>]) -> Refusal {
     let waits = candidates.iter().map(|candidate| candidate.estimate.slot_wait_ms);
     waits.min_by(f64::total_cmp).map_or(Refusal::NoServer, |wait_ms| Refusal::Overloaded { wait_ms })
 }
 
-/// Sorts by cost, those that cost about the least in an order that differs from request to request: what this box knows of
-/// most servers is old, and those that it asks first would get all it sends.
+/// Sorts by cost. Candidates with about the lowest cost are ordered differently for each request: this box's
+/// knowledge of most servers is old, and the ones it queried first would get all its requests.
 fn sort_by_cost(candidates: &mut [Candidate<'_>], request: &PlacementRequest<'_>) {
     let min_cost = candidates.iter().map(Candidate::cost).fold(f64::INFINITY, f64::min);
     let draw = request.prompt.and_then(|prompt| prompt.parts.last()).map_or(0, |part| part.id);
     let excess = |candidate: &Candidate<'_>| (candidate.cost() - min_cost - COST_TOLERANCE).max(0.0);
     let rank = |candidate: &Candidate<'_>| routing::rank(draw, &candidate.member.server.id);
-    // The bits of numbers that aren't negative are in the order of the numbers.
+    // The bits of non-negative floats sort in the order of their values.
     candidates.sort_by_cached_key(|candidate| (excess(candidate).to_bits(), rank(candidate)));
 }
 
-/// Of servers that are all paused, the one whose pause ends first.
+/// Returns the one of these paused servers whose pause ends first.
 fn first_to_resume<'a>(paused: &[&'a Member]) -> Vec<&'a Member> {
     paused.iter().copied().min_by_key(|m| m.health.pause_until()).into_iter().collect()
 }
--- a/crates/placement/src/quarantine.rs
+++ b/crates/placement/src/quarantine.rs
@@ -1,120 +1,121 @@
-//! Which requests end the servers that run them.
+//! Quarantine of requests that crash the servers that run them.
 //!
-//! When a server ends, each request that was there is a suspect. One under which three servers ended is held: no box sends it
-//! on. A server that survives it proves it innocent. Boxes tell each other [`SuspectRecord`]s; whatever the order in which these come,
-//! all that heard the same hold the same.
+//! When a server terminates, each request that it was running becomes a suspect. A request under which three servers
+//! terminated is held: no box sends it on. A server that survives it clears it. Boxes exchange [`SuspectRecord`]s;
+//! whatever the order in which they arrive, boxes that received the same records hold the same requests.
 //!
-//! That a server has ended is what one box saw: its address refused connections, as it also does to a box that is cut off. Whatever
-//! box the server answers later disproves it, and tells the others.
+//! A termination is the observation of one box: the server's address refused connections, as it also does for a box
+//! that is cut off. Any box that the server answers later disproves it, and notifies the others.
 //!
-//! A request that ends its servers is met by one after the other. One that runs everywhere loses many at once with a hall, and
-//! is soon proved innocent by those that go on; where none does, it is tried early.
+//! A request that crashes its servers meets them one after the other. One that runs everywhere loses many at once
+//! with a hall, and is soon cleared by the servers that survive; if none does, it is tried early.
 
 use crate::{Fingerprint, Millis};
 use routing::rank_bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// How many servers must have ended under a request before it is held. With two, 42 of 50,600 requests that came once were held
-/// in 20 drawn days of lost halls and crashes, with three 1; the guilty one ended as many servers as it takes
-/// (`placement/tests/quarantine.rs`).
+/// Number of servers that must have terminated under a request before it is held. With two, 42 of 50,600 requests
+/// that came once were held in simulations of lost halls and crashes, with three only 1; a request that crashes
+/// servers terminates exactly as many (`placement/tests/quarantine.rs`).
 const TERMINATIONS_TO_HOLD: usize = 3;
 
-/// How long after a server's end was seen an answer of it disproves that, in milliseconds: what it sent before may be read late, by a
-/// box that had no processor for some tenths of a second.
+/// How long after an observed termination an answer of the server disproves it. Data sent before the termination may
+/// be read late, by a box that had no processor time for some tenths of a second.
 const DISPROOF_DELAY_MS: i64 = 1_000;
 
-/// When a held request is let through once, counted from when it was held. Early where servers ended while it ran at several: a
-/// lost hall may have ended them, and all that could have shown its innocence. On drawn days on which all servers end together
-/// once, 1,233 of 21,500 arrivals of a request that runs everywhere were refused, 3,713 with five seconds, 5,377 without it.
+/// Delay after which a held request is let through once, counted from when it was held. Short if servers terminated
+/// while it ran at several of them: a lost hall may have terminated them together with all servers that could have
+/// cleared the request. In simulations in which all servers terminate together once, 1,233 of 21,500 arrivals of a
+/// request that runs everywhere were refused, 3,713 with a delay of five seconds, and 5,377 without early trials.
 const EARLY_TRIAL_DELAY_MS: i64 = 1_000;
 
-/// The same where servers ended one after the other, each after it was sent there.
+/// The same delay if servers terminated one after the other, each after the request was sent there.
 const TRIAL_DELAY_MS: i64 = 120_000;
 
-/// The same for the second and last time; each may end one more server.
+/// The same delay for the second and last trial; each trial may terminate one more server.
 const LAST_TRIAL_DELAY_MS: i64 = 1_800_000;
 
-/// How long ends count. A day: by then servers have been mended or replaced.
+/// How long terminations count. After a day, servers have been repaired or replaced.
 const SUSPECT_TTL_MS: i64 = 86_400_000;
 
-/// Pause between two searches for what is no longer kept.
+/// Interval between removals of expired suspects.
 const EXPIRE_INTERVAL_MS: i64 = 10_000;
 
-/// Ends that are kept of one request: more than are needed to hold it, for those who look for the cause.
+/// Terminations kept per request: more than are needed to hold it, to help find the cause.
 const MAX_TERMINATIONS: usize = 6;
 
-/// Requests that are remembered, about 300 bytes each. A hall's loss makes some thousand suspects; those that are held are
-/// dropped last.
+/// Maximum number of suspects, at about 300 bytes each. The loss of a hall makes some thousand suspects; held
+/// requests are evicted last.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// The part of them that is dropped when there are more.
+/// Number of suspects evicted when there are too many.
 const EVICTION_BATCH: usize = MAX_SUSPECTS / 4;
 
-/// Shortest and longest time after which the caller of a held request is asked back: long, since it won't run, but one that was held by
-/// mistake may be let through within seconds.
+/// Shortest and longest retry delay for the caller of a held request. It is long, since the request won't run, but
+/// one that was held by mistake may be let through within seconds.
 const MIN_RETRY_MS: i64 = 5_000;
 const MAX_RETRY_MS: i64 = 3_600_000;
 
-/// A server's end.
+/// Termination of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Termination {
-    /// Id of the server's life.
+    /// Id of the server instance.
     pub server: String,
     /// How long ago the request was sent there, in milliseconds.
     pub sent: Millis,
-    /// How long ago its end was seen, in milliseconds.
+    /// How long ago the termination was observed, in milliseconds.
     pub ago: Millis,
 }
 
-/// What boxes tell each other of a request.
+/// Record of a suspect, as exchanged between boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
     /// The request.
     pub request: Fingerprint,
-    /// How often it was found innocent. Ends from before the last time don't count.
+    /// How often it was cleared. Terminations from before the last time don't count.
     pub survivals: u32,
-    /// Servers that ended under it since.
+    /// Servers that terminated under it since.
     pub ends: Vec<Termination>,
     /// How often it was let through although it was held.
     pub trials: u8,
-    /// How long ago the last of this happened, in milliseconds.
+    /// How long ago the last of these changes happened, in milliseconds.
     pub ago: Millis,
 }
 
-/// A server answers: what was seen of its end before wasn't one.
+/// Evidence that a server answers, which disproves an earlier observation of its termination.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LivenessEvidence {
-    /// Id of the server's life.
+    /// Id of the server instance.
     pub server: String,
     /// How long ago it answered, in milliseconds.
     pub ago: Millis,
 }
 
-/// Whether a request may be sent.
+/// Decision on whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Yes.
+    /// It may be sent.
     Free,
-    /// Yes, once, and by this box only: [`Quarantine::begin_trial`].
+    /// It may be sent once, and by this box only: [`Quarantine::begin_trial`].
     Trial,
-    /// No: it would end its server.
+    /// It must not be sent: it would crash its server.
     Held {
-        /// When its caller is asked back, in milliseconds.
+        /// Milliseconds after which its caller should retry.
         retry_ms: Millis,
     },
 }
 
-/// What news of a request change.
+/// Effect of an update on the quarantine of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// It is held from now on.
     Held(SuspectRecord),
     /// It was held, and no longer is.
     Lifted(SuspectRecord),
-    /// Something less; others may not know it.
+    /// Any smaller change, which other boxes may not know.
     Updated(SuspectRecord),
-    /// Nothing.
+    /// No change.
     Unchanged,
 }
 
@@ -127,7 +128,7 @@
         }
     }
 
-    /// What others may not know.
+    /// Returns the record that other boxes may not know.
     #[must_use]
     pub fn into_record(self) -> Option<SuspectRecord> {
         match self {
@@ -137,7 +138,7 @@
     }
 }
 
-/// A server's end by this box's clock.
+/// Termination of a server, by this box's clock.
 #[derive(Clone, Debug)]
 struct SeenTermination {
     server: String,
@@ -148,10 +149,10 @@
 #[derive(Clone, Debug)]
 struct Suspect {
     survivals: u32,
-    /// In the order in which they ended.
+    /// In the order of termination.
     ends: Vec<SeenTermination>,
     trials: u8,
-    /// When the last of this happened.
+    /// Time of the last change.
     changed: i64,
 }
 
@@ -161,33 +162,33 @@
     }
 }
 
-/// The requests under which servers ended, as far as this box knows.
+/// The requests under which servers terminated, as far as this box knows.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// When servers answered last, by id of their life.
+    /// When servers last answered, by instance id.
     last_answers: HashMap<String, i64>,
-    /// Ids of servers whose end some suspect names; may name more.
+    /// Ids of servers whose termination some suspect names; may contain others.
     terminated_servers: HashSet<String>,
-    /// Sum over what other boxes must know too.
+    /// Sum of the digests of all suspects that other boxes must know too.
     digest: u64,
     expire_at: i64,
 }
 
 impl Quarantine {
-    /// True while nothing is suspected.
+    /// True if there are no suspects.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// A server ended while this request was there.
+    /// Records that a server terminated while it ran this request.
     pub fn record_termination(&mut self, request: Fingerprint, end: Termination, now: Millis) -> Change {
         let survivals = self.suspects.get(&request).map_or(0, |suspect| suspect.survivals);
         self.on_record(&SuspectRecord { request, survivals, ends: vec![end], trials: 0, ago: 0 }, now)
     }
 
-    /// A server ran this request and lives, or an operator says that it is innocent.
+    /// Records that a server survived this request, or that an operator cleared it.
     pub fn record_survival(&mut self, request: Fingerprint, now: Millis) -> Change {
         let Some(suspect) = self.suspects.get(&request).filter(|suspect| !suspect.ends.is_empty()) else {
             return Change::Unchanged;
@@ -196,7 +197,7 @@
         self.on_record(&SuspectRecord { request, survivals, ends: Vec::new(), trials: 0, ago: 0 }, now)
     }
 
-    /// Takes what another box told.
+    /// Applies another box's record.
     pub fn on_record(&mut self, record: &SuspectRecord, now: Millis) -> Change {
         let now = now as i64;
         self.make_room(record.request);
@@ -218,8 +219,7 @@
         Change::of(held, suspect.is_held(), record)
     }
 
-    /// A server answers this box. What is disproved by that, and what others must know of it; nothing where no end of it was
-    /// seen.
+    /// Records that a server answered this box. Returns the changes where this disproves a termination.
     pub fn record_answer(&mut self, server: &str, now: Millis) -> Vec<Change> {
         match self.last_answers.get_mut(server) {
             Some(at) => *at = now as i64,
@@ -228,7 +228,7 @@
         self.disprove(server, now as i64)
     }
 
-    /// Another box says that a server answers it.
+    /// Applies another box's evidence that a server answers.
     pub fn on_liveness_evidence(&mut self, evidence: &LivenessEvidence, now: Millis) -> Vec<Change> {
         let at = now as i64 - evidence.ago as i64;
         let answered = self.last_answers.entry(evidence.server.clone()).or_insert(at);
@@ -236,7 +236,7 @@
         self.disprove(&evidence.server, now as i64)
     }
 
-    /// The signs that disprove what a record says, for who told it.
+    /// Returns the evidence that disproves a record, for the box that sent it.
     #[must_use]
     pub fn evidence_against(&self, record: &SuspectRecord, now: Millis) -> Vec<LivenessEvidence> {
         let now = now as i64;
@@ -248,12 +248,12 @@
         record.ends.iter().filter_map(evidence).collect()
     }
 
-    /// Forgets when servers answered that are no longer listed.
+    /// Forgets the last answers of servers that are no longer listed.
     pub fn retain_servers(&mut self, listed: impl Fn(&str) -> bool) {
         self.last_answers.retain(|server, _| listed(server));
     }
 
-    /// Strikes out ends of a server from before it answered.
+    /// Removes terminations of a server from before its last answer.
     fn disprove(&mut self, server: &str, now: i64) -> Vec<Change> {
         if !self.terminated_servers.contains(server) {
             return Vec::new();
@@ -277,7 +277,7 @@
         changes
     }
 
-    /// Whether this request may be sent. `first` is true for the one box that may try a held one.
+    /// Returns whether this request may be sent. `first` is true on the one box that may try a held request.
     #[must_use]
     pub fn verdict(&self, request: Fingerprint, first: bool, now: Millis) -> Verdict {
         let now = now as i64;
@@ -293,7 +293,7 @@
         Verdict::Held { retry_ms }
     }
 
-    /// A held request is being sent after all. What others must know.
+    /// Records that a held request is sent as a trial. Returns the change that other boxes must know.
     pub fn begin_trial(&mut self, request: Fingerprint, now: Millis) -> Change {
         let Some(suspect) = self.suspects.get(&request) else { return Change::Unchanged };
         let trials = suspect.trials + 1;
@@ -301,25 +301,25 @@
         self.on_record(&SuspectRecord { trials, ago: 0, ..record }, now)
     }
 
-    /// What this box knows of a request, if it is suspected.
+    /// Returns the record of a request, if it is a suspect.
     #[must_use]
     pub fn record(&self, request: Fingerprint, now: Millis) -> Option<SuspectRecord> {
         self.suspects.get(&request).map(|suspect| suspect.record(request, now as i64))
     }
 
-    /// What a box that has just come must know: what is held, and what was found innocent.
+    /// Returns the records that a new box needs: held and cleared requests.
     #[must_use]
     pub fn records(&self, now: Millis) -> Vec<SuspectRecord> {
         let known = self.suspects.iter().filter(|(_, suspect)| suspect.is_held() || suspect.survivals > 0);
         known.map(|(request, suspect)| suspect.record(*request, now as i64)).collect()
     }
 
-    /// The requests that are held.
+    /// Iterates over the held requests.
     pub fn held(&self) -> impl Iterator<Item = Fingerprint> + '_ {
         self.suspects.iter().filter(|(_, suspect)| suspect.is_held()).map(|(request, _)| *request)
     }
 
-    /// Equal on boxes that hold the same.
+    /// Returns a digest that is equal on boxes that hold the same requests.
     pub fn digest(&mut self, now: Millis) -> u64 {
         let now = now as i64;
         if now >= self.expire_at && !self.suspects.is_empty() {
@@ -329,7 +329,7 @@
         self.digest
     }
 
-    /// Drops those that matter least when there are too many: with few ends, and long ago.
+    /// Evicts the least significant suspects if there are too many: those with few terminations, long ago.
     fn make_room(&mut self, request: Fingerprint) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&request) {
             return;
@@ -351,7 +351,7 @@
 }
 
 impl Suspect {
-    /// Takes what was told. False when all of it was known, or is disproved.
+    /// Applies a record. False if all of it was known or is disproved.
     fn apply(&mut self, record: &SuspectRecord, now: i64, disproved: impl Fn(&SeenTermination) -> bool) -> bool {
         if record.survivals < self.survivals {
             return false;
@@ -377,7 +377,7 @@
         is_new
     }
 
-    /// Since when it is held; none where it isn't.
+    /// Returns since when it is held; `None` if it isn't.
     fn held_since(&self) -> Option<i64> {
         self.ends.get(TERMINATIONS_TO_HOLD - 1).map(|end| end.at)
     }
@@ -386,12 +386,13 @@
         self.ends.len() >= TERMINATIONS_TO_HOLD
     }
 
-    /// True when nothing is to be remembered of it.
+    /// True if there is nothing to remember.
     fn is_empty(&self) -> bool {
         self.ends.is_empty() && self.survivals == 0
     }
 
-    /// The places in `ends` of servers that ended one after the other: each was sent the request after the one before had ended.
+    /// Returns the indices in `ends` of servers that terminated one after the other: each was sent the request after
+    /// the one before had terminated.
     fn sequential(&self) -> Vec<usize> {
         let mut last = i64::MIN;
         let mut indices = Vec::new();
@@ -404,13 +405,14 @@
         indices
     }
 
-    /// The place of the end that says least: the last that did not come in turn, or else the last of all.
+    /// Returns the index of the least significant termination: the last one that is not sequential, or else the last
+    /// of all.
     fn least_significant(&self) -> usize {
         let in_turn = self.sequential();
         (0..self.ends.len()).rev().find(|index| !in_turn.contains(index)).unwrap_or(self.ends.len() - 1)
     }
 
-    /// When it may be tried, counted from when it was held; none where it was tried often enough.
+    /// Returns when it may be tried, counted from when it was held; `None` if it was tried often enough.
     fn trial_after(&self) -> Option<i64> {
         match self.trials {
             0 if self.sequential().len() < TERMINATIONS_TO_HOLD => Some(EARLY_TRIAL_DELAY_MS),
@@ -433,7 +435,7 @@
         }
     }
 
-    /// What it adds to the digest: nothing while it is a mere suspect.
+    /// Returns its contribution to the digest: 0 for a mere suspect.
     fn digest(&self, request: Fingerprint) -> u64 {
         let held = self.is_held();
         if !held && self.survivals == 0 {
