--- a/crates/routing/src/directory.rs
+++ b/crates/routing/src/directory.rs
@@ -53,10 +53,10 @@
         let mut changed = false;
         for change in changes {
             changed |= match change {
-                Change::Present(server) => self.put(server),
+                Change::Present(server) => self.update(server),
                 Change::Gone(name) => self.remove(&name),
                 Change::Foreign(name) => self.reject(name),
-                Change::Lapsed(name) => self.lapse(&name),
+                Change::Lapsed(name) => self.begin_grace(&name),
             };
         }
         self.position = self.position.max(position);
@@ -70,24 +70,25 @@
     /// box at that position is not.
     #[must_use]
     pub fn changes_to_forward(&self, changes: Vec<Change>) -> Vec<Change> {
-        // What is known here says nothing of a server once an earlier one of these changes has made it another.
-        let mut touched = HashSet::new();
-        let mut news = |change: &Change| {
-            if !touched.contains(change.name()) && self.only_warmer(change) {
+        // Once a change to a server has been selected, its entry here is no longer the base of its later
+        // changes.
+        let mut changed = HashSet::new();
+        let mut is_relevant = |change: &Change| {
+            if !changed.contains(change.name()) && self.only_shortens_cold_start(change) {
                 return false;
             }
-            touched.insert(change.name().to_owned());
+            changed.insert(change.name().to_owned());
             true
         };
-        changes.into_iter().filter(|change| news(change)).collect()
+        changes.into_iter().filter(|change| is_relevant(change)).collect()
     }
 
-    /// True when a change says only that a server is cold for less time than it was.
-    fn only_warmer(&self, change: &Change) -> bool {
+    /// Returns true if a change only shortens the remaining time of a server's cold start.
+    fn only_shortens_cold_start(&self, change: &Change) -> bool {
         let Change::Present(server) = change else { return false };
         let Some(old) = self.servers.get(&server.name) else { return false };
-        let warmer = 0 < server.cold_ms && server.cold_ms < old.cold_ms;
-        warmer
+        let shortened = 0 < server.cold_ms && server.cold_ms < old.cold_ms;
+        shortened
             && !self.in_grace.contains(&server.name)
             && Server { cold_ms: server.cold_ms, ..Server::clone(old) } == *server
     }
@@ -100,7 +101,7 @@
 
     /// Takes in what a sample says, as long as this is one as well. True when servers are different now.
     pub fn merge_sample(&mut self, sample: Self) -> bool {
-        debug_assert!(!self.position.is_known(), "a whole list isn't extended");
+        debug_assert!(!self.position.is_known(), "a sample must not be merged into a complete list");
         let servers = sample.servers.values().map(|server| Change::Present(Server::clone(server)));
         let foreign = sample.foreign.into_iter().map(Change::Foreign);
         self.apply(servers.chain(foreign).collect(), Position::NONE)
@@ -111,8 +112,8 @@
         for (name, server) in &former.servers {
             let listed = self.servers.contains_key(name) || self.foreign.contains(name);
             if !server.draining && !listed {
-                self.list(Arc::clone(server));
-                self.note_lapsed(name);
+                self.insert(Arc::clone(server));
+                self.insert_in_grace(name);
             }
         }
     }
@@ -122,12 +123,12 @@
     pub fn changes_since(&self, former: &Self) -> Vec<Change> {
         let old = |name: &String| former.servers.get(name);
         let present = self.servers.iter().filter(|(name, server)| old(name) != Some(server));
-        let put = present.map(|(_, server)| Change::Present(Server::clone(server)));
+        let updated = present.map(|(_, server)| Change::Present(Server::clone(server)));
         let lapsed = self.in_grace.difference(&former.in_grace).map(|name| Change::Lapsed(name.clone()));
         let foreign = self.foreign.difference(&former.foreign).map(|name| Change::Foreign(name.clone()));
         let listed = |name: &&String| !self.servers.contains_key(*name) && !self.foreign.contains(*name);
         let gone = former.servers.keys().chain(&former.foreign).filter(listed);
-        put.chain(lapsed).chain(foreign).chain(gone.map(|name| Change::Gone(name.clone()))).collect()
+        updated.chain(lapsed).chain(foreign).chain(gone.map(|name| Change::Gone(name.clone()))).collect()
     }
 
     /// The ids of lives that `former` hasn't, other than those that lapsed.
@@ -152,7 +153,7 @@
     }
 
     fn remove(&mut self, name: &str) -> bool {
-        self.forget_notes(name);
+        self.clear_marks(name);
         let removed = self.servers.remove(name);
         if let Some(server) = &removed {
             self.part_digests.remove(&Entry::Server(server));
@@ -167,35 +168,35 @@
         changed
     }
 
-    fn lapse(&mut self, name: &str) -> bool {
+    fn begin_grace(&mut self, name: &str) -> bool {
         match self.servers.get(name) {
             Some(server) if !server.draining => {
-                self.note_lapsed(name);
+                self.insert_in_grace(name);
                 false
             }
             _ => self.remove(name),
         }
     }
 
-    fn put(&mut self, server: Server) -> bool {
-        self.forget_notes(&server.name);
+    fn update(&mut self, server: Server) -> bool {
+        self.clear_marks(&server.name);
         if self.servers.get(&server.name).is_some_and(|old| **old == server) {
             return false;
         }
-        self.list(Arc::new(server));
+        self.insert(Arc::new(server));
         true
     }
 
-    /// Lists a server in place of what is listed under its name.
-    pub(crate) fn list(&mut self, server: Arc<Server>) {
+    /// Inserts a server, replacing the entry of the same name.
+    pub(crate) fn insert(&mut self, server: Arc<Server>) {
         self.part_digests.add(&Entry::Server(&server));
         if let Some(old) = self.servers.insert(server.name.clone(), server) {
             self.part_digests.remove(&Entry::Server(&old));
         }
     }
 
-    /// An entry is neither foreign nor lapsed any more.
-    fn forget_notes(&mut self, name: &str) {
+    /// Clears the mark of an entry as foreign or in its grace period.
+    fn clear_marks(&mut self, name: &str) {
         if self.foreign.remove(name) {
             self.part_digests.remove(&Entry::Foreign(name));
         }
@@ -204,7 +205,7 @@
         }
     }
 
-    pub(crate) fn note_lapsed(&mut self, name: &str) {
+    pub(crate) fn insert_in_grace(&mut self, name: &str) {
         if self.in_grace.insert(name.to_owned()) {
             self.part_digests.add(&Entry::Lapsed(name));
         }
--- a/crates/routing/src/evacuations.rs
+++ b/crates/routing/src/evacuations.rs
@@ -54,12 +54,12 @@
         }
         self.held.extend(newer.held);
         self.written.extend(newer.written);
-        self.settle();
+        self.prune_held();
         self.evacuated_halls() != before
     }
 
-    /// What the operator has written of, or is published, need not be held.
-    fn settle(&mut self) {
+    /// Removes held halls that the operator has written or that are published as evacuated.
+    fn prune_held(&mut self) {
         self.held.retain(|hall| !self.written.contains(hall) && !self.halls.contains(hall));
     }
 
@@ -71,15 +71,15 @@
         }
         let before = self.evacuated_halls();
         self.position = position;
-        for (hall, lasts) in changes {
+        for (hall, evacuated) in changes {
             self.written.insert(hall.clone());
-            if lasts {
+            if evacuated {
                 self.halls.insert(hall);
             } else {
                 self.halls.remove(&hall);
             }
         }
-        self.settle();
+        self.prune_held();
         self.evacuated_halls() != before
     }
 
--- a/crates/routing/src/excerpt.rs
+++ b/crates/routing/src/excerpt.rs
@@ -132,7 +132,7 @@
         list.apply(removed.chain(listed).chain(foreign).collect(), excerpt.position);
         for name in &excerpt.lapsed {
             if list.servers.get(name).is_some_and(|server| !server.draining) {
-                list.note_lapsed(name);
+                list.insert_in_grace(name);
             }
         }
         Some(list)
--- a/crates/routing/src/publisher.rs
+++ b/crates/routing/src/publisher.rs
@@ -62,8 +62,8 @@
         match self {
             Self::Unreachable(why) => write!(f, "unreachable: {why}"),
             Self::NoConfiguration => f.write_str("no configuration yet"),
-            Self::HistoryUnavailable => f.write_str("history forgotten"),
-            Self::Malformed(why) => write!(f, "garbled: {why}"),
+            Self::HistoryUnavailable => f.write_str("history no longer available; a full read is needed"),
+            Self::Malformed(why) => write!(f, "malformed response: {why}"),
         }
     }
 }
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -3,11 +3,11 @@
 use crate::{AllowedRegions, Customer, Kind};
 use std::time::Duration;
 
-/// Lowest urgency that an engine knows.
-const URGENCY_MOST: u8 = 9;
+/// The least urgent level that engines support.
+const MAX_URGENCY: u8 = 9;
 
-/// Urgencies of one route: what its customers' ranks are told apart by.
-const CUSTOMER_RANKS: u8 = 3;
+/// Urgency levels of one route, which separate its customers' priorities.
+const URGENCIES_PER_ROUTE: u8 = 3;
 
 /// A service's share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,8 +52,8 @@
     /// of a route of lower rank: engines put back the least urgent when their memory is full.
     #[must_use]
     pub fn urgency(&self, customer: Option<&Customer>) -> u8 {
-        let within = customer.and_then(|customer| customer.priority).unwrap_or(0).min(CUSTOMER_RANKS - 1);
-        self.priority.saturating_mul(CUSTOMER_RANKS).saturating_add(within).min(URGENCY_MOST)
+        let within = customer.and_then(|customer| customer.priority).unwrap_or(0).min(URGENCIES_PER_ROUTE - 1);
+        self.priority.saturating_mul(URGENCIES_PER_ROUTE).saturating_add(within).min(MAX_URGENCY)
     }
 
     /// The service for a draw in 0..1.
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -23,9 +23,9 @@
     pub limits: Limits,
     /// Services by name.
     pub services: HashMap<String, Arc<Service>>,
-    /// True when requests need a key unless their route is open.
-    keyed: bool,
-    /// Customers by key.
+    /// Requests need an API key, except on routes with `no_auth`.
+    auth_required: bool,
+    /// Customers by API key.
     customers: HashMap<String, Arc<Customer>>,
     /// Routes by host, the longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
@@ -55,7 +55,7 @@
     /// The same with these customers and their keys; from now on a key is asked for.
     #[must_use]
     pub fn with_customers(mut self, customers: Vec<(Customer, Vec<String>)>) -> Self {
-        self.keyed = true;
+        self.auth_required = true;
         for (customer, keys) in customers {
             let customer = Arc::new(customer);
             self.customers.extend(keys.into_iter().map(|key| (key, Arc::clone(&customer))));
@@ -98,7 +98,7 @@
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         let customer = key.and_then(|key| self.customers.get(key)).cloned();
-        if customer.is_none() && self.keyed && !route.no_auth {
+        if customer.is_none() && self.auth_required && !route.no_auth {
             return Access::Denied;
         }
         Access::Granted(customer)
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn services_get_their_shares() {
+fn requests_are_split_by_weight() {
     let mut split = route("r", "a.example", "/");
     let share = |service: &str, weight| Share { service: service.to_owned(), weight };
     split.shares = vec![share("most", 90), share("some", 10), share("none", 0)];
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_key_is_asked_for_only_where_there_are_customers_and_the_route_is_not_open() {
+fn a_key_is_required_only_if_there_are_customers_and_the_route_needs_authentication() {
     let closed = route("closed", "a.example", "/");
     let open = Route { no_auth: true, ..route("open", "a.example", "/o/") };
     let without = Table::new(1, vec![closed.clone()], Vec::new());
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn no_customer_makes_a_routes_requests_less_urgent_than_those_of_a_lower_rank() {
-    let of_rank = |priority| Route { priority, ..route("r", "a.example", "/") };
+fn requests_of_any_customer_are_more_urgent_than_those_of_a_route_of_lower_priority() {
+    let with_priority = |priority| Route { priority, ..route("r", "a.example", "/") };
     let customer = |priority| Customer { name: "c".to_owned(), priority, allowed_regions: None };
-    for rank in 0..=2 {
-        let urgencies = |rank| {
-            let route = of_rank(rank);
+    for priority in 0..=2 {
+        let urgencies = |priority| {
+            let route = with_priority(priority);
             (0..=20).map(move |priority| route.urgency(Some(&customer(Some(priority))))).collect::<Vec<u8>>()
         };
-        let (own, below) = (urgencies(rank), urgencies(rank + 1));
+        let (own, below) = (urgencies(priority), urgencies(priority + 1));
         assert!(own.iter().max() < below.iter().min(), "{own:?} {below:?}");
-        assert!(own[0] < own[1], "among equals the customer's rank decides");
-        assert_eq!(of_rank(rank).urgency(None), of_rank(rank).urgency(Some(&customer(None))));
+        assert!(own[0] < own[1], "on the same route, the customer's priority decides");
+        assert_eq!(with_priority(priority).urgency(None), with_priority(priority).urgency(Some(&customer(None))));
     }
-    assert_eq!(of_rank(u8::MAX).urgency(None), 9);
+    assert_eq!(with_priority(u8::MAX).urgency(None), 9);
 }
