--- a/crates/clock/src/clock.rs
+++ b/crates/clock/src/clock.rs
@@ -1,12 +1,13 @@
-//! The clock and its stand-in's border.
+//! The clock interface and its implementation by the kernel's boot clock.
 
-/// Gives the time. A trait so that tests can make it jump.
+/// A source of time. A trait, so that tests can substitute a clock that jumps.
 pub trait Clock: Send + Sync {
-    /// Milliseconds since some moment, counting while the machine or process is suspended. Never goes back.
+    /// Returns the milliseconds since an arbitrary moment, including time during which the machine or process
+    /// was suspended. Never decreases.
     fn now(&self) -> u64;
 }
 
-/// The kernel's boot clock, which goes on counting while the machine sleeps.
+/// The kernel's boot clock, which keeps counting while the machine is suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,8 @@
-//! Time that counts while the machine is suspended.
+//! Time that keeps counting while the machine is suspended.
 //!
-//! A [`Clock`] is for each span that somebody outside this process relies on: time that a server may take, leave for a send, how
-//! long a connection rests, when news was heard. The steady clock of the standard library stands still during a suspension, and
-//! is for waits within this process only.
+//! A [`Clock`] measures every duration that another process relies on: server timeouts, the validity of send
+//! permits, the idle time of connections, the age of updates. The monotonic clock of the standard library
+//! stops during a suspension and is only used for waits within this process.
 
 mod clock;
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
 //! How boxes know each other and share what the operators published, without any store.
 //!
-//! [`FailureDetector`] finds out who is alive at a cost per box that doesn't grow with the fleet. [`ReleaseSync`]
-//! carries releases from the few boxes that read the platform to all others and never goes back.
-//! Both are plain state machines: messages and time in, actions out. How requests are decided is
+//! [`FailureDetector`] finds out who is alive at a cost per box that doesn't grow with the fleet.
+//! [`ReleaseSync`] carries releases from the few boxes that read the platform to all others and never goes
+//! back. Both are plain state machines: messages and time in, actions out. How requests are decided is
 //! `policy`'s matter; how messages travel is `wire`'s.
 
 mod action;
--- a/crates/peers/examples/tick.rs
+++ b/crates/peers/examples/tick.rs
@@ -1,4 +1,5 @@
-//! What a box spends on looking at what is due, by the number of boxes: `cargo run --release -p peers --example tick`.
+//! What a box spends on looking at what is due, by the number of boxes: `cargo run --release -p peers
+//! --example tick`.
 
 use peers::{Heartbeat, KnownVersions, Message, Peers, Profile, Roster};
 use routing::{Evacuations, Position};
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -61,7 +61,8 @@
         /// Digest of the boxes that it knows.
         members: u32,
     },
-    /// Tells a box that has just come how new the sender's knowledge is, so that it need not read the publisher.
+    /// Tells a box that has just come how new the sender's knowledge is, so that it need not read the
+    /// publisher.
     Welcome {
         /// Version of the sender's configuration; 0 for none.
         table: u64,
--- a/crates/peers/src/missed_replies.rs
+++ b/crates/peers/src/missed_replies.rs
@@ -4,8 +4,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a box must have said nothing while it missed answers before it is taken for silent. Small boxes run on a share of a
-/// processor and pause for up to a tenth of a second; another box in its place would know nothing of what it knows.
+/// How long a box must have said nothing while it missed answers before it is taken for silent. Small boxes
+/// run on a share of a processor and pause for up to a tenth of a second; another box in its place would know
+/// nothing of what it knows.
 const AFTER: Millis = 250;
 
 /// How long a silent box isn't asked again.
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -13,7 +13,8 @@
 /// One heartbeat in this many goes to silent boxes too.
 const SILENT_BEATS: u64 = 8;
 
-/// How long after its start a box may take others' agreement for knowing all: by then boxes that start together have met.
+/// How long after its start a box may take others' agreement for knowing all: by then boxes that start
+/// together have met.
 const SETTLED_AFTER: Millis = 1_000;
 
 /// How new this box's knowledge is.
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Makes the next heartbeat due, and one that goes to the whole hall: also to those that have said nothing to this box,
-    /// and would take over too.
+    /// Makes the next heartbeat due, and one that goes to the whole hall: also to those that have said
+    /// nothing to this box, and would take over too.
     fn tell_all(&mut self) {
         self.beat_at = 0;
         self.beats = SILENT_BEATS - 1;
--- a/crates/peers/src/peers/broadcast.rs
+++ b/crates/peers/src/peers/broadcast.rs
@@ -18,8 +18,9 @@
 /// A box that hasn't said a word for this long gets heartbeats only now and then.
 const SILENT: Millis = 10_000;
 
-/// What a box must be able to do for each newcomer a second that it tells of its knowledge, since most then ask for it:
-/// thousandths of a core or tenths of Mbit/s. At 30 kB each it spends at most a quarter of its link on them.
+/// What a box must be able to do for each newcomer a second that it tells of its knowledge, since most then
+/// ask for it: thousandths of a core or tenths of Mbit/s. At 30 kB each it spends at most a quarter of its
+/// link on them.
 const CAPACITY_PER_WELCOME: u32 = 10;
 
 /// A second.
@@ -39,9 +40,10 @@
         self.hall_members().map(|to| Action::Send(to, message.clone())).collect()
     }
 
-    /// Where a word goes that is for all boxes and new to this one: heard `from` another box, or first said here. Few boxes tell all others
-    /// themselves. In a larger fleet the watchers of the hall tell it, and those of other halls, which tell theirs: what a box sends
-    /// doesn't grow with the fleet. Whoever is missed asks, since heartbeats tell that something is known elsewhere.
+    /// Where a word goes that is for all boxes and new to this one: heard `from` another box, or first said
+    /// here. Few boxes tell all others themselves. In a larger fleet the watchers of the hall tell it, and
+    /// those of other halls, which tell theirs: what a box sends doesn't grow with the fleet. Whoever is
+    /// missed asks, since heartbeats tell that something is known elsewhere.
     #[must_use]
     pub fn forward_targets(&self, from: Option<SocketAddr>, now: Millis) -> Vec<SocketAddr> {
         let others = || self.members.iter().filter(|(address, _)| Some(**address) != from);
--- a/crates/peers/src/peers/exchange.rs
+++ b/crates/peers/src/peers/exchange.rs
@@ -8,16 +8,16 @@
 /// Pause between two questions for the same thing.
 const WANT_EVERY: Millis = 300;
 
-/// The same for a first list of servers: some tens of kilobytes for each of a hundred boxes take a small link seconds, and
-/// whoever asks again meanwhile gets all of it twice.
+/// The same for a first list of servers: some tens of kilobytes for each of a hundred boxes take a small link
+/// seconds, and whoever asks again meanwhile gets all of it twice.
 const FIRST_LIST_EVERY: Millis = 2_500;
 
-/// The same for the boxes known: a list for each of some hundred boxes fills a small link while all start, and nothing waits
-/// for it.
+/// The same for the boxes known: a list for each of some hundred boxes fills a small link while all start,
+/// and nothing waits for it.
 const MEMBERS_EVERY: Millis = 1_500;
 
-/// The same for requests that end servers, and for servers that leave: each box is told of them as they are found, and asks only
-/// where that was lost.
+/// The same for requests that end servers, and for servers that leave: each box is told of them as they are
+/// found, and asks only where that was lost.
 const TOLD_EVERY: Millis = 1_000;
 
 impl Peers {
--- a/crates/peers/src/peers/watching.rs
+++ b/crates/peers/src/peers/watching.rs
@@ -24,13 +24,13 @@
 /// other: long enough for those before to read the publisher and to say so.
 const STAGGER: Millis = 180;
 
-/// How long a box that has just come listens for watchers before it begins to be one itself: boxes that start together know
-/// each other by then, and take turns. It has read the publisher once, and needs no news for some seconds more. A box that
-/// others begin with doesn't listen.
+/// How long a box that has just come listens for watchers before it begins to be one itself: boxes that start
+/// together know each other by then, and take turns. It has read the publisher once, and needs no news for
+/// some seconds more. A box that others begin with doesn't listen.
 const LISTEN: Millis = 600;
 
-/// How long a box counts as a watcher that has not read its first list yet. Without this all of a hall's boxes begin to watch while
-/// the first of them reads.
+/// How long a box counts as a watcher that has not read its first list yet. Without this all of a hall's
+/// boxes begin to watch while the first of them reads.
 const FIRST_LIST_MOST: Millis = 2_000;
 
 impl Peers {
@@ -83,7 +83,8 @@
         }
     }
 
-    /// True when another box of the hall is to watch before this one: it can do more, or else has a lower address.
+    /// True when another box of the hall is to watch before this one: it can do more, or else has a lower
+    /// address.
     pub(super) fn goes_before(&self, address: &SocketAddr, member: &Member) -> bool {
         let theirs = (Reverse(member.profile.capacity), *address);
         theirs < (Reverse(self.profile.capacity), self.me)
--- a/crates/peers/src/roster.rs
+++ b/crates/peers/src/roster.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Boxes by hall. A hall's name is told once: with 300 boxes a list takes 3 KB and not 8, and each box that starts gets one.
+/// Boxes by hall. A hall's name is told once: with 300 boxes a list takes 3 KB and not 8, and each box that
+/// starts gets one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster(BTreeMap<String, Vec<(SocketAddr, u32)>>);
 
--- a/crates/peers/tests/heartbeat.rs
+++ b/crates/peers/tests/heartbeat.rs
@@ -194,8 +194,9 @@
     assert_eq!(taken, [Action::Changes(vec![1], Position::new(1, 31))]);
 }
 
-/// How many boxes are of a box's hall was counted anew for each of them at each look, ten times a second: 1 ms of a core with 585 boxes, and 4 ms
-/// with 1,170. It is kept now, and must go by what boxes say of their halls last.
+/// How many boxes are of a box's hall was counted anew for each of them at each look, ten times a second: 1
+/// ms of a core with 585 boxes, and 4 ms with 1,170. It is kept now, and must go by what boxes say of their
+/// halls last.
 #[test]
 fn heartbeats_are_rarer_by_the_boxes_that_are_of_the_hall_now() {
     let pause = |peers: &mut Peers, from: u64| -> u64 {
--- a/crates/peers/tests/world.rs
+++ b/crates/peers/tests/world.rs
@@ -43,7 +43,8 @@
     bytes: usize,
 }
 
-/// What a box may send on average within [`CONTACT`] after a drill, in bytes: 4 kB a second, as for all its control.
+/// What a box may send on average within [`CONTACT`] after a drill, in bytes: 4 kB a second, as for all its
+/// control.
 const BYTES_MOST: usize = 12_000;
 
 /// How long what is known may take to reach a box that nothing disturbs, in milliseconds.
@@ -415,8 +416,9 @@
     assert!(took_over.len() <= 12, "{} boxes took over from {}", took_over.len(), watchers.len());
 }
 
-/// What a server says that all boxes must know was told to all of them by each box that heard it from the server: 584 links and frames of
-/// a small box for each of some hundred servers that leave together. Returns what a box sent at most, and all of them.
+/// What a server says that all boxes must know was told to all of them by each box that heard it from the
+/// server: 584 links and frames of a small box for each of some hundred servers that leave together. Returns
+/// what a box sent at most, and all of them.
 fn tell_all(world: &World, knows: SocketAddr) -> (usize, usize) {
     let mut told = HashSet::from([knows]);
     let mut sent = BTreeMap::new();
@@ -455,8 +457,9 @@
     assert_eq!(tell_all(&small, address(1, 2)), (17, 17));
 }
 
-/// Each watcher of a hall called the publisher as often as if it were alone: two thirds of what a small hall spent while nothing
-/// happened. The second one may wait longer, as long as it notices when the first is gone.
+/// Each watcher of a hall called the publisher as often as if it were alone: two thirds of what a small hall
+/// spent while nothing happened. The second one may wait longer, as long as it notices when the first is
+/// gone.
 #[test]
 fn a_hall_relies_on_one_watcher_first_and_on_the_other_once_that_one_is_not_heard() {
     let mut world = World::new(6, 3, 6);
--- a/crates/routing/src/customer.rs
+++ b/crates/routing/src/customer.rs
@@ -1,14 +1,14 @@
-//! Who sends requests.
+//! Customers, on whose behalf requests are sent.
 
 use crate::AllowedRegions;
 
-/// A customer, found by one of its keys.
+/// A customer, identified by any of its API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// Name, as servers are told it.
+    /// Name, as passed on to servers.
     pub name: String,
-    /// Rank of its requests, 0 first; none when only the route's counts.
+    /// Priority of its requests, 0 being the highest; `None` if only the route's priority counts.
     pub priority: Option<u8>,
-    /// Regions in which its requests may run; none where any will do. A route's own bind as well.
+    /// Regions in which its requests may run; `None` for any region. The route's own regions apply as well.
     pub allowed_regions: Option<AllowedRegions>,
 }
--- a/crates/routing/src/directory.rs
+++ b/crates/routing/src/directory.rs
@@ -1,4 +1,4 @@
-//! The servers that may be used.
+//! The list of servers that may be used.
 
 use crate::excerpt::{Entry, PartDigests};
 use crate::{Position, Server};
@@ -7,22 +7,23 @@
 use std::collections::{BTreeSet, HashSet};
 use std::sync::Arc;
 
-/// One difference between a directory at two positions of its publisher.
+/// A change to one entry of the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// The server is there, as given.
+    /// The server is listed with these properties.
     Present(Server),
-    /// The server with this name has left.
+    /// The server with this name was removed.
     Gone(String),
-    /// The entry with this name is none of a server's that may be used, whatever it was before.
+    /// The entry with this name no longer describes a usable server, if it ever did.
     Foreign(String),
-    /// The entry of the server with this name went while the publisher was away: it may have lapsed only because the server
-    /// could not renew it, and then comes back soon.
+    /// The entry of the server with this name disappeared while the publisher was unavailable. It may have
+    /// expired only because the server could not renew it, and then returns soon; until then the server is in
+    /// its grace period.
     Lapsed(String),
 }
 
 impl Change {
-    /// Name of the server that it is about.
+    /// Returns the name of the server that has changed.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -32,23 +33,26 @@
     }
 }
 
-/// All servers, at one position of the publisher. A copy is cheap, and so is a change of a copy: copies share what is alike.
+/// All servers at one position of the publisher. Cloning, and changing a clone, is cheap since clones share
+/// unchanged parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// Where the publisher said so; none while this is a sample, which lacks servers. Never falls within a life of the process.
+    /// Position of the publisher at which this was read; [`Position::NONE`] for a sample, which is
+    /// incomplete. Never decreases while the process runs.
     pub position: Position,
-    /// Servers by name: one life of each.
+    /// Servers by name, one instance of each.
     pub servers: OrdMap<String, Arc<Server>>,
-    /// Names of entries that say of no server that it may be used. None of them is in `servers`.
+    /// Names of entries that don't describe a usable server. None of them is in `servers`.
     pub foreign: BTreeSet<String>,
-    /// Names of those whose entries lapsed while the publisher was away. Each is in `servers`, and not draining.
+    /// Names of the servers in their grace period, whose entries expired while the publisher was unavailable.
+    /// Each is in `servers` and not draining.
     pub in_grace: BTreeSet<String>,
-    /// PartDigests over all entries above, kept with each change.
+    /// Digests of all entries above, updated with each change.
     pub part_digests: PartDigests,
 }
 
 impl Directory {
-    /// Takes in changes up to `position`. True when a server is different now.
+    /// Applies changes up to `position`. Returns true if any server has changed.
     pub fn apply(&mut self, changes: Vec<Change>, position: Position) -> bool {
         let mut changed = false;
         for change in changes {
@@ -63,11 +67,12 @@
         changed
     }
 
-    /// Those of these changes that others are to hear of: a server that is cold for less time than it was is just as cold, and
-    /// each such entry is written anew with every heartbeat of its server.
+    /// Selects the changes that are to be forwarded to other boxes. A change that only shortens the remaining
+    /// time of a cold start is omitted, because such an entry is rewritten with every heartbeat of its
+    /// server.
     ///
-    /// All else is told, also what is known here: a list that was read in pages may be ahead of its position, and another
-    /// box at that position is not.
+    /// All other changes are forwarded, including those that have no effect here: a list that was read in
+    /// pages may be ahead of its position, and another box's list at that position may not be.
     #[must_use]
     pub fn changes_to_forward(&self, changes: Vec<Change>) -> Vec<Change> {
         // Once a change to a server has been selected, its entry here is no longer the base of its later
@@ -93,13 +98,14 @@
             && Server { cold_ms: server.cold_ms, ..Server::clone(old) } == *server
     }
 
-    /// True while requests can be sent by it: the whole list is known, also an empty one, or some of its servers are.
+    /// Returns true if requests can be routed with this list: it is complete (and possibly empty), or has
+    /// some servers.
     #[must_use]
     pub fn is_usable(&self) -> bool {
         self.position.is_known() || !self.servers.is_empty()
     }
 
-    /// Takes in what a sample says, as long as this is one as well. True when servers are different now.
+    /// Merges another sample into this one. Returns true if any server has changed.
     pub fn merge_sample(&mut self, sample: Self) -> bool {
         debug_assert!(!self.position.is_known(), "a sample must not be merged into a complete list");
         let servers = sample.servers.values().map(|server| Change::Present(Server::clone(server)));
@@ -107,7 +113,8 @@
         self.apply(servers.chain(foreign).collect(), Position::NONE)
     }
 
-    /// Keeps what `former` has and this, read after the publisher was away, lacks.
+    /// Retains servers of `former` that are missing from this list, which was read after the publisher was
+    /// unavailable, for their grace period.
     pub fn retain_missing(&mut self, former: &Self) {
         for (name, server) in &former.servers {
             let listed = self.servers.contains_key(name) || self.foreign.contains(name);
@@ -118,7 +125,7 @@
         }
     }
 
-    /// The changes that make this list of `former`.
+    /// Returns the changes that turn `former` into this list.
     #[must_use]
     pub fn changes_since(&self, former: &Self) -> Vec<Change> {
         let old = |name: &String| former.servers.get(name);
@@ -131,7 +138,7 @@
         updated.chain(lapsed).chain(foreign).chain(gone.map(|name| Change::Gone(name.clone()))).collect()
     }
 
-    /// The ids of lives that `former` hasn't, other than those that lapsed.
+    /// Returns the IDs of instances that are not in `former`, except those in their grace period.
     #[must_use]
     pub fn new_instances(&self, former: &Self) -> Vec<String> {
         let known = former.instances();
@@ -141,13 +148,13 @@
         self.servers.iter().filter(new).map(|(_, server)| server.id.clone()).collect()
     }
 
-    /// The ids of all lives that are listed.
+    /// Returns the IDs of all listed instances.
     #[must_use]
     pub fn instances(&self) -> HashSet<&str> {
         self.servers.values().map(|server| server.id.as_str()).collect()
     }
 
-    /// Takes a lapsed server for gone. False when it isn't lapsed.
+    /// Removes a server at the end of its grace period. Returns false if it isn't in one.
     pub fn expire(&mut self, name: &str) -> bool {
         self.in_grace.contains(name) && self.remove(name)
     }
--- a/crates/routing/src/evacuations.rs
+++ b/crates/routing/src/evacuations.rs
@@ -1,44 +1,47 @@
-//! Data halls whose servers are to get nothing.
+//! Evacuated data halls, whose servers get no requests.
 
 use crate::Position;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The halls that are evacuated, as of one position of the publisher.
+/// The evacuated halls as of one position of the publisher.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    /// Where these were the evacuated halls; none while nothing is known.
+    /// Position at which these halls were evacuated; [`Position::NONE`] while nothing is known.
     pub position: Position,
-    /// Names of the halls, as published.
+    /// Names of the evacuated halls, as published.
     pub halls: BTreeSet<String>,
-    /// Halls that were evacuated before the publisher came back from an older copy, which doesn't say so. That holds until the
-    /// operator has written again, and is given up after a while.
+    /// Halls that were evacuated before the publisher was restored from an older backup that doesn't list
+    /// them. They remain evacuated until the operator writes again, or for a limited time.
     pub held: BTreeSet<String>,
-    /// Halls of which the operator has written in this era: what it wrote counts, and nothing is held of them.
+    /// Halls whose state the operator has written in this era. The written state applies, and they are never
+    /// in `held`.
     pub written: BTreeSet<String>,
 }
 
 impl Evacuations {
-    /// These halls and no others, as published.
+    /// Creates the set of evacuated halls as published.
     #[must_use]
     pub fn new(position: Position, halls: BTreeSet<String>) -> Self {
         Self { position, halls, ..Self::default() }
     }
 
-    /// True while a hall is evacuated: as published, or as it was known. The publisher's word alone can't tell an evacuation that was
-    /// ended after its copy from one that was ordered while it was away, so that either counts.
+    /// Returns true if a hall is evacuated, either as published or as known from before a restore. After a
+    /// restore, the published state alone doesn't distinguish an evacuation that ended after the backup from
+    /// one that was ordered while the publisher was unavailable, so both count.
     #[must_use]
     pub fn is_evacuated(&self, hall: &str) -> bool {
         self.halls.contains(hall) || self.held.contains(hall)
     }
 
-    /// All evacuated halls.
+    /// Returns all evacuated halls.
     #[must_use]
     pub fn evacuated_halls(&self) -> BTreeSet<String> {
         self.halls.union(&self.held).cloned().collect()
     }
 
-    /// Takes what is known of a later position, or held besides at the same. True when other halls are evacuated now.
+    /// Merges a state at a later position, or further held halls at the same position. Returns true if the
+    /// set of evacuated halls has changed.
     pub fn merge(&mut self, newer: Self) -> bool {
         if newer.position < self.position {
             return false;
@@ -63,8 +66,8 @@
         self.held.retain(|hall| !self.written.contains(hall) && !self.halls.contains(hall));
     }
 
-    /// Takes which evacuations began (true) or ended up to a later position of the same era. True when other halls are
-    /// evacuated now.
+    /// Applies evacuations that began (true) or ended (false) up to a later position of the same era. Returns
+    /// true if the set of evacuated halls has changed.
     pub fn apply(&mut self, changes: Vec<(String, bool)>, position: Position) -> bool {
         if position <= self.position {
             return false;
@@ -83,7 +86,7 @@
         self.evacuated_halls() != before
     }
 
-    /// Gives up what was held. True when other halls are evacuated now.
+    /// Drops the held halls. Returns true if the set of evacuated halls has changed.
     pub fn drop_held(&mut self) -> bool {
         let before = self.evacuated_halls();
         self.held.clear();
--- a/crates/routing/src/excerpt.rs
+++ b/crates/routing/src/excerpt.rs
@@ -1,33 +1,34 @@
-//! What one list of servers has that another lacks, told in as many bytes as differ.
+//! Differences between two lists of servers, transferred in proportion to their size.
 //!
-//! A whole list is some hundred bytes a server: with thousands of servers it fills a small box's link for seconds if a
-//! hall asks for it. Both lists are cut into parts by a hash of the servers' names; the one that asks tells a digest of
-//! each part, and gets just the parts that differ.
+//! A complete list takes some hundred bytes for each server. With thousands of servers, it would fill a small
+//! box's link for seconds if a whole hall requested it. Both lists are therefore partitioned by a hash of the
+//! servers' names; the requesting box sends a digest of each part and receives only the parts that differ.
 
 use crate::{rank, Change, Directory, Position, Server};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Parts of a list. With some thousand servers a part holds some tens: 256 bytes of digests save what is alike.
+/// Number of parts of a list. With some thousand servers, a part has some tens of them, and 256 bytes of
+/// digests are enough to skip the equal parts.
 const PARTS: usize = 64;
 
-/// What a list says, in brief: equal for equal lists, and unequal in the parts that differ.
+/// Digests of the parts of a list: equal for equal parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digests {
     /// Position of the list.
     pub position: Position,
-    /// One for each part.
+    /// Digests by part.
     parts: Vec<u32>,
 }
 
-/// Parts of a list as they are at one position of the publisher, for a list that is otherwise the same.
+/// Parts of a list at one position of the publisher, for a list whose other parts are equal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Excerpt {
-    /// Position of the list that asked: only while it is that, the excerpt makes it whole.
+    /// Position of the requesting list. The excerpt only applies while the list is at this position.
     pub base: Position,
-    /// Position of the list that this is taken from; above `base`.
+    /// Position of the list that the excerpt was taken from; higher than `base`.
     pub position: Position,
-    /// Which parts these are.
+    /// Indices of the parts.
     parts: BTreeSet<u8>,
     servers: Vec<Server>,
     foreign: Vec<String>,
@@ -38,7 +39,7 @@
     (rank(0, name) % PARTS as u64) as u8
 }
 
-/// One entry of a list.
+/// An entry of a list.
 pub(crate) enum Entry<'a> {
     Server(&'a Server),
     Foreign(&'a str),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// A number for the entry as it is; another for each kind of entry.
+    /// Returns a digest of the entry, which also depends on its kind.
     fn digest(&self) -> u32 {
         let text = match self {
             Self::Server(s) => {
@@ -68,7 +69,7 @@
     }
 }
 
-/// For each part of a list the sum of its entries' digests.
+/// The sum of the entries' digests, for each part of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartDigests([u32; PARTS]);
 
@@ -91,13 +92,14 @@
 }
 
 impl Directory {
-    /// What it says, in brief.
+    /// Returns the digests of the list's parts.
     #[must_use]
     pub fn digests(&self) -> Digests {
         Digests { position: self.position, parts: self.part_digests.0.to_vec() }
     }
 
-    /// What the list with these digests lacks of this one; none where that isn't older.
+    /// Returns the parts of this list that differ from the list with these digests, or `None` if that list
+    /// isn't older.
     #[must_use]
     pub fn excerpt(&self, theirs: &Digests) -> Option<Excerpt> {
         if theirs.position >= self.position {
@@ -117,7 +119,8 @@
         })
     }
 
-    /// This list with an excerpt put in; none where it was made for another position of it.
+    /// Returns this list with the parts of an excerpt replaced, or `None` if the excerpt was made for another
+    /// position.
     #[must_use]
     pub fn with_excerpt(&self, excerpt: Excerpt) -> Option<Self> {
         if excerpt.base != self.position {
--- a/crates/routing/src/kind.rs
+++ b/crates/routing/src/kind.rs
@@ -1,27 +1,27 @@
-//! What may be done with a route's requests.
+//! Retry semantics of a route's requests.
 
-/// How a request may be treated.
+/// Retry semantics of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Runs at most once for each attempt of the caller.
+    /// The request runs at most once for each attempt of the caller.
     NonIdempotent,
-    /// Answered as a series of events; runs at most once unless the stream may be resumed.
+    /// The response is a stream of events. The request runs at most once unless the stream is resumable.
     Stream {
-        /// True when another server may go on after the last event.
+        /// Another server may continue the stream after the last event.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// True when a request may be sent again after a send whose result nobody knows.
+    /// Returns true if a request may be retried after a send with an unknown outcome.
     #[must_use]
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// True when the answer is a series of events.
+    /// Returns true if the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Routes, services, customers and servers, each set taken whole as one versioned value.
+//! Routes, services, customers and servers, each set replaced as a whole under one version.
 //!
-//! A [`Table`] answers which route a request belongs to and whose key it carries; a [`Directory`]
-//! lists the servers that may be used. Both are plain values without clocks or networks. Where they
-//! come from is behind [`Publisher`]; how a server is chosen is decided in `placement`.
+//! A [`Table`] maps a request to its route and its API key to a customer; a [`Directory`] lists the
+//! servers that may be used. Both are plain values without clock or network access. They are read
+//! through a [`Publisher`]; server selection is implemented in `placement`.
 
 mod customer;
 mod directory;
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,17 +1,17 @@
-//! What callers may send, and how long they may take.
+//! Limits on the size and duration of callers' requests.
 
 use std::time::Duration;
 
-/// Bounds on callers' connections and requests. From the published configuration.
+/// Limits on callers' connections and requests, from the published configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Largest request head, in bytes.
     pub max_head_bytes: usize,
-    /// Largest body of a request in bytes.
+    /// Largest request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a request's head.
+    /// Time within which a request's head must arrive.
     pub head_timeout: Duration,
-    /// How long an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
--- a/crates/routing/src/publisher.rs
+++ b/crates/routing/src/publisher.rs
@@ -1,59 +1,60 @@
-//! The border towards whatever publishes the configuration and the servers.
+//! Interface to the service that publishes the configuration and the list of servers.
 
 use crate::{Change, Directory, Evacuations, Position, Table};
 use async_trait::async_trait;
 use std::time::Duration;
 
-/// What is read and watched.
+/// A set of published values that is read and watched together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Subject {
-    /// What operators order: the configuration, and which halls are evacuated.
+    /// Values set by operators: the configuration and the evacuated halls.
     Orders,
-    /// The servers.
+    /// The list of servers.
     Directory,
 }
 
-/// How new what is read must be.
+/// Required freshness of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// As new as the publisher has it.
+    /// The latest value that the publisher has.
     Newest,
-    /// May be seconds old, and costs the publisher little.
+    /// A value that may be seconds old, and is cheap for the publisher to serve.
     Stale,
 }
 
-/// What operators have ordered.
+/// The values set by operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Orders {
-    /// The configuration as published; none while there is none.
+    /// The configuration as published, if there is one.
     pub table: Option<Vec<u8>>,
-    /// The evacuated halls, and where all this was the newest.
+    /// The evacuated halls, with the position at which all of these values were the latest.
     pub evacuations: Evacuations,
 }
 
-/// What a watch brought.
+/// The result of a watch.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
-    /// Up to where everything is told; the next watch goes on from here.
+    /// Position up to which all changes are included; the next watch continues from here.
     pub position: Position,
-    /// The newest configuration as published, if it changed.
+    /// The latest configuration as published, if it has changed.
     pub table: Option<Vec<u8>>,
-    /// Halls that are evacuated from now on (true) or no more, in order.
+    /// Halls whose evacuation began (true) or ended (false), in order.
     pub evacuations: Vec<(String, bool)>,
-    /// What became of servers, in order.
+    /// Changes to the list of servers, in order.
     pub changes: Vec<Change>,
 }
 
-/// Why the publisher gave nothing usable.
+/// The reason why the publisher returned no usable result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublisherError {
-    /// It did not answer in time, or turned the call away.
+    /// The publisher did not answer in time, or rejected the call.
     Unreachable(String),
-    /// It answers, and has no configuration yet.
+    /// The publisher answers but has no configuration yet.
     NoConfiguration,
-    /// It doesn't have the history since the position asked for, or came back from a copy meanwhile; a full read is needed.
+    /// The publisher no longer has the history since the requested position, or was restored from a backup in
+    /// the meantime; a full read is needed.
     HistoryUnavailable,
-    /// It answered something that makes no sense.
+    /// The publisher's response could not be decoded.
     Malformed(String),
 }
 
@@ -70,36 +71,38 @@
 
 impl std::error::Error for PublisherError {}
 
-/// Publishes the configuration and the servers; can only be read.
+/// Read-only access to the published configuration and list of servers.
 #[async_trait(?Send)]
 pub trait Publisher {
-    /// What operators have ordered.
+    /// Returns the values set by operators.
     ///
     /// # Errors
-    /// [`PublisherError`] when nothing usable came.
+    /// Returns a [`PublisherError`] if there is no usable response.
     async fn orders(&self, freshness: Freshness) -> Result<Orders, PublisherError>;
 
-    /// All servers.
+    /// Returns all servers.
     ///
     /// # Errors
-    /// [`PublisherError`] when nothing usable came.
+    /// Returns a [`PublisherError`] if there is no usable response.
     async fn directory(&self, freshness: Freshness) -> Result<Directory, PublisherError>;
 
-    /// Some of the servers, by few calls: others for each `draw`, and at no position. Where there are few, all of them at theirs.
+    /// Returns a sample of the servers with few calls: a different one for each `draw`, without a position.
+    /// If there are few servers, returns all of them at their position.
     ///
     /// # Errors
-    /// [`PublisherError`] when nothing usable came.
+    /// Returns a [`PublisherError`] if there is no usable response.
     async fn sample(&self, freshness: Freshness, draw: u64) -> Result<Directory, PublisherError>;
 
-    /// Waits up to `wait` for news of `subject` after `since`.
+    /// Waits up to `wait` for changes to `subject` after `since`.
     ///
     /// # Errors
-    /// [`PublisherError`] when nothing usable came; [`PublisherError::HistoryUnavailable`] asks for a full read.
+    /// Returns a [`PublisherError`] if there is no usable response; [`PublisherError::HistoryUnavailable`]
+    /// requires a full read.
     async fn watch(&self, subject: Subject, since: Position, wait: Duration) -> Result<Update, PublisherError>;
 
-    /// Reads a configuration as published.
+    /// Decodes a configuration as published.
     ///
     /// # Errors
-    /// The field at fault and the reason.
+    /// Returns the invalid field and the reason.
     fn decode(&self, bytes: &[u8]) -> Result<Table, String>;
 }
--- a/crates/routing/src/rank.rs
+++ b/crates/routing/src/rank.rs
@@ -1,21 +1,21 @@
-//! A number for a name that is the same on every box, whatever release it was built by.
+//! Ranks for rendezvous hashing. They are equal on all boxes and must not change between releases.
 
 use std::net::{IpAddr, SocketAddr};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The rank of `name` for `key`: spread evenly, and another for each key.
+/// Returns the rank of `name` for `key`. Ranks are evenly distributed and independent for each key.
 #[must_use]
 pub fn rank(key: u64, name: &str) -> u64 {
     rank_bytes(key, name.as_bytes())
 }
 
-/// The rank of some bytes for `key`.
+/// Returns the rank of a byte string for `key`.
 #[must_use]
 pub fn rank_bytes(key: u64, bytes: &[u8]) -> u64 {
     xxh3_64_with_seed(bytes, key)
 }
 
-/// The rank of an address for `key`.
+/// Returns the rank of a socket address for `key`.
 #[must_use]
 pub fn rank_address(key: u64, address: &SocketAddr) -> u64 {
     let mut bytes = [0; 18];
--- a/crates/routing/src/regions.rs
+++ b/crates/routing/src/regions.rs
@@ -1,4 +1,4 @@
-//! Where requests may run.
+//! Regions in which requests may run.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,13 +7,13 @@
 pub struct AllowedRegions(BTreeSet<String>);
 
 impl AllowedRegions {
-    /// These regions; none for an empty list, which restricts nothing.
+    /// Creates the set from a list of regions. Returns `None` for an empty list, which restricts nothing.
     #[must_use]
     pub fn new(regions: Vec<String>) -> Option<Self> {
         (!regions.is_empty()).then(|| Self(regions.into_iter().collect()))
     }
 
-    /// True when requests may run in this region. A region that isn't known is none of them.
+    /// Returns true if requests may run in this region. An unknown region is never allowed.
     #[must_use]
     pub fn contains(&self, region: Option<&str>) -> bool {
         region.is_some_and(|region| self.0.contains(region))
--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -1,4 +1,4 @@
-//! One route.
+//! Routes and the services that share their requests.
 
 use crate::{AllowedRegions, Customer, Kind};
 use std::time::Duration;
@@ -14,49 +14,50 @@
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Its weight among the route's shares; all weights may be 0, and then the first share takes all.
+    /// Its weight among the route's shares. If all weights are 0, the first share takes all requests.
     pub weight: u32,
 }
 
-/// Requests of one host below one path prefix.
+/// The requests for one host whose path has one prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: String,
     /// Host, in lower case and without a port.
     pub host: String,
-    /// Prefix of the path; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// How its requests may be treated.
+    /// Retry semantics of its requests.
     pub kind: Kind,
-    /// Longest time that a request is held.
+    /// Time after which a request is given up.
     pub timeout: Duration,
-    /// Aim for the answer; for streams, for the first event.
+    /// Latency target for the response, or for the first event of a stream.
     pub latency_target: Duration,
-    /// Longest pause between events of a stream that is still in time.
+    /// Target for the gap between two events of a stream; a stream with a longer gap is late.
     pub gap_target: Option<Duration>,
-    /// Rank, 0 first.
+    /// Priority, 0 being the highest.
     pub priority: u8,
     /// Services that share the requests; never empty.
     pub shares: Vec<Share>,
-    /// Most servers that one attempt of a caller may be sent to; at least 1.
+    /// Maximum number of servers to which one attempt of a caller may be sent; at least 1.
     pub max_attempts: u32,
-    /// True when no key is asked for.
+    /// Requests need no API key.
     pub no_auth: bool,
-    /// Regions in which its requests may run; none where any will do. A customer's own bind as well.
+    /// Regions in which its requests may run; `None` for any region. The customer's own regions apply as well.
     pub allowed_regions: Option<AllowedRegions>,
 }
 
 impl Route {
-    /// How urgent this customer's requests are, 0 first. Whatever the customer, a route's requests never come after those
-    /// of a route of lower rank: engines put back the least urgent when their memory is full.
+    /// Returns the urgency of this customer's requests, 0 being the most urgent. For any customers, a route's
+    /// requests are more urgent than those of a route of lower priority, since engines preempt the least
+    /// urgent requests when their memory is full.
     #[must_use]
     pub fn urgency(&self, customer: Option<&Customer>) -> u8 {
         let within = customer.and_then(|customer| customer.priority).unwrap_or(0).min(URGENCIES_PER_ROUTE - 1);
         self.priority.saturating_mul(URGENCIES_PER_ROUTE).saturating_add(within).min(MAX_URGENCY)
     }
 
-    /// The service for a draw in 0..1.
+    /// Returns the service for a random number in 0..1.
     #[must_use]
     pub fn service(&self, draw: f64) -> &str {
         let total: f64 = self.shares.iter().map(|s| f64::from(s.weight)).sum();
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,25 +1,25 @@
-//! One life of one server.
+//! Server instances.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A server since its last start. A restart is another server, at the same address or not.
+/// An instance of a server. Each restart creates a new instance, at the same address or at another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Names this life; never used again.
+    /// ID of the instance; never reused.
     pub id: String,
-    /// What the server itself and its entry are called. A later life may have the same name.
+    /// Name of the server and of its entry. A later instance may have the same name.
     pub name: String,
     /// The service it belongs to.
     pub service: String,
-    /// Where it listens. After its end another service's server may listen there.
+    /// Address where it listens. After it has stopped, a server of another service may listen there.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// True when it takes no new work.
+    /// It takes no new requests.
     pub draining: bool,
-    /// How much longer it was slow when its entry was written, in milliseconds; 0 when it wasn't.
+    /// Remaining time of its cold start when its entry was written, in milliseconds; 0 if it was warm.
     pub cold_ms: u32,
 }
--- a/crates/routing/src/service.rs
+++ b/crates/routing/src/service.rs
@@ -1,40 +1,40 @@
-//! One service.
+//! Services and the limits of their servers.
 
 use std::time::Duration;
 
-/// What is known of a model server pool's engines. From the published configuration.
+/// Properties of the engines of a model service, from the published configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that one server runs at once.
+    /// Number of requests that one server runs concurrently.
     pub slots: u32,
-    /// Tokens that one server's memory holds, of running requests and kept prompt parts together.
+    /// Capacity of one server's KV cache in tokens, shared by running requests and cached prompt parts.
     pub memory_tokens: u64,
-    /// Bytes of one token in that memory, as they cross a link.
+    /// Size of one token's entry in the KV cache, as transferred over a link, in bytes.
     pub token_bytes: u64,
-    /// Speed of the links between engines in Mbit/s.
+    /// Bandwidth of the links between engines, in Mbit/s.
     pub link_mbps: f64,
-    /// Tokens in one event of a stream.
+    /// Number of tokens in one event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// What a server bears that has just started, or has turned cold again.
+/// Limits on a server that has just started, or has become cold again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// How long it stays cold.
+    /// Time until it is warm.
     pub duration: Duration,
-    /// Requests a second that it bears meanwhile; above 0.
+    /// Requests per second that it sustains until then; above 0.
     pub requests_per_s: f64,
 }
 
-/// A group of servers of which each can answer the same requests.
+/// A group of interchangeable servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Name, as in routes and server entries.
     pub name: String,
-    /// Most connections that one server accepts from all callers together.
+    /// Maximum number of connections that one server accepts from all clients together.
     pub max_connections: u32,
-    /// Present when its servers are model engines.
+    /// Set if its servers are model engines.
     pub engine: Option<Engine>,
-    /// What its servers bear while they are cold; none where a cold server bears what others do.
+    /// Limits on its servers during a cold start; `None` if cold servers need no limits.
     pub cold_start: Option<ColdStart>,
 }
--- a/crates/routing/src/table.rs
+++ b/crates/routing/src/table.rs
@@ -1,20 +1,20 @@
-//! The whole configuration, ready to be asked.
+//! The configuration, indexed for lookups.
 
 use crate::{Customer, Limits, Route, Service};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether a request may pass, by its key.
+/// Result of checking a request's API key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// It may, for this customer if there is one.
+    /// The request is allowed, on behalf of this customer if there is one.
     Granted(Option<Arc<Customer>>),
-    /// Its key is missing or not known.
+    /// The API key is missing or unknown.
     Denied,
 }
 
-/// One version of the configuration. Never changed once built.
+/// One version of the configuration. Immutable once built.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     /// Version; newer ones are higher.
@@ -32,7 +32,7 @@
 }
 
 impl Table {
-    /// A table of these routes and services, asking for no key.
+    /// Creates a table of these routes and services, which requires no API keys.
     #[must_use]
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
@@ -46,13 +46,13 @@
         Self { version, services, routes: by_host, ..Self::default() }
     }
 
-    /// The same with other limits.
+    /// Sets the limits for callers.
     #[must_use]
     pub fn with_limits(self, limits: Limits) -> Self {
         Self { limits, ..self }
     }
 
-    /// The same with these customers and their keys; from now on a key is asked for.
+    /// Adds these customers with their API keys, and requires a key from now on.
     #[must_use]
     pub fn with_customers(mut self, customers: Vec<(Customer, Vec<String>)>) -> Self {
         self.auth_required = true;
@@ -63,19 +63,19 @@
         self
     }
 
-    /// Number of routes.
+    /// Returns the number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// True when there is no route.
+    /// Returns true if there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// The shortest pause between events that answers of a service bear, by its routes; none where they bear any.
+    /// Returns the shortest gap target among the routes that use a service, if any of them has one.
     #[must_use]
     pub fn min_gap_target(&self, service: &str) -> Option<Duration> {
         let routes = self.routes.values().flatten();
@@ -83,7 +83,8 @@
         its.filter_map(|route| route.gap_target).min()
     }
 
-    /// The route of a request: the longest prefix of its path among the routes of its host.
+    /// Returns the route of a request: the one with the longest prefix of its path, among the routes of its
+    /// host.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -94,7 +95,7 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whether a request on `route` with this key may pass.
+    /// Checks whether a request on `route` with this API key is allowed.
     #[must_use]
     pub fn access(&self, route: &Route, key: Option<&str>) -> Access {
         let customer = key.and_then(|key| self.customers.get(key)).cloned();
--- a/crates/routing/tests/directory.rs
+++ b/crates/routing/tests/directory.rs
@@ -1,8 +1,8 @@
-//! What becomes of the list of servers.
+//! Changes, excerpts and evacuations of the list of servers.
 
 use routing::{Change, Directory, Evacuations, Position, Server};
 
-/// A revision of the first era.
+/// A position in the first era.
 fn at(revision: u64) -> Position {
     Position::new(0, revision)
 }
@@ -115,7 +115,7 @@
     assert_eq!(known, halls(8, &["b"]));
 }
 
-/// A list of so many servers at a revision; those below `changed` are draining.
+/// A list of `count` servers at a revision, the first `changed` of which are draining.
 fn list(count: usize, changed: usize, revision: u64) -> Directory {
     let mut list = Directory::default();
     list.apply((0..count).map(|index| server(&format!("i-{index:010x}"), index < changed)).collect(), at(revision));
@@ -215,7 +215,7 @@
     let halls = |position, names: &[&str]| Evacuations::new(position, names.iter().map(|n| (*n).to_owned()).collect());
     let restored = |revision| Position::new(1, revision);
     let names = |of: &Evacuations| of.evacuated_halls().into_iter().collect::<Vec<_>>().join(" ");
-    // "a" was evacuated after the copy, "b" given back after it, "c" is as it was.
+    // After the backup, the evacuation of "a" began and that of "b" ended; "c" is unchanged.
     let mut known = Evacuations::default();
     known.merge(halls(at(50), &["a", "c"]));
     assert!(known.merge(halls(restored(40), &["b", "c"])));
@@ -232,7 +232,8 @@
     assert_eq!((names(&known).as_str(), known.held.len()), ("a c", 0));
     assert!(known.apply(vec![("a".to_owned(), false)], restored(43)));
     assert_eq!(names(&known), "c");
-    // Who hears it from others holds nothing against what was written, and is not made to by one that still does.
+    // A box that receives this from others drops the held halls that were written, and does not take them
+    // back from a box that still holds them.
     assert!(other.merge(known.clone()));
     assert_eq!(names(&other), "c");
     let mut still_held = halls(restored(43), &["c"]);
@@ -241,7 +242,7 @@
     // If the operator never writes again, the published state applies after a while.
     assert!(late.drop_held());
     assert_eq!(names(&late), "b c");
-    // A second drill within the first: what holds goes on holding.
+    // A second restore before the first is settled: held halls remain held.
     let mut twice = Evacuations::default();
     twice.merge(halls(at(50), &["a"]));
     twice.merge(halls(restored(40), &[]));
@@ -252,12 +253,12 @@
 #[test]
 fn a_hall_evacuated_while_the_publisher_is_unavailable_stays_evacuated() {
     let halls = |position, names: &[&str]| Evacuations::new(position, names.iter().map(|n| (*n).to_owned()).collect());
-    // Nobody here knew of it before, and the copy's first list has it.
+    // The evacuation was not known here before, and is in the first state after the restore.
     let mut known = Evacuations::default();
     known.merge(halls(at(17), &[]));
     assert!(known.merge(halls(Position::new(1, 30), &["b"])));
     assert!(known.is_evacuated("b"));
-    // Nor one that was given back after the copy, and is evacuated anew.
+    // An evacuation that ended after the backup begins again.
     let mut anew = Evacuations::default();
     anew.merge(halls(at(50), &[]));
     anew.merge(halls(Position::new(1, 40), &["a"]));
@@ -268,14 +269,14 @@
     }
 }
 
-/// Sums over all entries are kept with each change. Were one ever wrong, a box would be told parts that it has, or not those that it
-/// lacks.
+/// The digests are updated incrementally. If one were wrong, a box would receive parts that it already has,
+/// or miss parts that it lacks.
 #[test]
 fn digests_depend_on_the_entries_and_not_on_their_history() {
     let mut list = Directory::default();
     let mut state = 7_u64;
     for round in 1..2_000 {
-        // A linear congruential generator: the same changes in each run.
+        // A linear congruential generator gives the same changes in each run.
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let name = format!("s{}", (state >> 33) % 60);
         let change = match (state >> 40) % 6 {
--- a/crates/routing/tests/rank.rs
+++ b/crates/routing/tests/rank.rs
@@ -1,4 +1,5 @@
-//! Ranks must not change between releases: boxes of two releases name the same homes and owners.
+//! Ranks must not change between releases, since boxes of different releases must choose the same owners and
+//! the same servers for cached prompt parts.
 
 use routing::{rank, rank_address};
 
--- a/crates/routing/tests/table.rs
+++ b/crates/routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which route and which customer a request gets.
+//! Lookup of routes, services and customers.
 
 use routing::{Access, Customer, Kind, Route, Share, Table};
 use std::time::Duration;
