--- a/crates/policy/src/broker/messages.rs
+++ b/crates/policy/src/broker/messages.rs
@@ -57,7 +57,7 @@
         match message {
             Message::RequestSlot(shard, _) | Message::Renew { shard, .. } if !self.ensure_owning(shard, now) => {}
             Message::RequestSlot(shard, request) => {
-                self.with_owned_shard(shard, |s| s.request_slot(from, request, now))
+                self.with_owned_shard(shard, |s| s.request_slot(from, request, now));
             }
             Message::Cancel(shard, id) => self.with_owned_shard(shard, |s| s.cancel(from, id, now)),
             Message::Return(shard, returns) => {
--- a/crates/policy/src/lessee.rs
+++ b/crates/policy/src/lessee.rs
@@ -55,7 +55,7 @@
     pub first_sent: Time,
     /// Time at which it was last sent.
     pub last_sent: Time,
-    /// Time of the last message from `owner` about it.
+    /// Time of the last message in which `owner` confirmed that it waits there.
     pub confirmed: Option<Time>,
     /// The arrival of the call.
     pub arrived: Time,
@@ -109,15 +109,15 @@
     /// Returns all leases of `shard`.
     #[must_use]
     pub fn leases_of(&self, shard: ShardId) -> Vec<LeaseInfo> {
-        self.leases.values().filter(|g| g.shard == shard).map(|g| g.info.clone()).collect()
+        self.leases.values().filter(|l| l.shard == shard).map(|l| l.info.clone()).collect()
     }
 
     /// Returns the short form of [`Self::leases_of`] for each shard with leases.
     #[must_use]
     pub fn renewals(&self) -> Vec<(ShardId, Message)> {
         let mut checksums: BTreeMap<ShardId, (u32, u64)> = BTreeMap::new();
-        for (id, grant) in &self.leases {
-            let sum = checksums.entry(grant.shard).or_default();
+        for (id, lease) in &self.leases {
+            let sum = checksums.entry(lease.shard).or_default();
             *sum = (sum.0 + 1, sum.1 ^ mix_lease_id(*id));
         }
         let renew = |(shard, (count, sum))| (shard, Message::Renew { shard, count, sum });
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -75,12 +75,12 @@
                 continue;
             }
             account.deficit -= cost;
-            let taken = account.queue.pop_front();
+            let request = account.queue.pop_front();
             self.count -= 1;
             if account.queue.is_empty() {
                 self.deactivate(customer);
             }
-            return taken;
+            return request;
         }
     }
 
@@ -148,7 +148,7 @@
         self.remove(from, id)
     }
 
-    /// Halves every debt, so that an old one does not count forever. Called from time to time.
+    /// Halves every debt, so that an old one does not count forever. Called periodically.
     pub fn decay_debts(&mut self) {
         for account in self.accounts.values_mut() {
             account.deficit /= 2;
--- a/crates/policy/tests/server_recovery.rs
+++ b/crates/policy/tests/server_recovery.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Applies urgent requests only, slightly below what one server can bear. Returns the number granted on the
+/// Applies urgent requests only, slightly below what one server can handle. Returns the number granted on the
 /// slow server.
 fn urgent_load(shard: &mut Shard, now: &mut Time, seconds: u64, slow_gap_ms: u32, next_id: &mut u64) -> u32 {
     const STEP_MS: u64 = 20;
--- a/crates/policy/tests/simulation/mod.rs
+++ b/crates/policy/tests/simulation/mod.rs
@@ -257,8 +257,8 @@
     fn check_expiry(&mut self, index: usize, action: &Action) {
         let Action::Granted { id, granter, expires, .. } = action else { return };
         let me = self.nodes[index].id;
-        let said = self.grants.range((me, *id, *granter, 0)..=(me, *id, *granter, u32::MAX));
-        let granted = if *granter == me { Some(self.now) } else { said.map(|(_, at)| *at).max() };
+        let sent = self.grants.range((me, *id, *granter, 0)..=(me, *id, *granter, u32::MAX));
+        let granted = if *granter == me { Some(self.now) } else { sent.map(|(_, at)| *at).max() };
         if granted.is_none_or(|granted| *expires > granted.after(LEASE_TTL_MS)) {
             self.violations.push(format!("a permit expires at {expires:?}, granted at {granted:?}"));
         }
