--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one server.
+//! One attempt to send a request to one server.
 
 use crate::connections::{Connection, Connections};
 use crate::header_codec::{Dispatch, Verdict};
@@ -14,27 +14,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Largest answer that isn't a stream, in bytes: held whole, so that a broken one is never passed on.
+/// Size limit of an answer that isn't a stream. Such answers are buffered completely, so that a truncated one is never
+/// forwarded.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// How often a send may meet a connection that ended while unused, before it counts as unreached.
+/// Number of stale connections (closed by the server while idle) that one send may try before the server counts as
+/// unreached.
 const MAX_STALE_CONNECTIONS: usize = 3;
 
-/// What became of a send.
+/// The result of one send.
 pub(crate) enum SendOutcome {
-    /// Nothing left this box.
+    /// No connection: nothing was sent.
     Unreached(String),
-    /// The server says that it did not run the request.
+    /// The server reported that it did not run the request.
     NotRun(String),
-    /// Nothing left this box: by the time of a connection it was no longer allowed, for this reason.
+    /// Nothing was sent: the send was no longer allowed once a connection was there, for this reason.
     Withdrawn(&'static str),
-    /// Sent, and no usable answer: it may have run.
+    /// The request was sent but there is no usable answer. It may have run.
     Broken(String),
-    /// The head of the answer.
+    /// The response head arrived.
     Answer(Box<Answer>),
 }
 
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub(crate) struct Answer {
     pub(crate) parts: response::Parts,
     pub(crate) body: Incoming,
@@ -42,28 +44,29 @@
     instance: String,
 }
 
-/// A request's place in the records of a server; given back when it is dropped.
+/// A request's slot at a server in the placement's accounts. The slot is released on drop.
 pub(crate) struct SlotGuard {
     shared: Arc<Shared>,
     service: String,
     pub(crate) server: Arc<Server>,
-    /// When it was made.
+    /// When the slot was taken.
     pub(crate) sent: Millis,
     work: Work,
     prefill_done: bool,
-    /// True once a pause has made the answer late.
+    /// True once a pause between events exceeded the gap limit.
     late: bool,
-    /// Longest pause between two events, in milliseconds.
+    /// The longest pause between two events.
     pause_ms: u32,
     ending: Ending,
-    /// Whose owners are told once the prompt has been read, and of which part.
+    /// The servers whose owners keep the cache directory of a prompt part, with that part. They are notified after
+    /// prefill.
     cache_directories: Vec<(Arc<Server>, u64)>,
-    /// Names the request to the server's owner; none for requests that are no prompts.
+    /// The request's number in reports to the server's owner; `None` for requests without a prompt.
     lease: Option<u64>,
 }
 
 impl SlotGuard {
-    /// Notes that a request is being sent to a server.
+    /// Takes a slot at the chosen server and reports the send to the server's owner.
     pub(crate) fn new(shared: &Arc<Shared>, service: &str, choice: &Choice, prompt: Option<&Prompt>) -> Self {
         let work = choice.work;
         shared.placement().record_sent(service, &choice.server.id, work);
@@ -88,7 +91,7 @@
         slot
     }
 
-    /// The prompt has been read. True for the first time.
+    /// Records the end of prefill. Returns true on the first call.
     pub(crate) fn on_prefill_done(&mut self) -> bool {
         let first = !std::mem::replace(&mut self.prefill_done, true);
         if first {
@@ -100,7 +103,7 @@
         first
     }
 
-    /// Between two events passed so long a time; the first that is too long makes the answer late.
+    /// Records the time between two events. The first one above the gap limit marks the answer as late.
     pub(crate) fn record_pause(&mut self, pause: Duration) {
         let ms = u32::try_from(pause.as_millis()).unwrap_or(u32::MAX);
         self.pause_ms = self.pause_ms.max(ms);
@@ -110,15 +113,17 @@
         }
     }
 
-    /// The server answers. Where a later life may have its name, that may be one of which this box hasn't heard, and so
-    /// doesn't show that this one lives.
+    /// Records that the server answered, which is liveness evidence.
+    ///
+    /// Skipped for servers whose instance id differs from their name: a newer instance, of which this box doesn't know
+    /// yet, may have sent the answer.
     fn on_server_answered(&self) {
         if self.server.id == self.server.name {
             self.shared.on_server_answered(&self.server.id);
         }
     }
 
-    /// Tells where a part was read that others may look for.
+    /// Notifies the cache directories that this server has now cached the parts.
     fn notify_cache_directories(&mut self) {
         for (directory, part) in std::mem::take(&mut self.cache_directories) {
             let update = SendUpdate::Elsewhere { part, by: self.server.id.clone() };
@@ -134,7 +139,7 @@
         }
     }
 
-    /// How the send ended; if never told, the caller left.
+    /// Sets how the send ended. A slot that is dropped without this call counts as abandoned by the caller.
     pub(crate) fn finish(mut self, ending: Ending) {
         if ending == Ending::Good {
             self.on_server_answered();
@@ -157,19 +162,20 @@
     }
 }
 
-/// What is sent.
+/// The request as it is sent to a server.
 pub(crate) struct OutgoingRequest<'a> {
     pub(crate) id: &'a str,
     pub(crate) parts: &'a request::Parts,
     pub(crate) body: &'a Bytes,
-    /// The service whose server it goes to.
+    /// The service that the server belongs to.
     pub(crate) service: &'a str,
-    /// Until when it may leave this box, where leave was given for it.
+    /// Expiry of the send permit, if the send needs one.
     pub(crate) permit_expires: Option<Millis>,
 }
 
-/// Sends a request and waits for the head of its answer. `in_flight` becomes true before its first byte may leave this
-/// box, and false again only where it surely has not run.
+/// Sends a request and waits for the response head.
+///
+/// `in_flight` becomes true before the first byte may be sent, and is reset only if the request certainly did not run.
 pub(crate) async fn send(
     shared: &Shared,
     connections: &Connections,
@@ -207,8 +213,8 @@
     SendOutcome::Unreached("connections ended before use".to_owned())
 }
 
-/// Why a request that was chosen for this server must not leave any more; asked again right before its first byte does, since
-/// a connection may take seconds.
+/// Returns the reason why the chosen server must not receive the request any more. Checked directly before sending,
+/// since opening a connection may take seconds.
 fn withdrawal_reason(shared: &Shared, server: &Server, message: &OutgoingRequest<'_>) -> Option<&'static str> {
     let now = shared.now();
     if message.permit_expires.is_some_and(|until| now > until) {
@@ -218,7 +224,7 @@
     (!may).then_some("the server takes nothing any more")
 }
 
-/// An error with what lies below it.
+/// Formats an error with its source.
 fn error_chain(error: &hyper::Error) -> String {
     let source = std::error::Error::source(error).map(|s| format!(": {s}"));
     format!("{error}{}", source.unwrap_or_default())
@@ -244,7 +250,7 @@
     request
 }
 
-/// Path and query as the caller sent them.
+/// Reduces an absolute URI to the path and query.
 fn origin_form(uri: &http::Uri) -> http::Uri {
     if uri.scheme().is_none() {
         return uri.clone();
@@ -278,7 +284,7 @@
 }
 
 impl Answer {
-    /// The whole body.
+    /// Reads the whole body and returns the connection to the pool.
     pub(crate) async fn collect(self, connections: &Connections) -> Result<(response::Parts, Bytes), String> {
         let Self { parts, body, connection, instance } = self;
         let whole = Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|why| why.to_string())?;
@@ -286,7 +292,7 @@
         Ok((parts, whole.to_bytes()))
     }
 
-    /// The answer was read to its end: its connection may be used again.
+    /// Returns the connection to the pool after the body was read to its end.
     pub(crate) fn finish(self, connections: &Connections) {
         connections.release(&self.instance, self.connection, &self.parts.headers);
     }
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to, and whether it goes to any.
+//! Admission of a request and choice of its server.
 
 use crate::attempt::SlotGuard;
 use crate::crash::LostRequest;
@@ -11,31 +11,34 @@
 use telemetry::Event;
 use tokio::time::Instant;
 
-/// How many servers' owners are asked for one request: eight that likely keep its parts, homes and those beyond
-/// them, and a cheap one; where it shares none, cheap ones only.
+/// Number of owners that are queried for one request: those of eight servers that probably cache its prompt (including
+/// the home servers and the next ones in order) and of one cheap server. For a request that shares no prompt parts all
+/// of them are cheap servers.
 const MAX_STATUS_REQUESTS: usize = 9;
 
-/// Longest wait for owners. They are a few milliseconds away; a slow one must not make requests late.
+/// Time limit for status and permit replies. Owners are a few milliseconds away, and a slow one must not make requests
+/// late.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Longest wait for whether the server of a send that broke off has ended, before the next: some ways there and back. Without
-/// it a request ends a fourth server, as the next send is faster than the news.
+/// Time limit of the crash probe that precedes the next send: several network round trips. Without this wait a request
+/// that crashes servers terminates a fourth one, because the next send overtakes the broadcast about the earlier
+/// crashes.
 const CRASH_PROBE_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Longest time from leave to the send: the span in which the owner counts arrivals is longer than
-/// a second by twice this, the rest being for the way. By the clock that counts while the machine is suspended: the owner's
-/// second does, too.
+/// Time limit from a permit request to the send. The owner's rate window is one second plus twice this value; the rest
+/// of that margin covers the network delay. Measured by [`Shared::now`](crate::Shared::now), because the owner's window
+/// also advances while a machine is suspended.
 const PERMIT_TTL_MS: Millis = 100;
 
-/// Why a request is not sent.
+/// The reason why a request is not sent.
 pub(crate) enum NotSent {
-    /// No server may be tried.
+    /// The placement found no server.
     Refused(Refusal),
-    /// Its time is over.
+    /// The deadline has passed.
     Late,
-    /// Servers ended under it, again and again.
+    /// The request is quarantined, because servers repeatedly terminated while running it.
     Held {
-        /// When its caller is asked back, in milliseconds.
+        /// Delay after which the caller may retry.
         retry_ms: Millis,
     },
 }
@@ -47,11 +50,11 @@
 }
 
 impl Exchange {
-    /// Chooses a server, and claims a place there.
+    /// Chooses a server and takes a slot there.
     pub(crate) async fn choose(&mut self) -> Result<(Choice, SlotGuard), NotSent> {
         let statuses = self.request_statuses().await;
         if let Some(mut probe) = self.crash_probe.take() {
-            // Closed or late: what is known by then is gone by.
+            // Continue on a result as well as on a time-out; the placement uses what is known by then.
             let _ = tokio::time::timeout(CRASH_PROBE_TIMEOUT, probe.changed()).await;
         }
         let mut denied = Vec::new();
@@ -73,14 +76,14 @@
         }
     }
 
-    /// Takes a place at the chosen server, unless servers ended under the request meanwhile, here or elsewhere.
+    /// Takes a slot at the chosen server, unless the request was quarantined in the meantime, here or by another box.
     pub(crate) fn claim_slot(
         &mut self,
         choice: Choice,
         permit_expires: Option<Millis>,
     ) -> Result<(Choice, SlotGuard), NotSent> {
         if self.left().is_zero() {
-            // The machine was suspended: its timers don't know yet.
+            // After a suspension of the machine the Tokio timers lag behind.
             return Err(NotSent::Late);
         }
         match self.verdict() {
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Asks the owners of the likeliest servers; nobody for requests that are no prompts.
+    /// Queries the owners of the most promising servers. Requests without a prompt query none.
     pub(crate) async fn request_statuses(&self) -> Vec<(String, ServerStatus)> {
         let Some(prompt) = &self.call.prompt else { return Vec::new() };
         let planned = self.shared.placement().servers_to_query(&self.placement_request(&[], &[]), MAX_STATUS_REQUESTS);
@@ -132,7 +135,7 @@
         statuses
     }
 
-    /// What it is known by when it comes again.
+    /// Returns the fingerprint that identifies repetitions of the request.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.parts.headers.get(header::HOST).map_or(&b""[..], HeaderValue::as_bytes);
@@ -144,7 +147,7 @@
         })
     }
 
-    /// Whether it may be sent, as far as servers ended under it before.
+    /// Returns the quarantine's verdict on the request.
     pub(crate) fn verdict(&self) -> Verdict {
         if self.shared.quarantine().is_empty() {
             return Verdict::Free;
@@ -152,7 +155,8 @@
         self.shared.verdict(self.fingerprint())
     }
 
-    /// The answer that was claimed broke off: its connection has ended, or its server has.
+    /// Handles a lost connection to a server that had the request: starts a probe that finds out whether the server has
+    /// terminated.
     pub(crate) fn on_connection_lost(&mut self, slot: &SlotGuard) {
         let lost = LostRequest { request: self.fingerprint(), sent: slot.sent, at: self.shared.now() };
         self.crash_probe =
--- a/crates/relay/src/connect_timeout.rs
+++ b/crates/relay/src/connect_timeout.rs
@@ -1,34 +1,34 @@
-//! How long a connection is waited for.
+//! Adaptive time limit for opening connections.
 
 use std::time::Duration;
 
-/// Longest wait before it was seen how long connections take, and at most: a lost opening packet is sent again only
-/// after a second, by when another server has answered.
+/// Upper bound, also used before the first connection. A lost SYN is retransmitted only after a second; by then another
+/// server has answered.
 const MAX_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Shortest wait: a busy peer may be held up for some turns of its processor.
+/// Lower bound: a busy peer may not be scheduled for some time slices.
 const MIN_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Weights of the newest time in the mean and in the deviation, and how many deviations are waited for beyond the mean;
-/// as TCP does for its retransmissions.
+/// Smoothing weights of the mean and the deviation, and the number of deviations added to the mean. The scheme is that
+/// of TCP's retransmission timer.
 const MEAN_WEIGHT: f64 = 0.125;
 const DEVIATION_WEIGHT: f64 = 0.25;
 const DEVIATION_FACTOR: f64 = 8.0;
 
-/// Attempts in a row that took too long after which the network, and not the peer, is taken for slow.
+/// After this many consecutive time-outs the network is assumed to be slow, not the peer.
 const MAX_CONSECUTIVE_TIMEOUTS: u32 = 4;
 
-/// The time that connections took lately, of one traffic thread.
+/// Estimates the time limit from recent connections of one traffic thread.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectTimeout {
-    /// Mean and deviation in seconds; none before the first connection.
+    /// Mean and deviation in seconds; `None` before the first connection.
     estimate: Option<(f64, f64)>,
-    /// Attempts in a row that took too long.
+    /// Number of consecutive time-outs.
     consecutive_timeouts: u32,
 }
 
 impl ConnectTimeout {
-    /// How long to wait for the next one.
+    /// Returns the time limit for the next connection.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         match self.estimate {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A connection took so long.
+    /// Records the time that a successful connection took.
     pub fn record_connected(&mut self, time: Duration) {
         let time = time.as_secs_f64();
         self.consecutive_timeouts = 0;
@@ -51,7 +51,7 @@
         });
     }
 
-    /// A connection was given up.
+    /// Records a time-out.
     pub fn record_timeout(&mut self) {
         self.consecutive_timeouts = self.consecutive_timeouts.saturating_add(1);
     }
--- a/crates/relay/src/connections.rs
+++ b/crates/relay/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, kept for reuse.
+//! Connection pool for servers.
 
 use crate::connect_timeout::ConnectTimeout;
 use crate::liveness::enable_dead_peer_detection;
@@ -18,26 +18,27 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// How long an unused connection is kept when its server says nothing of it.
+/// Idle time limit for connections whose server states none.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How much earlier than its server a connection is given up, so that no request meets its end.
+/// Safety margin subtracted from the server's idle time limit, so that no request is sent on a connection that the
+/// server is closing.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Most unused connections to one server.
+/// Number of idle connections kept per server.
 const MAX_IDLE_PER_SERVER: usize = 24;
 
-/// Largest buffer of a connection in bytes.
+/// Buffer size limit of a connection.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
 /// A connection that carries one request at a time.
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    /// Ends the connection's task, and with it the connection.
+    /// Aborts the connection's task, which closes the connection.
     task: AbortHandle,
-    /// How long it may rest.
+    /// Idle time limit.
     idle_timeout: Duration,
-    /// Set while an exchange is not over: dropped then, the connection is reset.
+    /// Set while an exchange is in progress. The connection is reset if it is dropped in that state.
     busy: Rc<Cell<bool>>,
 }
 
@@ -49,15 +50,16 @@
     }
 }
 
-/// A connection, and since when it rests. By a clock that counts while the machine is suspended: its server's does.
+/// A connection and the time since when it is idle, by a clock that advances while the machine is suspended, as the
+/// server's does.
 type IdleConnection = (Connection, Millis);
 
-/// Unused connections by server life, of one traffic thread.
+/// Idle connections of one traffic thread, by server instance.
 #[derive(Clone)]
 pub(crate) struct Connections {
     clock: Arc<dyn Clock>,
     idle: Rc<RefCell<HashMap<String, Vec<IdleConnection>>>>,
-    /// How long new ones took lately.
+    /// Time limit for new connections.
     connect_timeout: Rc<Cell<ConnectTimeout>>,
 }
 
@@ -66,7 +68,7 @@
         Self { clock, idle: Rc::default(), connect_timeout: Rc::default() }
     }
 
-    /// A connection to a server: the one used last that still stands, or a new one.
+    /// Returns the most recently used idle connection to a server, or opens a new one.
     pub(crate) async fn open(&self, instance: &str, address: SocketAddr) -> std::io::Result<Connection> {
         match self.take_idle(instance) {
             Some(connection) => Ok(connection),
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Whether a server takes new connections; one that comes about is kept for use.
+    /// Checks whether a server accepts new connections. A successful connection is kept in the pool.
     pub(crate) async fn probe(&self, instance: &str, address: SocketAddr) -> std::io::Result<()> {
         let connection = self.open_new(address).await?;
         self.release(instance, connection, &HeaderMap::new());
@@ -85,11 +87,11 @@
         let mut connect_timeout = self.connect_timeout.get();
         let started = Instant::now();
         let connected = tokio::time::timeout(connect_timeout.timeout(), connect(address)).await;
-        // Others may have connected meanwhile.
+        // Other tasks may have updated the estimate in the meantime.
         connect_timeout = self.connect_timeout.get();
         match &connected {
             Ok(Ok(_)) => connect_timeout.record_connected(started.elapsed()),
-            // Refused at once: says nothing of how long connections take.
+            // An immediate refusal is no sample of the time that connections take.
             Ok(Err(_)) => {}
             Err(_) => connect_timeout.record_timeout(),
         }
@@ -110,12 +112,12 @@
         None
     }
 
-    /// True while a connection that rests since then may be used.
+    /// Returns true if a connection that is idle since `since` may still be used.
     fn is_usable(&self, connection: &Connection, since: Millis) -> bool {
         u128::from(self.clock.now().saturating_sub(since)) < connection.idle_timeout.as_millis()
     }
 
-    /// Keeps a connection whose exchange is over, unless its server wants it closed.
+    /// Returns a connection to the pool after its exchange, unless the server wants it closed.
     pub(crate) fn release(&self, instance: &str, mut connection: Connection, headers: &HeaderMap) {
         let Some(idle_timeout) = idle_timeout(headers) else { return };
         let mut idle = self.idle.borrow_mut();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Closes what has rested too long, and all connections to lives that are not listed.
+    /// Closes connections that have been idle too long, and those to instances that aren't listed.
     pub(crate) fn prune(&self, listed: impl Fn(&str) -> bool) {
         self.idle.borrow_mut().retain(|instance, connections| {
             connections.retain(|(c, since)| self.is_usable(c, *since) && !c.sender.is_closed());
@@ -136,7 +138,7 @@
     }
 }
 
-/// How long a connection may rest after an answer with these headers; none when it is to be closed.
+/// Returns the idle time limit after a response with these headers, or `None` if the connection must be closed.
 fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = |name: header::HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default();
     if text(header::CONNECTION).to_ascii_lowercase().contains("close") {
@@ -159,8 +161,8 @@
     let (sender, connection) = handshake.map_err(std::io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
         if let Err(why) = connection.await {
-            // The exchange that runs on it sees its own error; an idle one is dropped at its next use.
-            log::trace!(target: "cleatshelf", "connection to {address}: {why}");
+            // An exchange on this connection gets the error itself; an idle connection is discarded on its next use.
+            log::trace!(target: "cleatshelf", "connection to {address} failed: {why}");
         }
     });
     metrics::counter!("cleatshelf_connections_opened_total").increment(1);
--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -1,4 +1,4 @@
-//! Tells the end of a server from that of a connection.
+//! Distinguishes the termination of a server from the loss of a connection.
 
 use crate::connections::Connections;
 use crate::shared::Shared;
@@ -13,36 +13,36 @@
 use telemetry::Event;
 use tokio::sync::watch;
 
-/// Servers whose connections broke while they had requests, of one traffic thread: a server that takes new connections has
-/// only reset one, a server whose address refuses them has ended.
+/// Probes servers after lost connections, per traffic thread. A server that accepts a new connection only lost the old
+/// one; a server whose address refuses connections has terminated.
 #[derive(Clone, Default)]
 pub(crate) struct CrashDetector {
-    /// By server life that is being looked at.
+    /// Running probes by server instance.
     probes: Rc<RefCell<HashMap<String, Probe>>>,
 }
 
-/// Finds out what became of a server.
+/// A running probe of one server.
 #[derive(Default)]
 struct Probe {
-    /// The requests whose answers broke off there.
+    /// The requests whose answers were interrupted.
     requests: Vec<LostRequest>,
-    /// Dropped when it is known.
+    /// Dropped when the probe has finished.
     done: watch::Sender<()>,
 }
 
-/// A request whose answer broke off.
+/// A request whose answer was interrupted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LostRequest {
     pub(crate) request: Fingerprint,
-    /// When it was sent to the server.
+    /// When the request was sent to the server.
     pub(crate) sent: Millis,
-    /// When the answer broke off.
+    /// When the connection was lost.
     pub(crate) at: Millis,
 }
 
 impl CrashDetector {
-    /// A connection to `server` broke. Looks once for all that break together. What is returned closes when it is known whether
-    /// the server has ended.
+    /// Handles the loss of a connection to `server`. Losses at the same time share one probe. The returned channel
+    /// closes when the probe has finished.
     pub(crate) fn on_connection_lost(
         &self,
         shared: &Arc<Shared>,
@@ -62,12 +62,12 @@
 
     async fn probe(self, shared: Arc<Shared>, connections: Connections, server: Arc<Server>) {
         let reached = connections.probe(&server.id, server.address).await;
-        // Its other end is closed when this returns.
+        // Dropping `_done` at the end of this function closes the receivers.
         let Probe { requests, done: _done } = self.probes.borrow_mut().remove(&server.id).unwrap_or_default();
         let refused = matches!(&reached, Err(why) if why.kind() == ErrorKind::ConnectionRefused);
         let mut list = String::new();
         for LostRequest { request, .. } in &requests {
-            // Writing to memory can't fail.
+            // Writing to a `String` can't fail.
             let _ = write!(list, "{}{request}", if list.is_empty() { "" } else { "," });
         }
         if refused {
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -1,4 +1,4 @@
-//! How a request ends when no server's answer is passed on, and what is noted of each end.
+//! Refusals, failures and the final accounting of a request.
 
 use crate::answer;
 use crate::choose::NotSent;
@@ -12,27 +12,30 @@
 use std::time::Duration;
 use telemetry::Event;
 
-/// When a refused caller is asked to come back: a crashed server's place is taken by others within that.
+/// Default retry delay of a refusal. Within this time other servers take over from a crashed one.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Shortest time after which a caller is asked back where all places are taken: as long as an answer of seconds takes, so
-/// that others have ended. Up to twice the time, by chance, so that those who were refused don't come back together.
+/// Lower bound of the retry delay when all slots are taken: the duration of an answer that takes seconds, so that some
+/// have finished by then. The delay is randomized up to twice its length, so that refused callers don't return
+/// together.
 const MIN_CROWDED_DELAY: Duration = Duration::from_secs(1);
 
-/// The same where all servers are cold: some of them are warm again within that, or their owners give leave.
+/// Lower bound of the retry delay when all servers are cold. Within this time some servers warm up or their owners
+/// grant permits.
 const MIN_COLD_DELAY: Duration = Duration::from_millis(600);
 
-/// The same where all servers name limits: what they take goes to whoever asks first after that, so that callers are spread over
-/// about a second.
+/// Lower bound of the retry delay when all servers report rate limits. The next window goes to the first callers to
+/// return, so the delays are spread over about a second.
 const MIN_LIMITED_DELAY: Duration = Duration::from_millis(600);
 
-/// By how much longer than the servers' rest some callers stay away, so that they don't come back in the same instant.
+/// Upper bound of the random factor by which callers' delays exceed the servers' back-off, so that they don't return at
+/// the same instant.
 const BACKOFF_SPREAD_FACTOR: f64 = 1.2;
 
 impl Exchange {
     pub(crate) fn not_sent(&mut self, why: &NotSent) -> Response<Body> {
         if self.may_have_run {
-            return self.fail_unknown("no other server");
+            return self.fail_unknown("no other server is available");
         }
         match *why {
             NotSent::Refused(Refusal::NoServer) => self.refuse("no server"),
@@ -56,7 +59,7 @@
                     wait.mul_f64(rand::rng().random_range(1.0..BACKOFF_SPREAD_FACTOR)),
                 )
             }
-            NotSent::Late => self.refuse("its time is over"),
+            NotSent::Late => self.refuse("deadline exceeded"),
             NotSent::Held { retry_ms } => {
                 self.trail.push_str("held");
                 self.refuse_with_delay("servers ended under this request", Duration::from_millis(retry_ms))
@@ -64,7 +67,7 @@
             NotSent::Refused(Refusal::Overloaded { wait_ms }) => {
                 let _ = write!(self.trail, "crowded, {wait_ms:.0} ms to a place");
                 let wait = Duration::from_secs_f64(wait_ms / 1e3) + MIN_CROWDED_DELAY;
-                self.refuse_with_delay("all places are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
+                self.refuse_with_delay("all server slots are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
             }
         }
     }
@@ -73,7 +76,7 @@
         self.refuse_with_delay(why, RETRY_DELAY)
     }
 
-    /// Refuses, and says when to come back.
+    /// Refuses the request with a retry delay.
     pub(crate) fn refuse_with_delay(&mut self, why: &'static str, after: Duration) -> Response<Body> {
         if self.may_have_run {
             telemetry::emit(Event::RefusalBroken, format_args!("id={} trail=\"{}\"", self.call.id, self.trail));
@@ -90,7 +93,7 @@
 
     pub(crate) fn on_deadline(&mut self) -> Response<Body> {
         if let Some(server) = self.tried.last().filter(|_| !self.route.kind.is_stream()) {
-            // A plain server that says nothing for that long is broken; an engine may be busy.
+            // A plain server that doesn't answer within the deadline is considered broken; an engine may only be busy.
             let now = self.shared.now();
             self.shared.placement().record_ending(&self.service, server, Ending::Broken, now);
         }
@@ -98,10 +101,10 @@
             return self.refuse("no server could be reached in time");
         }
         self.finish(Outcome::Late);
-        answer::plain(StatusCode::GATEWAY_TIMEOUT, "its time is over")
+        answer::plain(StatusCode::GATEWAY_TIMEOUT, "deadline exceeded")
     }
 
-    /// Logs and counts the end of the request.
+    /// Logs and counts the outcome of the request.
     pub(crate) fn finish(&mut self, outcome: Outcome) {
         if std::mem::replace(&mut self.finished, true) {
             telemetry::emit(
--- a/crates/relay/src/event_splitter.rs
+++ b/crates/relay/src/event_splitter.rs
@@ -1,21 +1,21 @@
-//! The events of a stream.
+//! Splitting of byte streams into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event; a server that sends more is broken.
+/// Size limit of one event. A server that exceeds it is treated as broken.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Cuts a stream's bytes into whole events and knows the last one's number.
+/// Splits a byte stream into complete events and tracks the id of the last one.
 #[derive(Clone, Debug, Default)]
 pub struct EventSplitter {
-    /// Bytes after the last whole event.
+    /// Bytes after the last complete event.
     partial: BytesMut,
-    /// Number of the last whole event.
+    /// Id of the last complete event.
     last: Option<u64>,
 }
 
 impl EventSplitter {
-    /// Takes in bytes and gives back those up to the end of the last whole event.
+    /// Adds bytes and returns everything up to the end of the last complete event.
     pub fn feed(&mut self, bytes: &[u8]) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = end_of_last(&self.partial) else { return Bytes::new() };
@@ -26,31 +26,31 @@
         whole
     }
 
-    /// Number of the last whole event.
+    /// Returns the id of the last complete event.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last
     }
 
-    /// True when nothing of an unfinished event is held.
+    /// Returns true if no partial event is buffered.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// True when an unfinished event has grown beyond all bounds.
+    /// Returns true if the partial event exceeds the size limit.
     #[must_use]
     pub fn is_oversized(&self) -> bool {
         self.partial.len() > MAX_EVENT_BYTES
     }
 
-    /// Drops an unfinished event, whose server will not finish it.
+    /// Discards a partial event that will not be completed.
     pub fn discard_partial(&mut self) {
         self.partial.clear();
     }
 }
 
-/// Where the last blank line ends.
+/// Returns the end position of the last blank line.
 fn end_of_last(bytes: &[u8]) -> Option<usize> {
     let plain = bytes.windows(2).rposition(|w| w == b"\n\n").map(|at| at + 2);
     let returns = bytes.windows(4).rposition(|w| w == b"\r\n\r\n").map(|at| at + 4);
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -22,17 +22,17 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Most servers that are tried without a connection for one request. They don't count as sends.
+/// Number of servers without a connection that one request may try. They don't count as sends.
 const MAX_UNREACHED_SERVERS: usize = 6;
 
-/// Less time than this is not worth a send: the way to a server and back, and its shortest work.
+/// Time that must remain for another send: the network round trip plus the shortest processing time.
 const MIN_SEND_TIME: Duration = Duration::from_millis(8);
 
-/// How many aims long a server of repeatable requests may be silent before another is asked: the longest work on the
-/// users' sheets takes one and a half.
+/// A server of an idempotent route that has not answered within this many latency targets is given up in favour of
+/// another one. The slowest requests of the expected workload take 1.5 targets.
 const SILENCE_TARGET_FACTOR: u32 = 3;
 
-/// A request that may pass, and what became of its sends.
+/// An admitted request and the state of its sends.
 pub(crate) struct Exchange {
     pub(crate) shared: Arc<Shared>,
     pub(crate) connections: Connections,
@@ -43,51 +43,52 @@
     pub(crate) service: String,
     pub(crate) parts: request::Parts,
     pub(crate) body: Bytes,
-    /// When its time is over, for the caller or for the route, whichever is first.
+    /// Deadline of the caller or of the route, whichever comes first.
     pub(crate) deadline: Instant,
-    /// The same by the clock that counts while the machine is suspended: what servers are told, and whether it is sent again.
+    /// The same deadline by [`Shared::now`], which advances while the machine is suspended. Determines the time limit
+    /// sent to servers and whether another send is possible.
     pub(crate) expires: Millis,
     pub(crate) started: Instant,
-    /// What it is known by when it comes again; made when it is first asked for.
+    /// Identifies repetitions of the request; computed on first use.
     pub(crate) fingerprint: OnceCell<Fingerprint>,
-    /// Ids of servers that it was sent to, or that could not be reached.
+    /// Ids of the servers that the request was sent to or that could not be reached.
     pub(crate) tried: Vec<String>,
-    /// Closes when it is known whether the server of the last send, which broke off, has ended.
+    /// Closes once it is known whether the server of the last, broken send has terminated.
     pub(crate) crash_probe: Option<watch::Receiver<()>>,
-    /// Sends that reached a server.
+    /// Number of sends that reached a server.
     pub(crate) sends: u32,
-    /// Sends that found no server.
+    /// Number of sends that failed to reach a server.
     pub(crate) unreached: usize,
-    /// Until when the send that was last claimed may leave this box; none where the server isn't cold.
+    /// Expiry of the permit for the current send; `None` if the server needs no permit.
     pub(crate) permit_expires: Option<Millis>,
-    /// True when a send that has ended may have run.
+    /// True if a completed send may have run.
     pub(crate) may_have_run: bool,
-    /// True while the last send may run or have run. Stands beside `may_have_run`, since a send that is dropped when the
-    /// time is over can't say how it ended.
+    /// True while the current send may be running or may have run. Separate from `may_have_run`, because a send that is
+    /// dropped at the deadline can't report its result.
     pub(crate) in_flight: Cell<bool>,
-    /// True once its one outcome is known.
+    /// True once the outcome was recorded.
     pub(crate) finished: bool,
-    /// When its events came, if it is a stream.
+    /// Event times, if the answer is a stream.
     pub(crate) timing: Timing,
-    /// What was decided, for the log.
+    /// The decisions made so far, for the log.
     pub(crate) trail: String,
 }
 
-/// What a send brought.
+/// The result of a send with the body of a non-streamed answer.
 enum Fetched {
     Stream(Box<Answer>),
     Whole(Box<http::response::Parts>, Bytes),
     Nothing(SendOutcome),
 }
 
-/// What follows a send that brought no answer.
+/// The step that follows a failed send.
 enum NextStep {
     Retry,
     GiveUp,
 }
 
 impl Exchange {
-    /// Sends the request until there is an outcome, or the beginning of a stream.
+    /// Sends the request until there is an outcome or the beginning of a stream.
     pub(crate) async fn run(&mut self) -> Reply {
         if let Verdict::Held { retry_ms } = self.verdict() {
             return Reply::Whole(self.not_sent(&NotSent::Held { retry_ms }));
@@ -103,7 +104,7 @@
         }
     }
 
-    /// One send. None asks for another.
+    /// Makes one attempt. Returns `None` if another one should follow.
     async fn attempt(&mut self) -> Option<Reply> {
         let (choice, mut slot) = match self.choose().await {
             Ok(chosen) => chosen,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Sends, and reads the answer unless it is a stream.
+    /// Sends the request and reads the answer unless it is a stream.
     async fn send_and_read(&mut self, choice: &Choice) -> Fetched {
         match self.send(choice, self.call.last_event).await {
             SendOutcome::Answer(answer) if self.route.kind.is_stream() && answer.parts.status.is_success() => {
@@ -139,8 +140,10 @@
         }
     }
 
-    /// How long a server may be silent before another is asked. Only where there is one and it may be done; elsewhere
-    /// silence is no reason to end a request sooner.
+    /// Returns how long to wait for a server before another one is tried.
+    ///
+    /// `None` if no other server is available or a second send isn't allowed; ending the request early would gain
+    /// nothing then.
     fn silence_timeout(&self, choice: &Choice) -> Option<Duration> {
         let another = self.route.kind == Kind::Idempotent && self.sends + 1 < self.route.max_attempts;
         let timeout = self.route.latency_target * SILENCE_TARGET_FACTOR;
@@ -148,7 +151,7 @@
         (another && choice.candidates > 1 && timeout < left).then_some(timeout)
     }
 
-    /// Sends to the chosen server, with what time is left.
+    /// Sends the request to the chosen server within the remaining time.
     pub(crate) async fn send(&mut self, choice: &Choice, last_event: Option<u64>) -> SendOutcome {
         let server = Arc::clone(&choice.server);
         if self.may_have_run && !self.route.kind.is_repeatable() {
@@ -173,7 +176,7 @@
         attempt::send(&self.shared, &self.connections, &server, &message, &dispatch, &self.in_flight).await
     }
 
-    /// A whole answer: passed on, unless it is a failure that another server may mend.
+    /// Forwards a complete answer, unless it is a failure and another send is possible.
     fn on_whole_answer(&mut self, parts: http::response::Parts, bytes: Bytes, slot: SlotGuard) -> Option<Reply> {
         self.sends += 1;
         let status = parts.status;
@@ -193,7 +196,7 @@
     fn forward_answer(&mut self, mut parts: http::response::Parts, bytes: Bytes) -> Response<Body> {
         let promise = [408, 421, 429, 503];
         if promise.contains(&parts.status.as_u16()) {
-            // Such a status says to callers that the request has not run, and this server doesn't say so.
+            // These statuses tell the caller that the request did not run, which this server did not state.
             return self.fail_unknown("the server failed");
         }
         strip_hop_by_hop(&mut parts.headers);
@@ -202,12 +205,14 @@
         Response::from_parts(parts, answer::body(bytes))
     }
 
-    /// A send without an answer: again, or the end.
+    /// Handles a send without an answer: returns `None` to try again, or the final reply.
     fn on_failed_send(&mut self, sent: SendOutcome, slot: SlotGuard) -> Option<Reply> {
         match self.record_failed_send(sent, slot) {
             NextStep::Retry => None,
-            NextStep::GiveUp if self.may_have_run => Some(Reply::Whole(self.fail_unknown("no answer"))),
-            NextStep::GiveUp => Some(Reply::Whole(self.refuse("no server took the request"))),
+            NextStep::GiveUp if self.may_have_run => {
+                Some(Reply::Whole(self.fail_unknown("no usable answer from a server")))
+            }
+            NextStep::GiveUp => Some(Reply::Whole(self.refuse("no server accepted the request"))),
         }
     }
 
@@ -242,7 +247,7 @@
         }
     }
 
-    /// True when another send is within the route's attempts, the time and the shared budget.
+    /// Returns true if the route's attempts, the time and the shared retry budget permit another send.
     pub(crate) fn may_send_again(&mut self) -> bool {
         if self.sends >= self.route.max_attempts || !self.time_left() {
             return false;
@@ -259,12 +264,12 @@
         self.left() > MIN_SEND_TIME
     }
 
-    /// What is left of its time.
+    /// Returns the remaining time.
     pub(crate) fn left(&self) -> Duration {
         Duration::from_millis(self.expires.saturating_sub(self.shared.now()))
     }
 
-    /// A further send of a stream that broke: its answer, if a server goes on with it.
+    /// Resumes a broken stream at another server. Returns the new answer if there is one.
     pub(crate) async fn resume(&mut self, last_event: Option<u64>) -> Option<(Answer, SlotGuard)> {
         loop {
             let (choice, slot) = self.choose().await.ok()?;
@@ -280,10 +285,10 @@
     }
 }
 
-/// What the sends brought for the caller.
+/// The reply to the caller.
 pub(crate) enum Reply {
-    /// All of it.
+    /// A complete response.
     Whole(Response<Body>),
-    /// The beginning of a stream, which is still to be passed on.
+    /// The head of a stream whose events are still to be forwarded.
     Stream(Box<Answer>, SlotGuard),
 }
--- a/crates/relay/src/frontend.rs
+++ b/crates/relay/src/frontend.rs
@@ -26,39 +26,39 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long a caller's connection may rest. Longer than any idle time that a configuration sets, since callers
-/// may go by an older one than this box; unused connections cost a descriptor and some kilobytes.
+/// Idle time limit of callers' connections. Exceeds every idle time that a configuration may set, because callers may
+/// have an older configuration than this box. An idle connection costs a file descriptor and some kilobytes.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Longest wait for the rest of a request's body.
+/// Time limit for reading a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Buffer of a caller's connection in bytes; also bounds a request's head.
+/// Buffer size limit of a caller's connection; also limits the request head.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
-/// How long after a stop began connections are closed between requests: by then the balancer has asked
-/// twice and sends no new ones.
+/// Delay between the beginning of a stop and the closing of idle connections. By then the balancer has checked
+/// readiness twice and sends no new connections.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_500);
 
-/// How often unused connections to servers are looked through.
+/// Interval between clean-ups of the connection pool.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// When a caller is asked to come back that met a box without a configuration: starts take about a second.
+/// Retry delay for callers of a box without a configuration. A start takes about a second.
 const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Takes callers' connections, on one traffic thread.
+/// Accepts callers' connections on one traffic thread.
 pub struct Frontend {
     shared: Arc<Shared>,
     connections: Connections,
     crash_detector: CrashDetector,
-    /// Most connections of callers at once.
+    /// Limit of simultaneous callers' connections.
     max_connections: usize,
     open: Rc<Cell<usize>>,
-    /// Draws for routes with several services.
+    /// Sequence that distributes requests over the services of a route.
     draws: Rc<RefCell<DrawSequence>>,
 }
 
-/// Draws in 0..1 that come near their shares after few draws: each differs from the last by the golden ratio.
+/// Low-discrepancy sequence in 0..1 with the golden ratio as its step. Even few draws approximate the traffic split.
 #[derive(Debug)]
 struct DrawSequence(f64);
 
@@ -70,7 +70,7 @@
 }
 
 impl Frontend {
-    /// A front with these bounds.
+    /// Creates a front end that accepts up to `max_connections` connections.
     #[must_use]
     pub fn new(shared: Arc<Shared>, max_connections: usize) -> Self {
         Self {
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Takes connections until `stop` is set and some time has gone by; then waits for the open ones.
+    /// Accepts connections until `stop` is set and the drain delay has passed, then waits for open connections.
     pub async fn run(self, listener: TcpListener, mut stop: watch::Receiver<bool>) {
         let this = Rc::new(self);
         tokio::task::spawn_local(Rc::clone(&this).prune());
         let (close, closing) = watch::channel(false);
-        // Made once: its time must not begin again with each connection.
+        // Created once, so that the delay does not restart with each accepted connection.
         let mut stopped = std::pin::pin!(wait_for_drain(&mut stop));
         loop {
             let accepted = tokio::select! {
@@ -98,13 +98,13 @@
             match accepted {
                 Ok((stream, _)) => this.accept(stream, &closing),
                 Err(why) => {
-                    log::warn!(target: "cleatshelf", "accept: {why}");
+                    log::warn!(target: "cleatshelf", "accepting a connection failed: {why}");
                     tokio::time::sleep(Duration::from_millis(20)).await;
                 }
             }
         }
         drop(listener);
-        // Nobody is left to hear it when every connection is closed already.
+        // Fails if all connections are closed already.
         let _ = close.send(true);
         while this.open.get() > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -154,7 +154,7 @@
             }
         };
         if let Err(why) = served {
-            log::trace!(target: "cleatshelf", "caller's connection: {why}");
+            log::trace!(target: "cleatshelf", "caller connection failed: {why}");
         }
     }
 
@@ -180,7 +180,7 @@
             Err((status, why)) => return answer::plain(status, why),
         };
         strip_hop_by_hop(&mut parts.headers);
-        // Between head and body a newer configuration may have come.
+        // The configuration may have changed while the body was read.
         let view = self.shared.view();
         let Some(table) = view.table.as_ref().map(Arc::clone) else {
             return answer::refused("no configuration yet", START_RETRY_DELAY);
@@ -203,7 +203,7 @@
     ) -> Result<Exchange, Box<Response<Body>>> {
         let call = self.shared.header_codec.read_call(&parts.headers).map_err(|why| {
             telemetry::emit(Event::RequestRejected, format_args!("why=\"{why}\""));
-            Box::new(answer::plain(StatusCode::BAD_REQUEST, "bad head"))
+            Box::new(answer::plain(StatusCode::BAD_REQUEST, "invalid request head"))
         })?;
         let host = parts.headers.get(header::HOST).and_then(|h| h.to_str().ok());
         let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
@@ -217,14 +217,14 @@
                     table.version
                 ),
             );
-            return Err(Box::new(answer::plain(StatusCode::NOT_FOUND, "no such route")));
+            return Err(Box::new(answer::plain(StatusCode::NOT_FOUND, "unknown route")));
         };
         let Access::Granted(customer) = table.access(route, call.key.as_deref()) else {
             telemetry::emit(
                 Event::RequestRejected,
                 format_args!("id={} why=key route={} version={}", call.id, route.name, table.version),
             );
-            return Err(Box::new(answer::plain(StatusCode::UNAUTHORIZED, "no such key")));
+            return Err(Box::new(answer::plain(StatusCode::UNAUTHORIZED, "unknown API key")));
         };
         let time = call.timeout.map_or(route.timeout, |time| time.min(route.timeout));
         let service = route.service(self.draws.borrow_mut().next()).to_owned();
@@ -256,9 +256,9 @@
     }
 }
 
-/// Waits until a stop has begun and new connections need no longer be taken.
+/// Waits until a stop has begun and the drain delay has passed.
 async fn wait_for_drain(stop: &mut watch::Receiver<bool>) {
-    // An error means that whoever could stop this box has gone, and so the box is ending.
+    // An error means that the sender was dropped: the box is shutting down.
     let _ = stop.wait_for(|stop| *stop).await;
     tokio::time::sleep(DRAIN_DELAY).await;
 }
@@ -268,14 +268,14 @@
     match read {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(why)) if why.is::<http_body_util::LengthLimitError>() => {
-            Err((StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
+            Err((StatusCode::PAYLOAD_TOO_LARGE, "request body too large"))
         }
-        Ok(Err(_)) => Err((StatusCode::BAD_REQUEST, "body broke off")),
-        Err(_) => Err((StatusCode::REQUEST_TIMEOUT, "body took too long")),
+        Ok(Err(_)) => Err((StatusCode::BAD_REQUEST, "request body truncated")),
+        Err(_) => Err((StatusCode::REQUEST_TIMEOUT, "request body timed out")),
     }
 }
 
-/// Counts a request while it runs.
+/// Counts a request as running until dropped.
 struct Running {
     shared: Arc<Shared>,
 }
--- a/crates/relay/src/header_codec.rs
+++ b/crates/relay/src/header_codec.rs
@@ -1,91 +1,91 @@
-//! The border towards the headers that callers and servers use.
+//! Interface for the headers that callers and servers use.
 
 use http::{HeaderMap, StatusCode};
 use placement::{Limit, Prompt};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a caller's head says of its request.
+/// Contents of a caller's request head.
 #[derive(Clone, Debug, Default)]
 pub struct Call {
-    /// Names this attempt of the caller; servers repeat it in their answers.
+    /// Id of this attempt, chosen by the caller; servers repeat it in their answers.
     pub id: String,
-    /// The key that names the customer.
+    /// API key of the customer.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The caller's time limit.
     pub timeout: Option<Duration>,
     /// The prompt, if the request is for a model.
     pub prompt: Option<Prompt>,
-    /// The last event that the caller has, when it resumes a stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
-/// What this box tells a server with a request.
+/// Contents of the request head that is sent to a server.
 #[derive(Clone, Debug)]
 pub struct Dispatch<'a> {
-    /// What the server is called; another one at its address does not run the request.
+    /// Name of the intended server. Another server at the same address does not run the request.
     pub name: &'a str,
     /// Name of the customer.
     pub customer: Option<&'a str>,
-    /// How long the server may take.
+    /// Time limit for the server.
     pub timeout: Duration,
-    /// How urgent it is, 0 first, 9 last. Only for model engines.
+    /// Urgency from 0 (most urgent) to 9. Only for model engines.
     pub urgency: Option<u8>,
-    /// A server from which to fetch prompt parts.
+    /// Address of a server to fetch cached prompt parts from.
     pub fetch: Option<SocketAddr>,
-    /// The last event that the caller has got.
+    /// Id of the last event that the caller received.
     pub last_event: Option<u64>,
 }
 
-/// What the head of a server's answer says.
+/// Classification of a response head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The answer to this request.
     Answer,
-    /// The server says that it did not run the request and won't.
+    /// The server reports that it did not run the request and will not.
     NotRun,
-    /// Not the answer to this request, or not a server's answer at all.
+    /// The response belongs to another request, or was not sent by a server.
     Foreign,
 }
 
-/// What the head of a server's answer says of the server itself, whatever became of the request.
+/// Hints of a response head about the server itself, independent of the request's result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// True where it leaves, and is to get no new work. It says so in all its answers until it ends.
+    /// True if the server is leaving and must receive no new requests. Sent with every answer until it terminates.
     pub leaving: bool,
-    /// For how long it wants nothing from this box, counted from its answer; none where it doesn't say.
+    /// Back-off that the server requests from this box, from the time of its answer; `None` if it requests none.
     pub back_off: Option<Duration>,
-    /// How many requests it takes from all boxes together, for as long as it says so; none where it can't be read, or another
-    /// server speaks.
+    /// Rate limit over all boxes, valid until the server reports another one; `None` if it can't be parsed or the
+    /// answer is another server's.
     pub limit: Option<Limit>,
 }
 
-/// A header of an answer that nobody here knows.
+/// A response header without a known meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownHeader<'a> {
-    /// Its name, in lower case.
+    /// The header name in lower case.
     pub name: &'a str,
-    /// What may be shown of its value.
+    /// The part of the value that may be logged.
     pub value: &'a str,
 }
 
-/// Reads and writes the headers by which callers, boxes and servers talk.
+/// Reads and writes the headers exchanged with callers and servers.
 pub trait HeaderCodec: Send + Sync {
-    /// What a caller's head says.
+    /// Reads a caller's request head.
     ///
     /// # Errors
-    /// The header at fault and the reason.
+    /// Names the invalid header and the reason.
     fn read_call(&self, headers: &HeaderMap) -> Result<Call, String>;
 
-    /// Turns a caller's headers into those for a server.
+    /// Converts a caller's headers to those for a server.
     fn write_dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
 
-    /// What the head of an answer to the request `id` says.
+    /// Classifies the head of a response to the request `id`.
     fn verdict(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
 
-    /// What the head of an answer, which is not foreign, says of its server.
+    /// Reads the server's hints from a response head that isn't foreign.
     fn notice(&self, status: StatusCode, headers: &HeaderMap) -> Notice;
 
-    /// Headers of an answer whose meaning is not known.
+    /// Returns the response headers whose meaning isn't known.
     fn unknown_headers<'a>(&self, headers: &'a HeaderMap) -> Vec<UnknownHeader<'a>>;
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,12 +1,12 @@
-//! Passes callers' requests to servers and the answers back.
+//! Forwards callers' requests to servers and the answers back.
 //!
-//! A [`Front`] takes callers' connections. Each request becomes an exchange: it finds its route,
-//! is sent to one server after another within its bounds, and ends with one outcome. What headers
-//! are called is behind [`HeaderCodec`]; which server is chosen is decided in `placement`.
+//! A [`Frontend`] accepts callers' connections. Each request becomes an exchange: it is matched to a route, sent to one
+//! or more servers within the limits of that route, and finishes with exactly one outcome. A [`HeaderCodec`] reads and
+//! writes the headers; the `placement` crate chooses the server.
 //!
-//! `hyper`'s low-level client and server are used in place of `awc` and `actix-web`: these hide
-//! whether a request's bytes left, reuse connections without saying so, and go on with a request
-//! whose caller has left.
+//! This crate uses `hyper`'s low-level client and server instead of `awc` and `actix-web`. Those don't report whether
+//! any byte of a request was sent, reuse connections transparently, and continue a request after its caller has
+//! disconnected.
 
 mod answer;
 mod attempt;
@@ -41,16 +41,16 @@
 pub use readiness::ReadinessServer;
 pub use shared::{Dependencies, Shared, View};
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub type Body = http_body_util::combinators::UnsyncBoxBody<bytes::Bytes, TruncatedAnswer>;
 
-/// The answer breaks off: the caller's connection is closed so that it can't look whole.
+/// Body error that closes the caller's connection, so that a truncated answer can't be taken for a complete one.
 #[derive(Clone, Copy, Debug)]
 pub struct TruncatedAnswer;
 
 impl std::fmt::Display for TruncatedAnswer {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("answer truncated")
     }
 }
 
--- a/crates/relay/src/liveness.rs
+++ b/crates/relay/src/liveness.rs
@@ -1,18 +1,18 @@
-//! How soon a connection shows that its peer is gone.
+//! Detection of dead peers on TCP connections.
 //!
-//! A connection may fall silent for good without a reset, while new ones to the same peer work.
+//! A connection may become silent permanently without a reset, while new connections to the same peer work.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A peer that acknowledges nothing for this long is taken as dead.
+/// Time without acknowledgement of sent data after which the peer is considered dead.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// When an idle peer is asked whether it lives; the shortest that the kernel allows.
+/// Idle time before a keep-alive probe, and the interval between probes; the shortest that the kernel allows.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Makes a connection end by itself soon after its peer has fallen silent, whether it rests or not.
+/// Configures a connection to fail soon after its peer became silent, both idle and in use.
 pub fn enable_dead_peer_detection(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_INTERVAL).with_interval(KEEPALIVE_INTERVAL);
@@ -23,7 +23,7 @@
     ];
     for result in results {
         if let Err(why) = result {
-            log::debug!(target: "cleatshelf", "socket option: {why}");
+            log::debug!(target: "cleatshelf", "setting a socket option failed: {why}");
         }
     }
 }
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -1,26 +1,26 @@
-//! How a request ended.
+//! The outcome of a request.
 
-/// The one end of a request.
+/// The outcome of a request. Each request has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A server's whole answer was passed on.
+    /// A server's complete answer was forwarded.
     Answered,
-    /// A stream broke off.
+    /// A stream was truncated.
     Cut,
-    /// The caller left.
+    /// The caller disconnected.
     Left,
-    /// Refused; it has not run and won't.
+    /// Refused: the request did not run and will not.
     Refused,
-    /// Failed; nobody knows whether it ran.
+    /// Failed: it is unknown whether the request ran.
     Unknown,
-    /// Its time was over.
+    /// The deadline passed.
     Late,
-    /// The caller's fault: no such route, no such key, or a bad head.
+    /// Caller error: unknown route, unknown key or invalid head.
     Rejected,
 }
 
 impl Outcome {
-    /// The word for logs and metrics.
+    /// Returns the text for logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/relay/src/owner_requests.rs
+++ b/crates/relay/src/owner_requests.rs
@@ -1,4 +1,4 @@
-//! One question to the owner of a server.
+//! Requests to the owners of servers.
 
 use crate::Shared;
 use placement::{PermitReply, PermitRequest, Prompt, Quotas, ServerStatus, StatusQuery};
@@ -8,14 +8,14 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A question that is on its way.
+/// A status query that has been sent.
 pub(crate) struct PendingStatus {
     server: Arc<Server>,
     answer: oneshot::Receiver<ServerStatus>,
 }
 
 impl PendingStatus {
-    /// Asks the owner of `server`; none when nobody can be asked.
+    /// Queries the owner of `server`. Returns `None` if no owner is reachable.
     pub(crate) fn request(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
         let question = StatusQuery { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
@@ -23,7 +23,7 @@
         Some(Self { server: Arc::clone(server), answer })
     }
 
-    /// Waits for the answer, and takes it in.
+    /// Waits for the status and passes it to the placement.
     pub(crate) async fn wait(self, shared: &Shared, service: &str, until: Instant) -> Option<(String, ServerStatus)> {
         let Ok(Ok(status)) = tokio::time::timeout_at(until, self.answer).await else {
             shared.peer_client.on_missed_reply(&self.server);
@@ -34,7 +34,7 @@
     }
 }
 
-/// Asks for leave to send one request to a server that takes few. Without an answer there is none.
+/// Requests a permit for one send to a rate-limited server. A missing reply counts as a denial.
 pub(crate) async fn request_permit(
     shared: &Shared,
     server: &Server,
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer whether callers may be sent here.
+//! The readiness endpoint for the load balancer.
 
 use crate::{answer, Body, Shared};
 use http::{Request, Response, StatusCode};
@@ -10,19 +10,19 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// How long a connection may take for a question, or rest.
+/// Time limit for reading a request head, and for idle connections.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Answers the balancer's question on its own address.
+/// Serves the readiness endpoint on an address of its own.
 pub struct ReadinessServer {
-    /// What the answer depends on.
+    /// The state that determines readiness.
     pub shared: Arc<Shared>,
-    /// Path of the question.
+    /// Path of the endpoint.
     pub path: String,
 }
 
 impl ReadinessServer {
-    /// Answers for as long as the process runs; must run on a local set.
+    /// Serves until the process exits. Must run inside a `LocalSet`.
     pub async fn run(self, listener: TcpListener) {
         let this = Arc::new(self);
         loop {
@@ -42,7 +42,7 @@
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
                 if let Err(why) = served {
-                    log::trace!(target: "cleatshelf", "balancer's connection: {why}");
+                    log::trace!(target: "cleatshelf", "balancer connection failed: {why}");
                 }
             });
         }
@@ -50,7 +50,7 @@
 
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() != self.path {
-            return answer::plain(StatusCode::NOT_FOUND, "not here");
+            return answer::plain(StatusCode::NOT_FOUND, "not found");
         }
         if self.shared.is_ready() {
             answer::plain(StatusCode::OK, "ready")
--- a/crates/relay/src/resettable_stream.rs
+++ b/crates/relay/src/resettable_stream.rs
@@ -1,4 +1,4 @@
-//! A connection to a server that is reset when its exchange is given up.
+//! TCP stream that resets its connection when an exchange is abandoned.
 
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
@@ -11,10 +11,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream that resets its connection when it is dropped while `busy` is set.
+/// A TCP stream that sends a reset if it is dropped while `busy` is set.
 ///
-/// A connection that is merely closed still delivers what waits in it, seconds later where a link was cut: the server
-/// would begin a request that nobody waits for any more.
+/// A regular close would still deliver buffered data, possibly seconds later if the link was down, and the server would
+/// start a request that no caller waits for.
 pub(crate) struct ResettableStream {
     stream: TcpStream,
     busy: Rc<Cell<bool>>,
@@ -30,7 +30,7 @@
     fn drop(&mut self) {
         if self.busy.get() {
             if let Err(why) = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO)) {
-                log::debug!(target: "cleatshelf", "a connection is closed, not reset: {why}");
+                log::debug!(target: "cleatshelf", "setting SO_LINGER failed, closing instead of resetting: {why}");
             }
         }
     }
--- a/crates/relay/src/server_hints.rs
+++ b/crates/relay/src/server_hints.rs
@@ -1,4 +1,4 @@
-//! What this box makes of what servers say of themselves in their answers.
+//! Handling of the hints that servers give about themselves in their answers.
 
 use crate::{Notice, Shared, UnknownHeader};
 use http::HeaderMap;
@@ -8,13 +8,15 @@
 use std::time::Duration;
 use telemetry::Event;
 
-/// By how much longer than it asked for a server is left alone at most, so that boxes which it turned away together don't come
-/// back in the same instant.
+/// Upper bound of the random factor by which a requested back-off is extended, so that boxes rejected at the same time
+/// don't return at the same instant.
 const BACKOFF_SPREAD_FACTOR: f64 = 1.1;
 
 impl Shared {
-    /// Takes what the answer to the request `id`, sent at `sent`, says of its server. To be called as soon as the answer's head is
-    /// there: a stream may last longer than a leaving server may still get requests.
+    /// Handles the hints in the answer to the request `id`, sent at `sent`.
+    ///
+    /// Must be called as soon as the response head has arrived: a stream may take longer than the time in which a
+    /// leaving server must stop receiving requests.
     pub(crate) fn on_notice(&self, id: &str, server: &Server, sent: Millis, notice: Notice) {
         if notice.leaving && self.on_leaving(&server.id, format_args!("id={id}")) {
             self.peer_client.broadcast_leaving(&server.id);
@@ -27,7 +29,8 @@
         }
     }
 
-    /// Tells operators of headers that nobody here knows: servers may say by them what boxes should heed.
+    /// Reports unknown response headers to operators, once per name: servers may send hints in them that boxes should
+    /// follow.
     pub(crate) fn report_unknown_headers(&self, server: &Server, headers: &HeaderMap) {
         for UnknownHeader { name, value } in self.header_codec.unknown_headers(headers) {
             if self.reported_headers.insert(name) {
@@ -36,13 +39,13 @@
         }
     }
 
-    /// Takes what another box heard of lives that leave. Those that this one didn't know of.
+    /// Records instances that another box reported as leaving. Returns those that were unknown to this box.
     #[must_use]
     pub fn on_peer_leaving(&self, instances: &[String]) -> Vec<String> {
         instances.iter().filter(|instance| self.on_leaving(instance, format_args!("from=Peer"))).cloned().collect()
     }
 
-    /// Takes what another box knows of servers' limits. What this one didn't know.
+    /// Records server limits that another box reported. Returns those that were unknown to this box.
     #[must_use]
     pub fn on_peer_limits(&self, statements: Vec<LimitUpdate>) -> Vec<LimitUpdate> {
         let record = |statement: &LimitUpdate| {
@@ -55,8 +58,10 @@
         statements.into_iter().filter(record).collect()
     }
 
-    /// A limit is over all boxes, so that all are told and each request needs leave from one of them: kept by each box alone it would
-    /// let through as many times what the server takes as there are boxes.
+    /// Records a server's rate limit and broadcasts it.
+    ///
+    /// The limit applies to all boxes together, so each request needs a permit from a single box. If each box applied
+    /// the limit by itself, the server would receive the limit times the number of boxes.
     fn on_limit(&self, id: &str, server: &Server, limit: Limit, sent: Millis) {
         let update = self.placement().record_limit(&server.id, limit, sent, self.now());
         if let Some(statement) = update {
@@ -65,7 +70,7 @@
         }
     }
 
-    /// A life leaves. True when this box didn't know.
+    /// Records that an instance is leaving. Returns true if that was unknown to this box.
     fn on_leaving(&self, instance: &str, source: std::fmt::Arguments<'_>) -> bool {
         let (is_new, listed) = {
             let mut placement = self.placement();
@@ -81,10 +86,10 @@
 
     fn on_back_off(&self, id: &str, server: &Server, back_off: Duration) {
         let spread = back_off.as_secs_f64() * rand::rng().random_range(1.0..BACKOFF_SPREAD_FACTOR);
-        // A conversion that saturates: a server may ask for more than a duration holds.
+        // The cast saturates: a server may request more than a `Duration` can hold.
         let ms = (spread * 1e3) as u64;
         let now = self.now();
-        // Rounded up: a server is not asked again before it wants to be.
+        // Rounded up, so that the server receives nothing before the requested time.
         self.placement().record_back_off(&server.id, now.saturating_add(ms).saturating_add(1));
         telemetry::emit(Event::ServerRests, format_args!("id={id} server={} ms={ms}", server.id));
     }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads and the control thread share.
+//! State shared by the traffic threads and the control thread.
 
 use crate::{HeaderCodec, PeerClient};
 use clock::Clock;
@@ -8,56 +8,56 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use telemetry::SeenNames;
 
-/// The configuration and servers in force. A new one replaces the old one whole.
+/// The configuration and servers in force. Replaced as a whole.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The configuration; none before the first.
+    /// The routing table; `None` until the first configuration arrives.
     pub table: Option<Arc<Table>>,
     /// The servers.
     pub directory: Arc<Directory>,
-    /// The halls whose servers are to get nothing.
+    /// The evacuated halls, whose servers receive no requests.
     pub evacuations: Evacuations,
 }
 
-/// What the state of a box is made of.
+/// The components and settings that [`Shared`] is built from.
 pub struct Dependencies {
-    /// Reads and writes headers.
+    /// Reads and writes request and response headers.
     pub header_codec: Box<dyn HeaderCodec>,
-    /// Asks the owners of servers.
+    /// Sends messages to the boxes that own servers.
     pub peer_client: Box<dyn PeerClient>,
     /// Chooses servers.
     pub placement: Placement,
-    /// The same for all boxes, and known to nobody else: fingerprints of requests are made with it.
+    /// Secret of the deployment, equal on all boxes; keys the request fingerprints.
     pub secret: u64,
-    /// What all but waits goes by.
+    /// Clock used for all timestamps. Timers use Tokio's.
     pub clock: Arc<dyn Clock>,
 }
 
-/// State of one box that all its threads see.
+/// State of one box, shared by all its threads.
 pub struct Shared {
-    /// Reads and writes headers.
+    /// Reads and writes request and response headers.
     pub header_codec: Box<dyn HeaderCodec>,
-    /// Asks the owners of servers.
+    /// Sends messages to the boxes that own servers.
     pub peer_client: Box<dyn PeerClient>,
     view: RwLock<Arc<View>>,
     placement: Mutex<Placement>,
     pub(crate) quarantine: Mutex<Quarantine>,
-    /// Known to boxes only; fingerprints of requests are made with it.
+    /// Secret of the deployment, equal on all boxes; keys the request fingerprints.
     pub(crate) secret: u64,
     clock: Arc<dyn Clock>,
-    /// When this was made, by that clock.
+    /// Time of creation by `clock`.
     started: Millis,
     stopping: AtomicBool,
-    /// Numbers of questions and leases, unique in this process.
+    /// Next number of a status query, permit request or lease; unique within this process.
     pub(crate) numbers: AtomicU64,
-    /// Requests that are not ended.
+    /// Number of requests in progress.
     pub running: AtomicUsize,
-    /// Headers of answers that operators were told of.
+    /// Names of unknown response headers that were already reported to operators.
     pub(crate) reported_headers: SeenNames,
 }
 
 impl Shared {
-    /// State with nothing known yet.
+    /// Creates the state of a box that has no configuration and no servers yet.
     #[must_use]
     pub fn new(parts: Dependencies) -> Arc<Self> {
         let Dependencies { header_codec, peer_client, placement, secret, clock } = parts;
@@ -77,24 +77,24 @@
         })
     }
 
-    /// Now, counted from when this was made; goes on while the machine is suspended.
+    /// Returns the time since creation. It advances while the machine is suspended.
     #[must_use]
     pub fn now(&self) -> Millis {
         self.clock.now().saturating_sub(self.started)
     }
 
-    /// The clock that this goes by.
+    /// Returns the clock behind [`Shared::now`].
     pub(crate) fn clock(&self) -> Arc<dyn Clock> {
         Arc::clone(&self.clock)
     }
 
-    /// The configuration and servers in force.
+    /// Returns the configuration and servers in force.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.view.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Puts a configuration and servers in force.
+    /// Replaces the configuration and servers in force.
     pub fn set_view(&self, view: View) {
         if let Some(table) = &view.table {
             let in_force = Snapshot { table, directory: &view.directory, evacuations: &view.evacuations };
@@ -103,24 +103,26 @@
         *self.view.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(view);
     }
 
-    /// The placement, for a short while: nobody awaits while holding it.
+    /// Locks the placement. The guard must not be held across an await point.
     pub fn placement(&self) -> MutexGuard<'_, Placement> {
         self.placement.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A planned stop begins.
+    /// Marks the beginning of a planned stop.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    /// True once a planned stop has begun.
+    /// Returns true once a planned stop has begun.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// True when callers may be sent here: before the first list of servers, also an empty one, or a sample of it, they would be refused
-    /// though servers are there.
+    /// Returns true when the balancer may send callers to this box.
+    ///
+    /// A box needs a configuration and a usable server directory first: with a directory that is missing, empty or only
+    /// a sample, it would refuse requests although servers exist.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let view = self.view();
--- a/crates/relay/src/stream_forwarder.rs
+++ b/crates/relay/src/stream_forwarder.rs
@@ -1,4 +1,4 @@
-//! Passes the events of a stream on as they come, and goes on at another server where that is allowed.
+//! Forwards the events of a stream as they arrive, and resumes the stream at another server where the route allows it.
 
 use crate::answer::strip_hop_by_hop;
 use crate::attempt::{Answer, SlotGuard};
@@ -17,34 +17,34 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Most pieces of a stream that wait for the caller. Few, so that a slow caller slows its server.
+/// Number of chunks buffered for the caller. Small, so that a slow caller throttles the server.
 const MAX_BUFFERED_PIECES: usize = 4;
 
 type Piece = Result<Frame<Bytes>, TruncatedAnswer>;
 
-/// A stream on its way to the caller.
+/// A stream that is being forwarded to a caller.
 pub(crate) struct StreamForwarder {
     exchange: Exchange,
     events: EventSplitter,
     caller: mpsc::Sender<Piece>,
-    /// When the last event came; none before the first.
+    /// Arrival time of the last event; `None` before the first.
     last_event: Option<Instant>,
 }
 
-/// How the reading of one server's stream ended.
+/// How reading one server's stream ended.
 enum StreamEnd {
-    /// It is whole.
+    /// The stream is complete.
     Complete,
-    /// The server broke off.
+    /// The connection to the server was lost, or the stream is malformed.
     ConnectionLost(String),
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// Its time is over.
+    /// The deadline passed.
     DeadlinePassed,
 }
 
 impl StreamForwarder {
-    /// Starts passing on a stream whose head has come. The head goes to the caller at once.
+    /// Starts forwarding a stream whose head has arrived. The head goes to the caller immediately.
     pub(crate) fn start(exchange: Exchange, answer: Answer, slot: SlotGuard) -> Response<Body> {
         let (caller, mut pieces) = mpsc::channel::<Piece>(MAX_BUFFERED_PIECES);
         let mut headers = answer.parts.headers.clone();
@@ -68,7 +68,7 @@
         self.exchange.shared.running.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
 
-    /// Passes on one server's stream. Another answer, if one goes on with it.
+    /// Forwards one server's stream. Returns the next answer if the stream is resumed at another server.
     async fn forward_from_server(&mut self, mut answer: Answer, mut slot: SlotGuard) -> Option<(Answer, SlotGuard)> {
         self.exchange.sends += 1;
         match self.forward_events(&mut answer, &mut slot).await {
@@ -87,7 +87,8 @@
                 None
             }
             StreamEnd::ConnectionLost(why) => {
-                // The connection is closed before another server goes on: the first then stops its work.
+                // Close the connection before another server resumes the stream, so that the first one stops working on
+                // it.
                 drop(answer);
                 self.exchange.on_connection_lost(&slot);
                 slot.finish(Ending::Broken);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Notes when events come, so that the log tells whether a stream was late and by what.
+    /// Records when events arrive, so that the log shows whether a stream was late and why.
     fn record_event_time(&mut self, slot: &mut SlotGuard) {
         let now = Instant::now();
         let timing = &mut self.exchange.timing;
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Notes the first event from a server: its prompt has been read.
+    /// Handles the first event of a server, which marks the end of prefill.
     fn on_first_event(&self, slot: &mut SlotGuard) {
         if slot.on_prefill_done() {
             let exchange = &self.exchange;
@@ -173,10 +174,10 @@
         None
     }
 
-    /// Ends the caller's answer so that it can't look whole.
+    /// Truncates the caller's answer in a way that can't be taken for a complete one.
     async fn truncate(&mut self, outcome: Outcome) {
         self.exchange.finish(outcome);
-        // An error means that the caller has left, which is as good.
+        // Fails only if the caller has already disconnected.
         let _ = self.caller.send(Err(TruncatedAnswer)).await;
     }
 }
--- a/crates/relay/src/suspects.rs
+++ b/crates/relay/src/suspects.rs
@@ -1,4 +1,4 @@
-//! What this box and others make of requests under which servers ended.
+//! Quarantine of requests under which servers terminated, shared with the other boxes.
 
 use crate::crash::LostRequest;
 use crate::Shared;
@@ -8,12 +8,12 @@
 use telemetry::Event;
 
 impl Shared {
-    /// The requests under which servers ended, for a short while: nobody awaits while holding it.
+    /// Locks the quarantine. The guard must not be held across an await point.
     pub fn quarantine(&self) -> MutexGuard<'_, Quarantine> {
         self.quarantine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A server ended while these requests were there: tells the other boxes what is new to this one.
+    /// Records that a server terminated while it had these requests, and broadcasts what is new.
     pub(crate) fn on_server_terminated(&self, server: &str, requests: &[LostRequest]) {
         let now = self.now();
         let changes: Vec<Change> = {
@@ -28,8 +28,8 @@
         self.broadcast(changes);
     }
 
-    /// A server ran this request and lives, or an operator lets it through: if it was suspected, all boxes hear that it is
-    /// innocent. False where it wasn't.
+    /// Records that a server ran this request and survived, or that an operator released it. If the request was
+    /// suspected, all boxes are informed that it is innocent. Returns false if it was not suspected.
     pub fn record_survival(&self, request: Fingerprint) -> bool {
         let now = self.now();
         let change = self.quarantine().record_survival(request, now);
@@ -38,7 +38,7 @@
         suspected
     }
 
-    /// A server answers: if some box took it for ended, all hear that it lives.
+    /// Records that a server answers. If a box reported it as terminated, all boxes are informed that it is alive.
     pub(crate) fn on_server_answered(&self, server: &str) {
         let now = self.now();
         let changes = self.quarantine().record_answer(server, now);
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Takes what another box knows of requests and servers. What disproves it, for that box.
+    /// Records what another box reported about requests and servers. Returns the evidence that contradicts it, for that
+    /// box.
     #[must_use]
     pub fn on_peer_suspects(
         &self,
@@ -72,32 +73,34 @@
         drop(quarantine);
         changes.iter().for_each(log_change);
         if !confirmed.is_empty() {
-            // Those who believed this box's word must hear it too; those who know say nothing more.
+            // Boxes that received the wrong report from this box need the correction too. Boxes that already know it
+            // send nothing more, so this ends.
             self.peer_client.broadcast_suspects(Vec::new(), confirmed);
         }
         contradictions
     }
 
-    /// Whether a request may be sent, as far as servers ended under it.
+    /// Returns the quarantine's verdict on a request.
     pub(crate) fn verdict(&self, request: Fingerprint) -> Verdict {
         let now = self.now();
         let verdict = self.quarantine().verdict(request, false, now);
         if verdict == Verdict::Free {
-            // Which box may try a held request takes a look at all boxes: not for each request while any is suspected.
+            // Determining the box that may probe a held request looks at all boxes, so it is skipped for requests that
+            // aren't held.
             return verdict;
         }
         let first = self.peer_client.ranks_first(request);
         self.quarantine().verdict(request, first, now)
     }
 
-    /// A request that is held is being sent once after all.
+    /// Records that a held request is sent once as a half-open probe.
     pub(crate) fn begin_probe(&self, request: Fingerprint) {
         let change = self.quarantine().begin_trial(request, self.now());
         telemetry::emit(Event::RequestTried, format_args!("request={request}"));
         self.broadcast(vec![change]);
     }
 
-    /// Logs what has changed, and tells the other boxes.
+    /// Logs changes and broadcasts them to the other boxes.
     fn broadcast(&self, changes: Vec<Change>) {
         changes.iter().for_each(log_change);
         let records: Vec<SuspectRecord> = changes.into_iter().filter_map(Change::into_record).collect();
@@ -107,7 +110,7 @@
     }
 }
 
-/// Logs that a request is held, or no longer is.
+/// Logs that a request was quarantined or released.
 fn log_change(change: &Change) {
     let (event, record) = match change {
         Change::Held(record) => (Event::RequestHeld, record),
@@ -116,7 +119,7 @@
     };
     let mut ends = String::new();
     for end in &record.ends {
-        // Writing to memory can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(ends, "{}{}@-{}ms", if ends.is_empty() { "" } else { "," }, end.server, end.ago);
     }
     telemetry::emit(
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -1,19 +1,19 @@
-//! Whether a stream was in time.
+//! Event times of a stream.
 
 use routing::Route;
 use std::time::Duration;
 
-/// When the events of a stream came.
+/// Event times of a stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Timing {
-    /// From the request's beginning to its first event.
+    /// Time from the start of the request to the first event.
     pub(crate) first: Option<Duration>,
-    /// Longest pause between two events.
+    /// The longest pause between two events.
     pub(crate) pause: Duration,
 }
 
 impl Timing {
-    /// What made a whole stream late, by the aims of its route; none when it was in time.
+    /// Returns which of the route's targets a complete stream missed, or `None` if it was in time.
     pub(crate) fn late_reason(&self, route: &Route) -> Option<&'static str> {
         if self.first.is_some_and(|first| first > route.latency_target) {
             return Some("first");
--- a/crates/relay/tests/connect_timeout.rs
+++ b/crates/relay/tests/connect_timeout.rs
@@ -1,4 +1,4 @@
-//! How long a connection is waited for, by how long others took.
+//! The connection time limit adapts to recent connections.
 
 use relay::ConnectTimeout;
 use std::time::Duration;
--- a/crates/relay/tests/event_splitter.rs
+++ b/crates/relay/tests/event_splitter.rs
@@ -1,4 +1,4 @@
-//! Streams are cut into whole splitter.
+//! Byte streams are split into complete events.
 
 use relay::EventSplitter;
 
--- a/crates/relay/tests/liveness.rs
+++ b/crates/relay/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Connections are set up so that a peer that falls silent shows.
+//! Connections detect a silent peer.
 
 use socket2::SockRef;
 use std::time::Duration;
