--- a/crates/gateway/src/answer_assembler.rs
+++ b/crates/gateway/src/answer_assembler.rs
@@ -1,10 +1,10 @@
-//! Puts the events of a streamed answer together, for callers that want it in one piece.
+//! Assembles the events of a streamed answer for callers that requested a single response.
 
 use bytes::Bytes;
 use serde_json::{json, Map, Value};
 use upstream::EventSplitter;
 
-/// An answer that is being put together.
+/// An answer under assembly.
 #[derive(Debug, Default)]
 pub struct AnswerAssembler {
     head: Map<String, Value>,
@@ -13,7 +13,7 @@
 }
 
 impl AnswerAssembler {
-    /// Takes in one event; events that are no JSON object are left out.
+    /// Adds one event. Events that aren't JSON objects are ignored.
     pub fn push(&mut self, event: &Bytes) {
         let Ok(Value::Object(mut chunk)) = serde_json::from_slice(EventSplitter::data(event)) else { return };
         if let Some(Value::Array(choices)) = chunk.remove("choices") {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The answer in one piece.
+    /// Returns the complete answer.
     #[must_use]
     pub fn finish(mut self) -> Value {
         if let Some(Value::String(object)) = self.head.get_mut("object") {
@@ -59,7 +59,8 @@
     }
 }
 
-/// Texts grow, objects and indexed lists are merged, anything else is replaced.
+/// Merges a chunk into the answer: strings are concatenated, objects and indexed lists are merged, other values are
+/// replaced.
 fn merge(old: &mut Value, new: Value) {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
--- a/crates/gateway/src/app.rs
+++ b/crates/gateway/src/app.rs
@@ -1,4 +1,4 @@
-//! The routes, and what every handler shares.
+//! Routes and the state shared by their handlers.
 
 use crate::{completion, service, Code, ControlHandle, Limits, Problem, Snapshot};
 use actix_web::web::{self, Data, Payload, ServiceConfig};
@@ -9,26 +9,26 @@
 use std::sync::Arc;
 use upstream::{Endpoint, Engine, PlainService};
 
-/// What every handler of one traffic thread shares.
+/// State shared by all handlers of one traffic thread.
 #[derive(Clone)]
 pub struct App {
-    /// The control thread.
+    /// Handle of the control thread.
     pub control: Arc<dyn ControlHandle>,
-    /// The way to engines.
+    /// Client for engines.
     pub engine: Rc<dyn Engine>,
-    /// The way to plain services.
+    /// Client for plain services.
     pub plain: Rc<dyn PlainService>,
-    /// Bounds.
+    /// Limits on requests.
     pub limits: Arc<Limits>,
-    /// The box's name, which begins each answer's id.
+    /// Name of the box; prefix of answer ids.
     pub name: Arc<str>,
-    /// Requests now in this box, over all traffic threads.
+    /// Number of requests in progress, over all traffic threads.
     pub running: Arc<AtomicUsize>,
-    /// Numbers answers, over all traffic threads.
+    /// Sequence number of the next answer, over all traffic threads.
     pub next_answer: Arc<AtomicU64>,
 }
 
-/// One request's place among those that the box takes at once.
+/// Counts one request towards the box's limit until dropped.
 pub struct RequestSlot(Arc<AtomicUsize>);
 
 impl Drop for RequestSlot {
@@ -38,20 +38,20 @@
 }
 
 impl App {
-    /// A place for one more request, if there is room.
+    /// Reserves a slot for a request. Returns `None` at the limit.
     pub(crate) fn reserve_slot(&self) -> Option<RequestSlot> {
         let before = self.running.fetch_add(1, Ordering::Relaxed);
         let slot = RequestSlot(Arc::clone(&self.running));
         (before < self.limits.max_requests).then_some(slot)
     }
 
-    /// The problem of a box that has no room.
+    /// Returns the problem reported when no slot is free.
     pub(crate) fn at_capacity(&self) -> Problem {
-        let message = format!("this box already has {} requests", self.limits.max_requests);
+        let message = format!("this box already has the maximum of {} requests", self.limits.max_requests);
         Problem::before_send(Code::NotReady, message).with_retry_ms(1_000)
     }
 
-    /// The snapshot, if this box takes requests.
+    /// Returns the snapshot if this box accepts requests.
     pub(crate) fn ready_snapshot(&self) -> Result<Arc<Snapshot>, Problem> {
         let snapshot = self.control.snapshot();
         if snapshot.stopping {
@@ -63,13 +63,13 @@
         Ok(snapshot)
     }
 
-    /// The name of a new answer.
+    /// Returns the id for a new answer.
     pub(crate) fn answer_id(&self) -> String {
         format!("cmpl-{}-{}", self.name, self.next_answer.fetch_add(1, Ordering::Relaxed))
     }
 }
 
-/// Adds the routes for callers.
+/// Registers the routes for callers.
 pub fn configure(config: &mut ServiceConfig) {
     config
         .route("/v1/chat/completions", web::post().to(chat))
@@ -126,5 +126,5 @@
 }
 
 async fn not_found() -> HttpResponse {
-    Problem::before_send(Code::NotFound, "there is nothing at this path").response()
+    Problem::before_send(Code::NotFound, "unknown path").response()
 }
--- a/crates/gateway/src/caller.rs
+++ b/crates/gateway/src/caller.rs
@@ -1,31 +1,31 @@
-//! Who calls, under which class, and how the request may be treated.
+//! Identification of callers, their class and the request options.
 
 use crate::{Code, Limits, Problem, Snapshot, CLASS_HEADER, KEY_HEADER, REPEATABLE_HEADER};
 use actix_web::http::header::HeaderMap;
 use catalog::{Class, ClassId, CustomerId};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A caller as its headers identify it.
+/// A caller identified by its headers.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// The customer's short name.
+    /// Id of the customer.
     pub customer: CustomerId,
-    /// The customer's metric label.
+    /// Metric label of the customer.
     pub label: String,
-    /// The class.
+    /// Class of the request.
     pub class: Class,
-    /// The request may be sent again after a failure.
+    /// True if the request may be sent again after a failure.
     pub repeatable: bool,
-    /// The request's key, if it has one.
+    /// Key of the request, if it has one.
     pub key: Option<RequestKey>,
 }
 
-/// The caller's own name for a request, so that a second delivery can be told.
+/// Key chosen by the caller for a request, to detect repeated deliveries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestKey {
     /// Hash of customer and key.
     pub hash: u64,
-    /// How long ago the key was made, where it tells: UUID version 7.
+    /// Age of the key, known for UUIDs of version 7.
     pub age_ms: Option<u64>,
 }
 
@@ -37,7 +37,7 @@
     /// Identifies a caller.
     ///
     /// # Errors
-    /// A [`Problem`] for an unknown key, an unknown class, or one that isn't allowed.
+    /// Returns a [`Problem`] for an unknown API key, an unknown class or a class that the customer may not use.
     pub fn identify(headers: &HeaderMap, snapshot: &Snapshot, limits: &Limits) -> Result<Self, Problem> {
         let bearer = header(headers, "authorization").and_then(|v| v.strip_prefix("Bearer "));
         let api_key = bearer.or_else(|| header(headers, "x-api-key"));
@@ -50,7 +50,10 @@
             return Err(Problem::before_send(Code::UnknownClass, format!("there is no class '{wanted}'")));
         };
         if !customer.classes.iter().any(|c| c == wanted) {
-            return Err(Problem::before_send(Code::ClassNotAllowed, format!("class '{wanted}' isn't allowed to you")));
+            return Err(Problem::before_send(
+                Code::ClassNotAllowed,
+                format!("this customer may not use the class '{wanted}'"),
+            ));
         }
         Ok(Self {
             customer: CustomerId::of(&customer.name),
@@ -61,7 +64,7 @@
         })
     }
 
-    /// The class's short name.
+    /// Returns the id of the class.
     #[must_use]
     pub fn class_id(&self) -> ClassId {
         ClassId::of(&self.class.name)
@@ -83,7 +86,7 @@
     Ok(Some(RequestKey { hash: u64::from_le_bytes(short), age_ms }))
 }
 
-/// When a UUID of version 7 was made, in milliseconds of Unix time; none for any other key.
+/// Returns the creation time of a UUID of version 7 in milliseconds of Unix time, or `None` for any other key.
 fn uuid_v7_ms(key: &str) -> Option<u64> {
     let digits: String = key.chars().filter(|c| *c != '-').collect();
     let is_v7 = key.len() == 36 && digits.len() == 32 && digits.as_bytes()[12] == b'7';
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc;
 use upstream::{Call, Delivered, Endpoint};
 
-/// EventSplitter that may wait for a slow caller.
+/// Maximum number of events buffered for a slow caller.
 const MAX_UNREAD_EVENTS: usize = 64;
 
-/// Bytes of the prompt that name its beginning.
+/// Length of the prompt prefix that is hashed.
 const PREFIX_BYTES: usize = 1_024;
 
-/// Tokens expected when the caller sets no bound, and the most that are ever expected.
+/// Expected answer length if the caller sets no limit, and the upper bound of the expected length.
 const DEFAULT_EXPECTED_TOKENS: u32 = 128;
 const MAX_EXPECTED_TOKENS: u64 = 4_096;
 
@@ -27,14 +27,14 @@
     match prepare(app, request, payload, endpoint).await {
         Ok((driver, streamed)) => {
             let (out, parts) = mpsc::channel(MAX_UNREAD_EVENTS);
-            // A task of its own: the answer goes on when the handler has returned its head.
+            // Runs in a task of its own, because the answer continues after the handler has returned the response head.
             let timeout = app.limits.request_timeout;
             let hangup = request.conn_data::<Hangup>().cloned();
             actix_rt::spawn(async move {
                 tokio::select! {
                     () = driver.run(out) => {}
                     () = Hangup::wait(hangup) => {}
-                    // The caller sees an answer that broke off.
+                    // Dropping the driver truncates the caller's answer.
                     () = tokio::time::sleep(timeout) => {}
                 }
                 drop(slot);
@@ -59,7 +59,7 @@
     let caller = Caller::identify(request.headers(), &snapshot, &app.limits)?;
     let bytes = body::read(payload, &app.limits).await?;
     let body: Value = serde_json::from_slice(&bytes)
-        .map_err(|e| Problem::before_send(Code::InvalidJson, format!("the body is no JSON: {e}")))?;
+        .map_err(|e| Problem::before_send(Code::InvalidJson, format!("the request body is not valid JSON: {e}")))?;
     let model = model_of(&body, &snapshot)?;
     let prompt = prompt_of(&body, endpoint)?;
     let resumable = resumable(&snapshot, &model);
@@ -90,7 +90,7 @@
 
 fn model_of(body: &Value, snapshot: &Snapshot) -> Result<String, Problem> {
     let Some(model) = body["model"].as_str() else {
-        return Err(Problem::before_send(Code::InvalidRequest, "the body names no model"));
+        return Err(Problem::before_send(Code::InvalidRequest, "the field 'model' is missing or not a string"));
     };
     if !snapshot.catalog.models().contains(&model) {
         return Err(Problem::before_send(Code::NotFound, format!("no upstream serves the model '{model}'")));
@@ -104,7 +104,10 @@
         Endpoint::Text => ("prompt", body["prompt"].is_string() || body["prompt"].is_array()),
     };
     if !fits {
-        return Err(Problem::before_send(Code::InvalidRequest, format!("'{field}' is missing or of the wrong kind")));
+        return Err(Problem::before_send(
+            Code::InvalidRequest,
+            format!("the field '{field}' is missing or of the wrong type"),
+        ));
     }
     Ok(body[field].to_string())
 }
@@ -122,7 +125,7 @@
     bound.map_or(DEFAULT_EXPECTED_TOKENS, |n| n.clamp(1, MAX_EXPECTED_TOKENS) as u32)
 }
 
-/// True when every engine of the model can go on with another one's answer.
+/// Returns true if every engine of the model can resume an answer of another one.
 fn resumable(snapshot: &Snapshot, model: &str) -> bool {
     let pools = snapshot.catalog.pools.iter().filter(|(pool, _)| pool.serves == model);
     pools.flat_map(|(_, servers)| servers).all(|u| u.kind == UpstreamKind::Engine && u.resume)
@@ -154,17 +157,23 @@
     HttpResponse::Ok().json(answer.finish())
 }
 
-/// The task that drives the request ended without a word; that is never a whole answer.
+/// Returns the problem for a driver task that ended without a result. The answer is never complete in that case.
 fn truncated() -> Problem {
-    Problem::after_send(Code::UpstreamFailed, "the request was cut off", policy::Ran::Unknown)
+    Problem::after_send(
+        Code::UpstreamFailed,
+        "the request was aborted before its answer was complete",
+        policy::Ran::Unknown,
+    )
 }
 
 type StreamState = Option<(Option<Bytes>, mpsc::Receiver<AnswerPart>)>;
 
-/// The next bytes of a streamed answer. A problem is told, and then the connection is broken off,
-/// so that the answer never looks whole.
+/// Returns the next bytes of a streamed answer.
+///
+/// A problem is sent as an event and followed by an error that aborts the connection, so that the answer can't be taken
+/// for a complete one.
 async fn next_part(state: StreamState) -> Option<(Result<Bytes, std::io::Error>, StreamState)> {
-    let cut = || std::io::Error::other("the answer broke off");
+    let cut = || std::io::Error::other("answer truncated");
     let (first, mut parts) = state?;
     if let Some(first) = first {
         return Some((Ok(first), Some((None, parts))));
@@ -175,7 +184,7 @@
             Some((Ok(event), (!done).then_some((None, parts))))
         }
         Some(Err(problem)) => {
-            // The closed channel makes the next call break the connection.
+            // With the channel closed, the next call returns an error and aborts the connection.
             parts.close();
             Some((Ok(Bytes::from(problem.event())), Some((None, parts))))
         }
@@ -184,7 +193,7 @@
 }
 
 impl App {
-    /// Counts a request that ended before it could be driven.
+    /// Counts a request that ended before it was handed to a driver.
     fn record_early_problem(&self, problem: &Problem) {
         let outcome = problem.outcome();
         debug_assert_ne!(outcome, Outcome::Whole);
--- a/crates/gateway/src/control.rs
+++ b/crates/gateway/src/control.rs
@@ -1,89 +1,90 @@
-//! The border towards the control thread.
+//! Interface to the control thread.
 
 use catalog::{Catalog, CustomerId, Upstream};
 use policy::{Acquire, Permit, Refusal, Report, Time, Verdict};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// What the control thread lets the traffic threads see.
+/// State that the control thread publishes to the traffic threads.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// The release's content.
+    /// Content of the release.
     pub catalog: Catalog,
-    /// The release's number; 0 while there is none.
+    /// Number of the release; 0 while there is none.
     pub release: u64,
-    /// Callers' requests are taken.
+    /// True if the box accepts requests.
     pub ready: bool,
-    /// A planned stop has begun.
+    /// True once a planned stop has begun.
     pub stopping: bool,
-    /// The metric label of each customer, by its index.
+    /// Metric label of each customer, by index.
     pub labels: Vec<String>,
 }
 
-/// A lease as a traffic thread gets it.
+/// A granted lease.
 #[derive(Debug)]
 pub struct LeaseGrant {
     /// The server to use.
     pub server: Upstream,
-    /// Leave to send once.
+    /// Permit for a single send.
     pub permit: Permit,
-    /// Fires when the request is to be stopped and asked for again.
+    /// Fires if the lease is recalled: the request must be stopped and a new lease acquired.
     pub recalled: oneshot::Receiver<()>,
 }
 
-/// What a traffic thread asks of the control thread. `number` is the asker's, unique in the process.
+/// A request from a traffic thread to the control thread. Each `number` is chosen by the sender and unique in the
+/// process.
 #[derive(Debug)]
 pub enum ControlRequest {
-    /// A request came in: may its customer have one more?
+    /// Admits a request if its customer is below its limit.
     Admit {
-        /// Names the request.
+        /// Number of the request.
         number: u64,
-        /// Whose it is.
+        /// The customer.
         customer: CustomerId,
-        /// True if it may.
+        /// Receives true if the request is admitted.
         reply: oneshot::Sender<bool>,
     },
-    /// A request that had entered, or had tried to, has ended.
+    /// Ends a request, whether it was admitted or not.
     Finish {
-        /// Names the request.
+        /// Number of the request.
         number: u64,
-        /// Tokens of its answer.
+        /// Number of answer tokens.
         tokens: u64,
     },
-    /// A slot, please.
+    /// Acquires a lease on a server slot.
     Acquire {
-        /// Names the wish.
+        /// Number of the lease request.
         number: u64,
-        /// What for.
+        /// The requirements for the slot.
         acquire: Acquire,
-        /// The lease, or the refusal.
+        /// Receives the lease or the refusal.
         reply: oneshot::Sender<Result<LeaseGrant, Refusal>>,
     },
-    /// The wish or its lease is over and was not used.
+    /// Cancels a lease request, or returns its lease unused.
     Abandon(u64),
-    /// The lease was used.
+    /// Returns a used lease.
     ReturnLease(u64, Report),
-    /// A request with a key wants to run.
+    /// Claims a request key.
     Claim {
-        /// Names the claim.
+        /// Number of the claim.
         number: u64,
         /// Hash of customer and key.
         key: u64,
-        /// How long ago the key was made, where it tells.
+        /// Age of the key, if known.
         age_ms: Option<u64>,
-        /// What the keepers say.
+        /// Receives the verdict of the key owners.
         reply: oneshot::Sender<Verdict>,
     },
-    /// The claimed request has ended; false when it certainly did not run.
+    /// Ends a claim; false if the request certainly did not run.
     EndClaim(u64, bool),
 }
 
-/// The control thread, as the traffic threads see it.
+/// Handle of the control thread for the traffic threads.
 pub trait ControlHandle: Send + Sync {
-    /// Hands over a request. Never waits.
+    /// Submits a request without blocking.
     fn submit(&self, request: ControlRequest);
-    /// What is in force now.
+    /// Returns the current snapshot.
     fn snapshot(&self) -> Arc<Snapshot>;
-    /// The time on the clock that counts through a freeze.
+    /// Returns the time of a clock that advances while the machine is suspended.
     fn now(&self) -> Time;
 }
--- a/crates/gateway/src/guards.rs
+++ b/crates/gateway/src/guards.rs
@@ -1,6 +1,6 @@
-//! Guards for what a request holds: its place in the customer's limit, its wish, its lease, its claim.
+//! Guards for the resources of a request: customer admission, pending lease request, lease and key claim.
 //!
-//! Each tells the control thread when it is dropped, so a caller that goes away leaks nothing.
+//! Each guard notifies the control thread on drop, so that nothing leaks when a caller disconnects.
 
 use crate::{Code, ControlHandle, ControlRequest, LeaseGrant, Problem};
 use catalog::{CustomerId, Upstream};
@@ -15,19 +15,19 @@
     NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A request within its customer's limit.
+/// A request admitted within its customer's limit.
 pub struct CustomerAdmission {
     control: Arc<dyn ControlHandle>,
     number: u64,
-    /// Tokens passed on so far.
+    /// Number of tokens forwarded so far.
     pub tokens: u64,
 }
 
 impl CustomerAdmission {
-    /// Enters, unless the customer's limit is reached.
+    /// Admits a request unless the customer's limit is reached.
     ///
     /// # Errors
-    /// The refusal.
+    /// Returns the refusal.
     pub async fn admit(control: &Arc<dyn ControlHandle>, customer: CustomerId) -> Result<Self, Refusal> {
         let admission = Self { control: Arc::clone(control), number: next_number(), tokens: 0 };
         let (reply, answer) = oneshot::channel();
@@ -46,7 +46,7 @@
     }
 }
 
-/// A wish for a slot; given up when dropped before [`Wish::keep`].
+/// A pending lease request; cancelled if dropped before it is resolved.
 struct PendingAcquire {
     control: Arc<dyn ControlHandle>,
     number: u64,
@@ -61,31 +61,31 @@
     }
 }
 
-/// A lease on a slot; given back when dropped.
+/// A lease on a server slot; returned on drop.
 pub struct Lease {
     control: Arc<dyn ControlHandle>,
     number: u64,
-    /// The server that the lease is for.
+    /// The leased server.
     pub server: Upstream,
-    /// Fires when the request is to be stopped and asked for again.
+    /// Fires if the lease is recalled: the request must be stopped and a new lease acquired.
     pub recalled: oneshot::Receiver<()>,
-    /// What the server showed so far.
+    /// Observations of the server so far.
     pub report: Report,
     used: bool,
 }
 
 impl Lease {
-    /// Waits for a lease and the permit to send once under it.
+    /// Waits for a lease and the permit for a single send under it.
     ///
     /// # Errors
-    /// The refusal.
+    /// Returns the refusal.
     pub async fn acquire(control: &Arc<dyn ControlHandle>, acquire: Acquire) -> Result<(Self, Permit), Refusal> {
         let mut pending = PendingAcquire { control: Arc::clone(control), number: next_number(), resolved: false };
         let (reply, answer) = oneshot::channel();
         control.submit(ControlRequest::Acquire { number: pending.number, acquire, reply });
         let gone = Refusal { reason: Reason::NotReady, retry_ms: 1_000 };
         let answer = answer.await.unwrap_or(Err(gone));
-        // From here on either the lease gives itself back, or there is nothing to give up.
+        // From here on either the lease returns itself on drop, or there is nothing to cancel.
         pending.resolved = true;
         let LeaseGrant { server, permit, recalled } = answer?;
         let report = Report::default();
@@ -94,7 +94,7 @@
         Ok((lease, permit))
     }
 
-    /// The request goes out now.
+    /// Marks the lease as used, directly before the request is sent.
     pub fn mark_used(&mut self) {
         self.used = true;
     }
@@ -111,11 +111,11 @@
     }
 }
 
-/// A claim on a request key; the key is free again if the request certainly did not run.
+/// A claim on a request key. The key is freed on drop if the request certainly did not run.
 pub struct KeyClaim {
     control: Arc<dyn ControlHandle>,
     number: u64,
-    /// The request may have run, so the key stays used.
+    /// True if the request may have run, so that the key stays used.
     pub ran: bool,
 }
 
@@ -123,7 +123,7 @@
     /// Claims a key.
     ///
     /// # Errors
-    /// A [`Problem`] when the key was used before, or nobody can say.
+    /// Returns a [`Problem`] if the key was used before or its earlier use can't be ruled out.
     pub async fn acquire(control: &Arc<dyn ControlHandle>, key: u64, age_ms: Option<u64>) -> Result<Self, Problem> {
         let claim = Self { control: Arc::clone(control), number: next_number(), ran: false };
         let (reply, answer) = oneshot::channel();
@@ -135,8 +135,7 @@
                 Err(Problem::after_send(Code::KeyUsed, message, policy::Ran::Unknown))
             }
             Ok(Verdict::Unproved) | Err(_) => {
-                let message =
-                    "nobody can say whether this key was used before; a UUID of version 7 made anew can be told";
+                let message = "it is unknown whether this key was used before; a new UUID of version 7 can be verified";
                 Err(Problem::after_send(Code::KeyUnproved, message, policy::Ran::Unknown).with_retry_ms(1_000))
             }
         }
--- a/crates/gateway/src/hangup.rs
+++ b/crates/gateway/src/hangup.rs
@@ -1,7 +1,7 @@
-//! Notices that a caller has gone while its answer isn't being written.
+//! Detection of callers that disconnect while nothing is being written to them.
 //!
-//! The HTTP library looks at the socket only when it has something to read or write; a caller that
-//! hangs up while its request waits, or while an answer in one piece is put together, goes unnoticed.
+//! The HTTP library checks a socket only when it reads or writes. Without this module it would not notice a caller that
+//! disconnects while its request is queued or its response is being assembled.
 
 use std::any::Any;
 use std::io::ErrorKind;
@@ -10,20 +10,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// When the socket is first looked at; each next look comes after twice the time, up to the longest.
+/// Interval before the first socket check. It doubles with each check up to [`MAX_CHECK_INTERVAL`].
 ///
-/// A look costs a wake-up, and a long answer that is being written notices its caller's end by itself.
+/// Each check costs a wake-up, and a long streamed answer detects the disconnection by its own writes.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A second handle on a caller's socket, to look whether it was closed.
+/// A duplicated handle of a caller's socket, to check whether it was closed.
 #[derive(Clone, Debug)]
 pub struct Hangup {
     socket: Arc<TcpStream>,
 }
 
 impl Hangup {
-    /// The handle for a connection as the HTTP server gives it; none if it isn't a TCP connection.
+    /// Creates the handle for a connection of the HTTP server. Returns `None` if it isn't a TCP connection.
     #[must_use]
     pub fn of(connection: &dyn Any) -> Option<Self> {
         let tcp = connection.downcast_ref::<actix_rt::net::TcpStream>()?;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Ends when the caller has hung up. Without a handle it never ends.
+    /// Completes once the caller has disconnected. Never completes without a handle.
     pub async fn wait(handle: Option<Self>) {
         let Some(handle) = handle else { return std::future::pending().await };
         let mut interval = MIN_CHECK_INTERVAL;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP towards callers, in the shape that language-model clients already speak.
+//! HTTP server for callers, with the API that language-model clients use.
 //!
-//! A request is identified, checked, put before the control thread through [`ControlHandle`], sent to the
-//! upstream that the lease names, and its answer is passed on. Each request ends with one
-//! [`Outcome`]. This crate knows nothing of other boxes and decides nothing about order or servers.
+//! A request is identified and validated, acquires a lease from the control thread through [`ControlHandle`], and is
+//! sent to the leased upstream, whose answer is forwarded. Each request ends with exactly one [`Outcome`]. This crate
+//! has no knowledge of other boxes and makes no decisions about ordering or the choice of servers.
 
 mod answer_assembler;
 mod app;
@@ -28,11 +28,11 @@
 pub use outcome::Outcome;
 pub use problem::{Code, Problem};
 
-/// Request header that names the class.
+/// Request header with the class.
 pub const CLASS_HEADER: &str = "cleatshelf-class";
-/// Request header that marks a request as not to be repeated, with the value `no`.
+/// Request header that marks a request as not repeatable, with the value `no`.
 pub const REPEATABLE_HEADER: &str = "cleatshelf-repeatable";
 /// Request header with the caller's key for a request that must not run twice.
 pub const KEY_HEADER: &str = "cleatshelf-request-key";
-/// Response header that says whether the request ran: `no`, `yes` or `unknown`.
+/// Response header that states whether the request ran: `no`, `yes` or `unknown`.
 pub const RAN_HEADER: &str = "cleatshelf-ran";
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,21 +1,21 @@
-//! Bounds on all that a caller can make grow.
+//! Limits on the resources that callers can use.
 
 use std::time::Duration;
 
-/// Bounds on all that a caller can make grow.
+/// Limits on the resources that callers can use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request body in bytes.
+    /// Size limit of a request body.
     pub max_body_bytes: usize,
-    /// Longest time in which a body must have come.
+    /// Time limit for receiving a request body.
     pub body_timeout: Duration,
-    /// Most requests at once in this box, waiting ones included.
+    /// Maximum number of simultaneous requests in this box, including queued ones.
     pub max_requests: usize,
-    /// Longest time a caller may leave its answer unread.
+    /// Time for which a caller may stop reading its answer.
     pub unread_timeout: Duration,
-    /// Longest request key in bytes.
+    /// Length limit of a request key.
     pub max_key_bytes: usize,
-    /// Longest whole life of a request.
+    /// Time limit of a request in total.
     pub request_timeout: Duration,
 }
 
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -1,22 +1,22 @@
-//! How a request ended.
+//! The outcome of a request.
 
-/// How a request ended: exactly one of these for each request.
+/// The outcome of a request. Each request has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The caller got the whole answer.
+    /// The complete answer was delivered to the caller.
     Whole,
-    /// It was refused and did not run.
+    /// Refused: the request did not run.
     NotRun,
-    /// It failed after it ran or may have run.
+    /// Failed after the request ran or may have run.
     Failed,
-    /// The caller went away first.
+    /// The caller disconnected.
     Gone,
-    /// The caller's request was wrong.
+    /// Caller error.
     Wrong,
 }
 
 impl Outcome {
-    /// The metric label.
+    /// Returns the metric label.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it gets no answer.
+//! Error responses to callers.
 
 use crate::{Outcome, RAN_HEADER};
 use actix_web::http::StatusCode;
@@ -6,36 +6,36 @@
 use policy::{Ran, Reason, Refusal};
 use serde_json::{json, Value};
 
-/// The stable code of a problem. Codes never change their meaning.
+/// Stable code of a problem. The meaning of a code never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     /// No customer has this API key.
     InvalidApiKey,
-    /// The body is no JSON object.
+    /// The body isn't a JSON object.
     InvalidJson,
-    /// A field is missing or makes no sense.
+    /// A field is missing or invalid.
     InvalidRequest,
     /// No upstream serves this model or service.
     NotFound,
     /// No class has this name.
     UnknownClass,
-    /// The class isn't allowed to the customer.
+    /// The customer may not use this class.
     ClassNotAllowed,
-    /// The body is larger than this box takes.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The body didn't come in time.
+    /// The body was not received within the time limit.
     BodyTooSlow,
     /// The customer's limit is reached.
     CustomerLimit,
     /// The box has no release, is stopping, or has too many requests.
     NotReady,
-    /// The target can't be met now.
+    /// The class's latency target can't be met at present.
     Overloaded,
-    /// No server for it is in service.
+    /// No suitable server is in service.
     NoServer,
     /// A request with this key was delivered before.
     KeyUsed,
-    /// Nobody can say whether a request with this key was delivered before.
+    /// It is unknown whether a request with this key was delivered before.
     KeyUnproved,
     /// The upstream failed.
     UpstreamFailed,
@@ -44,7 +44,7 @@
 }
 
 impl Code {
-    /// The code as callers see it.
+    /// Returns the code as sent to callers.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -87,57 +87,57 @@
     }
 }
 
-/// What a caller is told when it gets no answer.
+/// An error response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The stable code.
+    /// Stable code.
     pub code: Code,
-    /// A sentence for a person.
+    /// Human-readable message.
     pub message: String,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, in milliseconds.
+    /// Delay after which the caller may retry.
     pub retry_ms: Option<u32>,
-    /// An upstream's own error: status and body, passed on as they are.
+    /// Status and body of an upstream's own error, forwarded unchanged.
     pub upstream_answer: Option<(u16, Vec<u8>)>,
 }
 
 impl Problem {
-    /// A problem found before anything was sent.
+    /// Creates a problem found before anything was sent.
     #[must_use]
     pub fn before_send(code: Code, message: impl Into<String>) -> Self {
         Self { code, message: message.into(), ran: Ran::No, retry_ms: None, upstream_answer: None }
     }
 
-    /// A problem of a request that was sent.
+    /// Creates a problem of a request that was sent.
     #[must_use]
     pub fn after_send(code: Code, message: impl Into<String>, ran: Ran) -> Self {
         Self { code, message: message.into(), ran, retry_ms: None, upstream_answer: None }
     }
 
-    /// A refusal by the decisions; `ran` comes from the request's state.
+    /// Creates the problem for a refusal by the `policy` crate; `ran` comes from the request's state.
     #[must_use]
     pub fn refused(refusal: Refusal, ran: Ran) -> Self {
         let (code, message) = match refusal.reason {
-            Reason::Infeasible => (Code::Overloaded, "the class's target can't be met now"),
+            Reason::Infeasible => (Code::Overloaded, "the class's latency target can't be met at present"),
             Reason::Late => (Code::Overloaded, "the request has waited too long"),
             Reason::QueueFull => (Code::Overloaded, "the class's queue is full"),
             Reason::Limit => (Code::CustomerLimit, "the customer's limit is reached"),
-            Reason::NoServer => (Code::NoServer, "no server for this is in service"),
-            Reason::NotReady => (Code::NotReady, "this box takes no requests now"),
-            Reason::NoBudget => (Code::UpstreamFailed, "the upstream failed and the budget for retries is spent"),
+            Reason::NoServer => (Code::NoServer, "no suitable server is in service"),
+            Reason::NotReady => (Code::NotReady, "this box accepts no requests at present"),
+            Reason::NoBudget => (Code::UpstreamFailed, "the upstream failed and the retry budget is exhausted"),
         };
         Self { code, message: message.into(), ran, retry_ms: Some(refusal.retry_ms), upstream_answer: None }
     }
 
-    /// Adds when to come back, in milliseconds.
+    /// Adds a retry delay.
     #[must_use]
     pub fn with_retry_ms(mut self, ms: u32) -> Self {
         self.retry_ms = Some(ms);
         self
     }
 
-    /// How the request counts.
+    /// Returns the outcome that the request is counted under.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self.ran {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The ecosystem's error object.
+    /// Returns the error object in the format of the language-model API.
     #[must_use]
     pub fn body(&self) -> Value {
         json!({"error": {
@@ -159,7 +159,7 @@
         }})
     }
 
-    /// The whole response.
+    /// Returns the HTTP response.
     #[must_use]
     pub fn response(&self) -> HttpResponse {
         let upstream_answer = self.upstream_answer.as_ref();
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The event that tells of a problem in a stream that has already begun.
+    /// Returns the event that reports the problem in a stream that has already begun.
     #[must_use]
     pub fn event(&self) -> String {
         format!("event: error\ndata: {}\n\n", self.body())
--- a/crates/gateway/src/request_driver.rs
+++ b/crates/gateway/src/request_driver.rs
@@ -1,4 +1,4 @@
-//! Drives one model request from its first wish for a slot to its last token.
+//! State machine of one model request, from the first lease request to the last token.
 
 use crate::caller::Caller;
 use crate::guards::{CustomerAdmission, KeyClaim, Lease};
@@ -16,57 +16,57 @@
 use tokio::sync::mpsc;
 use upstream::{Call, Delivered, Engine, EventSplitter, Failure, TokenStream};
 
-/// Tries of one request, the first included.
+/// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// A request recalled this often is no longer asked to step back.
+/// After this many recalls the request no longer counts as resumable, so its leases aren't recalled again.
 const MAX_RECALLS: u32 = 3;
 
-/// What the caller's side gets: whole events, or the one problem that ends it.
+/// Message to the caller's side: a complete event, or the problem that ends the answer.
 pub type AnswerPart = Result<Bytes, Problem>;
 
 /// One model request.
 pub struct RequestDriver {
-    /// The control thread.
+    /// Handle of the control thread.
     pub control: Arc<dyn ControlHandle>,
-    /// The way to engines.
+    /// Client for engines.
     pub engine: std::rc::Rc<dyn Engine>,
-    /// Bounds.
+    /// Limits on requests.
     pub limits: Arc<Limits>,
-    /// Who calls.
+    /// The identified caller.
     pub caller: Caller,
-    /// What is asked.
+    /// The request to the engine.
     pub call: Call,
-    /// The model.
+    /// Name of the model.
     pub model: String,
-    /// Tokens expected.
+    /// Expected number of answer tokens.
     pub tokens: u32,
-    /// Hash of the prompt's beginning.
+    /// Hash of the prompt prefix.
     pub prefix: u32,
-    /// Every engine of the model can resume.
+    /// True if every engine of the model can resume an answer of another one.
     pub resumable: bool,
-    /// When the call came in.
+    /// Arrival time of the request.
     pub arrived: Time,
 }
 
-/// Why a try ended without the whole answer.
+/// The reason why an attempt ended before the answer was complete.
 enum AttemptError {
-    /// The caller is gone.
+    /// The caller disconnected.
     CallerGone,
-    /// The owner wants the slot back.
+    /// The owner recalled the lease.
     Recalled(Sent),
-    /// No byte of this try reached the engine.
+    /// No byte of this attempt reached the engine.
     Unreached(Sent),
-    /// The engine failed or broke off.
+    /// The engine failed or the connection was lost.
     Broken(Sent, String),
-    /// The engine said no.
+    /// The engine answered with an error status and a body.
     Refused(Sent, u16, Vec<u8>),
 }
 
-/// What is passed on so far.
+/// State of the answer delivered so far.
 struct Delivery {
     out: mpsc::Sender<AnswerPart>,
-    /// EventSplitter passed on, kept while the answer may have to be resumed.
+    /// Forwarded events, retained while the answer may have to be resumed.
     events: Vec<Bytes>,
     retain_events: bool,
     metrics: RequestMetrics,
@@ -84,7 +84,7 @@
 }
 
 impl RequestDriver {
-    /// Runs the request to its end; everything the caller gets goes to `out`.
+    /// Runs the request to its end. Everything for the caller is sent to `out`.
     pub async fn run(mut self, out: mpsc::Sender<AnswerPart>) {
         let metrics = RequestMetrics::new(&self.caller.class.name, &self.caller.label);
         let caller = out.clone();
@@ -99,7 +99,7 @@
             let detail = format_args!("class={} code={}", self.caller.class.name, problem.code.as_str());
             telemetry::emit(Event::OutcomeUnknown, detail);
         }
-        // The caller may be gone; then nobody needs to be told.
+        // Fails only if the caller has disconnected.
         let _ = out.send(Err(problem)).await;
     }
 
@@ -126,7 +126,7 @@
                 Ok(())
             }
             Err(Some(problem)) => Err((problem, delivery.metrics)),
-            // The caller is gone; the journal counts that when it is dropped.
+            // The caller disconnected; dropping the metrics counts that.
             Err(None) => Ok(()),
         }
     }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Tries until the answer is whole. `Err(None)` says that the caller is gone.
+    /// Makes attempts until the answer is complete. `Err(None)` means that the caller disconnected.
     async fn attempt_until_complete(
         &mut self,
         mut stage: Stage,
@@ -159,7 +159,7 @@
             let sent = match stage.send(permit, self.control.now()) {
                 Ok(sent) => sent,
                 Err(stage_unchanged) => {
-                    // We woke late: the slot may be somebody else's by now.
+                    // The permit expired before this task ran: the slot may be leased to another request by now.
                     (stage, cause) = (stage_unchanged, Cause::Recall);
                     continue;
                 }
@@ -187,15 +187,15 @@
         }
     }
 
-    /// The invariant at each send: what isn't repeatable has reached no upstream before.
+    /// Checks that a request that isn't repeatable has reached no upstream before.
     ///
-    /// The types make the opposite impossible; this says so, should they ever be changed.
+    /// The types already rule that out. The check reports a violation if they are ever changed.
     fn check_single_send(&self, sent: Sent, may_have_run: bool) -> Result<Sent, Option<Problem>> {
         if self.caller.repeatable || !may_have_run {
             return Ok(sent);
         }
         telemetry::emit(Event::SecondSendBroken, format_args!("class={}", self.caller.class.name));
-        Err(Some(upstream_failed("it was about to be sent twice", Ran::Unknown)))
+        Err(Some(upstream_failed("a request that is not repeatable was about to be sent twice", Ran::Unknown)))
     }
 
     fn acquire_params(&self, cause: Cause, avoid: Option<ServerId>, recalls: u32) -> Acquire {
@@ -206,20 +206,20 @@
             tokens: self.tokens.saturating_sub(self.call.delivered.tokens).max(1),
             prefix: self.prefix,
             resumable: self.caller.repeatable && self.resumable && recalls < MAX_RECALLS,
-            // After a recall the wait begins anew: the class's target was met or missed before.
+            // After a recall the wait starts anew: the class's target was already met or missed with the first tokens.
             arrived: if self.call.delivered.tokens == 0 { self.arrived } else { self.control.now() },
             cause,
             avoid,
         }
     }
 
-    /// Notes what the caller already has, so that the next engine goes on from there.
+    /// Stores the delivered part of the answer in the call, so that the next engine resumes from there.
     fn prepare_resume(&mut self, delivery: &Delivery) -> Result<(), Option<Problem>> {
         if delivery.events.is_empty() {
             return Ok(());
         }
         if !self.resumable {
-            let message = "the engine broke off and no engine can resume the answer";
+            let message = "the engine failed and no engine can resume the answer";
             return Err(Some(Problem::after_send(Code::UpstreamFailed, message, Ran::Yes)));
         }
         self.call.delivered = delivered_text(&delivery.events);
@@ -242,7 +242,7 @@
                 Err(AttemptError::Unreached(sent))
             }
             Err(Failure::Refused { status, body }) => {
-                // A caller's mistake says nothing about the engine.
+                // A caller error is no failure of the engine.
                 lease.report.failed = status >= 500;
                 Err(AttemptError::Refused(sent, status, body))
             }
@@ -269,7 +269,7 @@
             };
             match event {
                 Ok(Some(event)) if EventSplitter::is_done(&event) => {
-                    // With this the caller's side may end at once; nothing must wait after it.
+                    // The caller's side may end as soon as it receives this event, so nothing may follow it.
                     return if self.send_to_caller(&delivery.out, event).await {
                         Ok(())
                     } else {
@@ -284,7 +284,9 @@
                         return Err(AttemptError::CallerGone);
                     }
                 }
-                Ok(None) => return Err(AttemptError::Broken(sent, "the answer had no end".to_owned())),
+                Ok(None) => {
+                    return Err(AttemptError::Broken(sent, "the answer ended without its final event".to_owned()))
+                }
                 Err(why) => {
                     lease.report.failed = true;
                     return Err(AttemptError::Broken(sent, why.to_string()));
@@ -293,7 +295,7 @@
         }
     }
 
-    /// False when the caller is gone or leaves its answer unread.
+    /// Sends an event to the caller. Returns false if the caller disconnected or stopped reading.
     async fn send_to_caller(&self, out: &mpsc::Sender<AnswerPart>, event: Bytes) -> bool {
         match out.try_send(Ok(event)) {
             Ok(()) => true,
@@ -305,7 +307,7 @@
     }
 }
 
-/// What follows from a try that ended early: another stage, or the end with what is true of it.
+/// Returns the stage after a failed attempt, or the problem that ends the request.
 fn next_stage(error: AttemptError, failures: u32) -> Result<Stage, Option<Problem>> {
     let spent = failures >= MAX_ATTEMPTS;
     match error {
@@ -346,7 +348,7 @@
     Problem { upstream_answer: Some((status, body)), ..problem }
 }
 
-/// The tokens and the text of events.
+/// Extracts the tokens and text of delivered events.
 fn delivered_text(events: &[Bytes]) -> Delivered {
     let mut delivered = Delivered::default();
     for event in events {
--- a/crates/gateway/src/request_metrics.rs
+++ b/crates/gateway/src/request_metrics.rs
@@ -1,11 +1,11 @@
-//! The figures of one request: times by class and by customer, and its one outcome.
+//! Metrics of one request: latencies by class and customer, and the outcome.
 
 use crate::Outcome;
 use metrics::Histogram;
 use std::time::Instant;
 use telemetry::Event;
 
-/// The figures of one request. Counts one outcome: the one it is closed with, or `gone`.
+/// Metrics of one request. Counts exactly one outcome: the one passed to [`RequestMetrics::finish`], or `gone` on drop.
 pub struct RequestMetrics {
     class: String,
     customer: String,
@@ -16,7 +16,7 @@
 }
 
 impl RequestMetrics {
-    /// A request that came in now.
+    /// Starts the measurement of a new request.
     #[must_use]
     pub fn new(class: &str, customer: &str) -> Self {
         let labels = [("class", class.to_owned()), ("customer", customer.to_owned())];
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A token is passed on.
+    /// Records a forwarded token.
     pub fn record_token(&mut self) {
         let now = Instant::now();
         match self.last_token {
@@ -45,14 +45,14 @@
         metrics::histogram!(name, &labels).record(now.duration_since(self.started).as_secs_f64());
     }
 
-    /// The request has ended.
+    /// Records the outcome.
     pub fn finish(mut self, outcome: Outcome) {
         self.record_outcome(outcome);
     }
 
     fn record_outcome(&mut self, outcome: Outcome) {
         if self.finished {
-            // Dropping a closed journal is the rule; closing it once more would be a second outcome.
+            // The drop after `finish` is expected; any other call would count a second outcome.
             if outcome != Outcome::Gone {
                 telemetry::emit(Event::SecondOutcomeBroken, format_args!("outcome={}", outcome.as_str()));
             }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -13,10 +13,10 @@
 use std::time::Instant;
 use upstream::{Failure, PlainAnswer, PlainRequest};
 
-/// Tries of one request, the first included.
+/// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: u32 = 3;
 
-/// Headers of the caller that concern this box and not the service.
+/// Request headers that are meant for this box and not forwarded to the service.
 const STRIPPED_HEADERS: [&str; 6] =
     ["host", "connection", "authorization", "content-length", "transfer-encoding", "x-api-key"];
 
@@ -26,7 +26,7 @@
     let hangup = request.conn_data::<Hangup>().cloned();
     let result = tokio::select! {
         result = run(app, request, name, rest, payload) => result,
-        // Nobody reads this answer; the guards have given everything back.
+        // No caller reads this response; the guards have already released everything.
         () = Hangup::wait(hangup) => return HttpResponse::NoContent().finish(),
     };
     match result {
@@ -144,7 +144,7 @@
     Err(Problem::after_send(Code::NoServer, "no server could be reached", stage.refuse()).with_retry_ms(1_000))
 }
 
-/// What follows from a failure: another try, or the end with what is true of it.
+/// Returns the stage after a failed attempt, or the problem that ends the request.
 fn next_stage(sent: Sent, failure: &Failure, last: bool) -> Result<Stage, Problem> {
     let failed = |ran| Problem::after_send(Code::UpstreamFailed, format!("the service failed: {failure}"), ran);
     if matches!(failure, Failure::Unreached(_)) {
--- a/crates/gateway/src/stage.rs
+++ b/crates/gateway/src/stage.rs
@@ -1,12 +1,12 @@
-//! Where a request stands, as far as sending goes.
+//! Send state of a request between leases.
 
 use policy::{Permit, Ran, Resend, Sent, Time, Unsent};
 
-/// Where a request that holds no lease stands.
+/// Send state of a request that holds no lease.
 pub enum Stage {
-    /// No byte of it can have reached an upstream.
+    /// No byte can have reached an upstream.
     Unsent(Unsent),
-    /// It may have run, and may be sent again.
+    /// The request may have run, and may be sent again.
     Resend(Resend),
 }
 
@@ -14,7 +14,7 @@
     /// Sends under `permit`.
     ///
     /// # Errors
-    /// The same stage when the permit is too old.
+    /// Returns the unchanged stage if the permit has expired.
     pub fn send(self, permit: Permit, now: Time) -> Result<Sent, Self> {
         match self {
             Self::Unsent(unsent) => unsent.send(permit, now).map_err(Self::Unsent),
@@ -22,7 +22,7 @@
         }
     }
 
-    /// What is true of the request when it is given up here.
+    /// Gives the request up and returns whether it ran.
     #[must_use]
     pub fn refuse(self) -> Ran {
         match self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The stage after a send that reached nobody.
+    /// Returns the stage after a send that reached no server.
     #[must_use]
     pub fn after_unreached(sent: Sent) -> Self {
         sent.connect_failed().map_or_else(Self::Resend, Self::Unsent)
--- a/crates/gateway/src/token_timer.rs
+++ b/crates/gateway/src/token_timer.rs
@@ -1,9 +1,9 @@
-//! How fast an engine's tokens come, for the lease's report.
+//! Measurement of an engine's token rate for the lease's report.
 
 use crate::guards::Lease;
 use std::time::Instant;
 
-/// Times between an engine's tokens.
+/// Times of an engine's first and last token.
 pub(crate) struct TokenTimer {
     started: Instant,
     first: Option<Instant>,
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -18,8 +18,8 @@
 /// forwarded.
 const MAX_ANSWER_BYTES: usize = 32 << 20;
 
-/// Number of stale connections (closed by the server while idle) that one send may try before the server counts as
-/// unreached.
+/// Maximum number of stale connections (closed by the server while idle) that one send may try before the server counts
+/// as unreached.
 const MAX_STALE_CONNECTIONS: usize = 3;
 
 /// The result of one send.
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -11,9 +11,9 @@
 use telemetry::Event;
 use tokio::time::Instant;
 
-/// Number of owners that are queried for one request: those of eight servers that probably cache its prompt (including
-/// the home servers and the next ones in order) and of one cheap server. For a request that shares no prompt parts all
-/// of them are cheap servers.
+/// Maximum number of owners that are queried for one request: those of eight servers that probably cache its prompt
+/// (including the home servers and the next ones in order) and of one cheap server. For a request that shares no prompt
+/// parts all of them are cheap servers.
 const MAX_STATUS_REQUESTS: usize = 9;
 
 /// Time limit for status and permit replies. Owners are a few milliseconds away, and a slow one must not make requests
--- a/crates/relay/src/connections.rs
+++ b/crates/relay/src/connections.rs
@@ -25,7 +25,7 @@
 /// server is closing.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
 
-/// Number of idle connections kept per server.
+/// Maximum number of idle connections kept per server.
 const MAX_IDLE_PER_SERVER: usize = 24;
 
 /// Buffer size limit of a connection.
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Number of servers without a connection that one request may try. They don't count as sends.
+/// Maximum number of servers without a connection that one request may try. They don't count as sends.
 const MAX_UNREACHED_SERVERS: usize = 6;
 
 /// Time that must remain for another send: the network round trip plus the shortest processing time.
--- a/crates/relay/src/frontend.rs
+++ b/crates/relay/src/frontend.rs
@@ -51,7 +51,7 @@
     shared: Arc<Shared>,
     connections: Connections,
     crash_detector: CrashDetector,
-    /// Limit of simultaneous callers' connections.
+    /// Maximum number of simultaneous callers' connections.
     max_connections: usize,
     open: Rc<Cell<usize>>,
     /// Sequence that distributes requests over the services of a route.
--- a/crates/relay/src/stream_forwarder.rs
+++ b/crates/relay/src/stream_forwarder.rs
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Number of chunks buffered for the caller. Small, so that a slow caller throttles the server.
+/// Maximum number of chunks buffered for the caller. Small, so that a slow caller throttles the server.
 const MAX_BUFFERED_PIECES: usize = 4;
 
 type Piece = Result<Frame<Bytes>, TruncatedAnswer>;
--- a/crates/upstream/src/call.rs
+++ b/crates/upstream/src/call.rs
@@ -1,9 +1,9 @@
-//! What is asked of an upstream.
+//! Requests to upstreams and answers of plain services.
 
 use bytes::Bytes;
 use serde_json::Value;
 
-/// Which of an engine's two endpoints.
+/// Endpoint of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
     /// `/v1/chat/completions`
@@ -13,7 +13,7 @@
 }
 
 impl Endpoint {
-    /// The path.
+    /// Returns the path.
     #[must_use]
     pub fn path(self) -> &'static str {
         match self {
@@ -23,10 +23,10 @@
     }
 }
 
-/// What the caller already has of an answer that is to be resumed.
+/// The part of an answer that the caller has already received, for resuming it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Delivered {
-    /// How many tokens, that is events.
+    /// Number of tokens, which equals the number of events.
     pub tokens: u32,
     /// Their text.
     pub text: String,
@@ -35,22 +35,22 @@
 /// A request to an engine.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: Endpoint,
-    /// The caller's body, whole.
+    /// The caller's complete body.
     pub body: Value,
-    /// The answer's name, the same for every try.
+    /// Id of the answer, equal for all attempts.
     pub id: String,
-    /// The class's rank: lower goes first.
+    /// Rank of the class; lower ranks go first.
     pub priority: u8,
-    /// The request may be sent again after a failure.
+    /// True if the request may be sent again after a failure.
     pub repeatable: bool,
-    /// What the caller already has, empty at first.
+    /// The part that the caller has already received; empty at first.
     pub delivered: Delivered,
 }
 
 impl Call {
-    /// The body as the engine gets it: always streamed, so that a break is noticed at once.
+    /// Returns the body for the engine. Always requests a stream, so that a lost connection is noticed at once.
     #[must_use]
     pub fn render(&self) -> Vec<u8> {
         let mut body = self.body.clone();
@@ -74,21 +74,21 @@
     pub method: String,
     /// Path and query below the service's name, beginning with a slash.
     pub target: String,
-    /// Headers that are passed on.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
-    /// The request may be sent again after a failure.
+    /// True if the request may be sent again after a failure.
     pub repeatable: bool,
 }
 
-/// A plain service's answer.
+/// An answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlainAnswer {
     /// The HTTP status.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Headers to forward.
     pub headers: Vec<(String, String)>,
-    /// The body, whole.
+    /// The complete body.
     pub body: Bytes,
 }
--- a/crates/upstream/src/http.rs
+++ b/crates/upstream/src/http.rs
@@ -1,4 +1,4 @@
-//! Upstreams over HTTP.
+//! HTTP client for upstreams.
 
 use crate::{Call, Engine, EventSplitter, Failure, LoadProbe, PlainAnswer, PlainRequest, PlainService, TokenStream};
 use async_trait::async_trait;
@@ -12,29 +12,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Largest error body that is passed on.
+/// Size limit of error bodies and load reports.
 const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
 
-/// Largest answer of a plain service.
+/// Size limit of a plain service's answer.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Longest wait for a load report.
+/// Time limit for a load report.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an idle connection is kept.
+/// Idle time limit of pooled connections.
 const KEEP_ALIVE: Duration = Duration::from_secs(2);
 
 /// Total time limit of a streamed answer; pauses within it are bounded by [`Timeouts::idle`].
 const MAX_STREAM_TIME: Duration = Duration::from_secs(86_400);
 
-/// How long things may take.
+/// Time limits of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// Until a connection is made.
+    /// For opening a connection.
     pub connect: Duration,
-    /// Until the head of an answer.
+    /// For the head of the answer.
     pub head: Duration,
-    /// Between two parts of an answer.
+    /// Between two chunks of the answer.
     pub idle: Duration,
 }
 
@@ -44,11 +44,11 @@
     }
 }
 
-/// Engines and plain services over HTTP.
+/// Client for engines and plain services over HTTP.
 pub struct HttpClient {
-    /// Keeps connections for a short while.
+    /// Reuses connections for a short time.
     pooled: Client,
-    /// Makes a connection for each request.
+    /// Opens a connection for each request.
     unpooled: Client,
     timeouts: Timeouts,
 }
@@ -68,7 +68,7 @@
 }
 
 impl HttpClient {
-    /// A client with these waits. One for each traffic thread.
+    /// Creates a client with these time limits. Each traffic thread has its own.
     #[must_use]
     pub fn new(timeouts: Timeouts) -> Self {
         let pooled = client(timeouts, KEEP_ALIVE);
@@ -76,8 +76,10 @@
         Self { pooled, unpooled, timeouts }
     }
 
-    /// A kept connection that the upstream has just closed would make a request fail of which nobody
-    /// knows whether it ran. A repeatable one is simply sent again; the others get a new connection.
+    /// Returns the client for a request.
+    ///
+    /// If an upstream has just closed a pooled connection, a request on it fails and it is unknown whether it ran.
+    /// Repeatable requests are then sent again; all others use a new connection.
     fn client(&self, repeatable: bool) -> &Client {
         if repeatable {
             &self.pooled
@@ -98,12 +100,14 @@
     builder.finish()
 }
 
-/// Only a connection that was never made proves that nothing ran.
+/// Classifies a client error. Only a connection that was never opened proves that the request did not run.
 ///
-/// The library also calls it a connect error when an open connection is closed before the answer.
+/// `awc` also reports a connect error if an open connection is closed before the answer.
 fn classify_error(error: &SendRequestError) -> Failure {
     match error {
-        SendRequestError::Connect(ConnectError::Disconnected) => Failure::Broken("closed before its answer".into()),
+        SendRequestError::Connect(ConnectError::Disconnected) => {
+            Failure::Broken("connection closed before the answer".into())
+        }
         SendRequestError::Connect(error) => Failure::Unreached(error.to_string()),
         SendRequestError::Url(error) => Failure::Unreached(error.to_string()),
         other => Failure::Broken(other.to_string()),
@@ -134,10 +138,10 @@
             let more = tokio::time::timeout(self.idle, self.body.next()).await;
             match more {
                 Ok(Some(Ok(bytes))) if self.events.feed(&bytes) => {}
-                Ok(Some(Ok(_))) => return Err(Failure::Broken("an event is too large".into())),
+                Ok(Some(Ok(_))) => return Err(Failure::Broken("event too large".into())),
                 Ok(Some(Err(error))) => return Err(Failure::Broken(error.to_string())),
-                Ok(None) => return Err(Failure::Broken("the stream ended before the answer did".into())),
-                Err(_) => return Err(Failure::Broken("silent for too long".into())),
+                Ok(None) => return Err(Failure::Broken("stream ended before the answer was complete".into())),
+                Err(_) => return Err(Failure::Broken("no data within the idle timeout".into())),
             }
         }
     }
--- a/crates/upstream/src/lib.rs
+++ b/crates/upstream/src/lib.rs
@@ -1,8 +1,8 @@
 //! Clients of model engines and plain services.
 //!
-//! [`Engine`] and [`PlainService`] are the borders at which other kinds of upstream plug in; [`HttpClient`] speaks
-//! the interface that language-model clients know, over `awc`. This crate says truthfully whether a
-//! request can have reached an upstream; what follows from that is decided by `policy` and `gateway`.
+//! [`Engine`] and [`PlainService`] are the interfaces for other kinds of upstream; [`HttpClient`] implements them with
+//! `awc` and the API that language-model clients use. This crate reports reliably whether a request can have reached an
+//! upstream; the consequences are decided by `policy` and `gateway`.
 
 mod call;
 mod event_splitter;
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! One frame: length, proof, and a value in `bincode`.
+//! Frames: a length, an authentication tag and a `bincode` payload.
 
 use crate::key::{Session, TAG_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
@@ -6,35 +6,35 @@
 use serde::Serialize;
 use std::marker::PhantomData;
 
-/// The largest frame's payload in bytes: a release part of a megabyte and a little more.
+/// Size limit of a frame's payload: a release part of one megabyte plus its envelope.
 pub const MAX_FRAME_BYTES: usize = 1_100_000;
 
-/// Most bytes of a frame's length, which is written as `bincode` writes a whole number.
+/// Size limit of the length field, a `bincode` varint.
 const MAX_LENGTH_BYTES: usize = 5;
 
-/// Bytes that HTTP/2 puts around what is written at once.
+/// Size of the HTTP/2 frame header around each write.
 const DATA_FRAME_HEADER_BYTES: usize = 9;
 
-/// Why a frame was refused.
+/// The reason why a frame was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// It is larger than [`MAX_FRAME_BYTES`].
     TooLarge,
-    /// Its proof is wrong.
+    /// Its authentication tag is wrong.
     Unauthenticated,
-    /// Its bytes are no message of this version.
+    /// Its payload is no message of this version.
     Undecodable,
 }
 
-/// A message as bytes, not yet proved for a stream.
+/// An encoded message without the authentication tag, which depends on the stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame(pub Vec<u8>);
 
 impl Frame {
-    /// The frame of a message.
+    /// Encodes a message.
     ///
     /// # Errors
-    /// When the message can't be encoded or is larger than [`MAX_FRAME_BYTES`].
+    /// Returns an error if the message can't be encoded or is larger than [`MAX_FRAME_BYTES`].
     pub fn encode<T: Serialize>(message: &T) -> Result<Self, FrameError> {
         let bytes = bincode::serde::encode_to_vec(message, bincode::config::standard());
         let bytes = bytes.map_err(|_| FrameError::Undecodable)?;
@@ -44,7 +44,7 @@
         Ok(Self(bytes))
     }
 
-    /// Bytes of a frame of its own on the connection: with its length, its proof and the head of HTTP/2.
+    /// Returns the size on the connection if sent alone: length, tag, payload and HTTP/2 frame header.
     #[must_use]
     pub fn wire_bytes(&self) -> usize {
         encode_length(self.0.len()).len() + TAG_BYTES + self.0.len() + DATA_FRAME_HEADER_BYTES
@@ -52,28 +52,29 @@
 }
 
 fn encode_length(payload: usize) -> Vec<u8> {
-    // A whole number can always be encoded.
+    // Encoding an integer can't fail.
     bincode::serde::encode_to_vec(payload as u32, bincode::config::standard()).unwrap_or_default()
 }
 
-/// The length that `bytes` begin with and its own size; none while it isn't all there.
+/// Decodes the length field at the beginning of `bytes`. Returns the length and the size of the field, or `None` if it
+/// is incomplete or invalid.
 fn decode_length(bytes: &[u8]) -> Option<(usize, usize)> {
     let head = &bytes[..bytes.len().min(MAX_LENGTH_BYTES)];
     let read = bincode::serde::decode_from_slice::<u32, _>(head, bincode::config::standard());
     read.ok().map(|(length, size)| (length as usize, size))
 }
 
-/// Writes and reads the frames of one stream.
+/// Encodes and decodes the frames of one stream.
 pub struct Codec<T> {
     session: Session,
     buffer: BytesMut,
-    /// True once a frame was proved.
+    /// True once a frame was authenticated.
     pub authenticated: bool,
     message: PhantomData<T>,
 }
 
 impl<T: DeserializeOwned> Codec<T> {
-    /// A codec for the stream with this session.
+    /// Creates a codec for the stream with this session.
     #[must_use]
     pub fn new(session: Session) -> Self {
         Self { session, buffer: BytesMut::new(), authenticated: false, message: PhantomData }
@@ -86,18 +87,18 @@
         out.extend_from_slice(&frame.0);
     }
 
-    /// Takes in bytes of the stream.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &Bytes) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if one is there.
+    /// Returns the next complete message, if there is one.
     ///
     /// # Errors
-    /// When the frame is refused; the stream must then be closed.
+    /// Returns an error if the frame is refused. The stream must be closed then.
     pub fn read(&mut self) -> Result<Option<T>, FrameError> {
         let Some((length, size)) = decode_length(&self.buffer) else {
-            // A length that is whole and still can't be read is no length.
+            // With all possible bytes present, a length that can't be decoded is invalid.
             return if self.buffer.len() < MAX_LENGTH_BYTES { Ok(None) } else { Err(FrameError::Undecodable) };
         };
         if length > MAX_FRAME_BYTES {
--- a/crates/wire/src/key.rs
+++ b/crates/wire/src/key.rs
@@ -1,9 +1,10 @@
-//! Proof that a peer holds the shared key.
+//! Authentication of frames with a shared key.
 
-/// Names the purpose of derived keys, as BLAKE3 asks for.
+/// Context string for BLAKE3's key derivation.
 const KEY_CONTEXT: &str = "cleatshelf 2026-12 box link";
 
-/// Length of a frame's proof in bytes. A wrong one ends the stream, so nobody gets to guess on.
+/// Length of a frame's authentication tag. Short tags suffice because a wrong one closes the stream, which prevents
+/// repeated guesses.
 pub(crate) const TAG_BYTES: usize = 8;
 
 /// The key that all boxes of a deployment share.
@@ -12,22 +13,22 @@
     derived: [u8; 32],
 }
 
-/// The key of one stream: bound to the listener's challenge and both names, so nothing can be replayed.
+/// The key of one stream. Bound to the listener's challenge and both box names, which prevents replays.
 #[derive(Clone)]
 pub struct Session {
     key: [u8; 32],
-    /// Rises by one with each frame.
+    /// Sequence number of the next frame.
     counter: u64,
 }
 
 impl Key {
-    /// The key made from a secret of any length.
+    /// Derives the key from a secret of any length.
     #[must_use]
     pub fn new(secret: &str) -> Self {
         Self { derived: blake3::derive_key(KEY_CONTEXT, secret.as_bytes()) }
     }
 
-    /// The key of the stream that `from` opens to `to` under `challenge`.
+    /// Derives the key of the stream that `from` opens to `to` under `challenge`.
     #[must_use]
     pub fn session(&self, challenge: &str, from: &str, to: &str) -> Session {
         let mut hasher = blake3::Hasher::new_keyed(&self.derived);
@@ -46,7 +47,7 @@
 }
 
 impl Session {
-    /// The proof of the next frame on this stream.
+    /// Returns the tag of the next frame on this stream.
     pub(crate) fn next_tag(&mut self, payload: &[u8]) -> [u8; TAG_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&self.counter.to_le_bytes());
@@ -57,7 +58,7 @@
         tag
     }
 
-    /// True when `proof` is that of the next frame. Takes the same time for every wrong proof.
+    /// Checks the tag of the next frame in constant time.
     pub(crate) fn verify(&mut self, payload: &[u8], tag: &[u8]) -> bool {
         let expected = self.next_tag(payload);
         let differing = expected.iter().zip(tag).fold(0, |sum, (a, b)| sum | (a ^ b));
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Frames between boxes: `bincode` values on `h2` streams, proved by a shared key.
+//! Authenticated frames between boxes: `bincode` messages on `h2` streams, with a shared key.
 //!
-//! A [`Link`] carries messages one way, from this box to one peer; the peer answers on its own link.
-//! A [`Listener`] takes them in. A frame that is malformed, too large or not proved closes its stream,
-//! is counted, and harms nothing else. This crate knows nothing of what the messages mean.
+//! A [`Link`] carries messages in one direction, from this box to one peer; the peer replies on its own link. A
+//! [`Listener`] receives them. A frame that is malformed, too large or not authenticated closes its own stream and is
+//! counted; other streams aren't affected. This crate has no knowledge of the messages' contents.
 
 mod frame;
 mod key;
@@ -14,5 +14,5 @@
 pub use link::Link;
 pub use listener::Listener;
 
-/// The version of frames and messages. Boxes of different versions don't talk.
+/// Version of frames and messages. Boxes with different versions refuse each other's connections.
 pub const VERSION: u32 = 7;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! Messages from this box to one peer.
+//! Links: outgoing messages to one peer.
 
 use crate::{Codec, Frame, Key, VERSION};
 use bytes::{Bytes, BytesMut};
@@ -15,32 +15,32 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// Most frames that wait for a peer; more are dropped, as the network might drop them.
+/// Maximum number of frames queued for a peer. Further frames are dropped; delivery isn't guaranteed in any case.
 const MAX_QUEUED_FRAMES: usize = 8_192;
 
-/// Shortest and longest wait before connecting again.
+/// Bounds of the delay before a reconnection.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest wait for a connection and for the listener's challenge.
+/// Time limit for opening a connection and receiving the listener's challenge.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long after a write the peer is asked whether it still hears, and how long its answer is waited for. A connection
-/// may fall silent for good without a reset; both together are below the shortest bound for news, 2 s.
+/// Delay of the ping after a write, and the time limit for its reply. A connection may become silent permanently
+/// without a reset. The sum is below 2 s, the shortest time limit for updates between boxes.
 const PING_INTERVAL: Duration = Duration::from_millis(900);
 const PONG_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Most bytes gathered into one write.
+/// Number of bytes after which no more frames are added to a write.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
 
-/// The way from this box to one peer. Connects by itself, again and again; must be made on a local set.
+/// A link from this box to one peer. Reconnects automatically. Must be created inside a `LocalSet`.
 pub struct Link<T> {
     queue: mpsc::Sender<Frame>,
     sent_bytes: Rc<Cell<u64>>,
     message: PhantomData<T>,
 }
 
-/// Who the two ends are.
+/// The two ends of a link.
 struct Endpoints {
     key: Key,
     from: String,
@@ -49,7 +49,8 @@
 }
 
 impl<T: Serialize + DeserializeOwned + 'static> Link<T> {
-    /// A link from the box `from` to the box `to`. `on_disconnect` is called whenever it breaks or can't be made.
+    /// Opens a link from the box `from` to the box `to`. `on_disconnect` is called whenever the connection is lost or
+    /// can't be opened.
     #[must_use]
     pub fn open(key: &Key, from: &str, to: &str, address: SocketAddr, on_disconnect: Box<dyn Fn()>) -> Self {
         let (queue, frames) = mpsc::channel(MAX_QUEUED_FRAMES);
@@ -59,7 +60,7 @@
         Self { queue, sent_bytes, message: PhantomData }
     }
 
-    /// Sends a message, or drops it when too many wait. False says that it was dropped.
+    /// Queues a message. Returns false if it was dropped, because the queue is full or the message can't be encoded.
     pub fn send(&self, message: &T) -> bool {
         let Ok(frame) = Frame::encode(message) else {
             metrics::counter!("cleatshelf_frames_dropped_total").increment(1);
@@ -72,7 +73,7 @@
         queued
     }
 
-    /// Bytes written to the peer so far, frames with their proofs.
+    /// Returns the number of bytes sent so far, frames with their tags.
     #[must_use]
     pub fn bytes_sent(&self) -> u64 {
         self.sent_bytes.get()
@@ -90,7 +91,7 @@
         if let Ok(Ok(mut connection)) = tokio::time::timeout(CONNECT_TIMEOUT, connect::<T>(&endpoints)).await {
             backoff = MIN_BACKOFF;
             if transmit(&mut connection, &mut frames, &sent_bytes).await.is_ok() {
-                // What was written last is still on its way.
+                // Don't abort the connection: the last write is still in transit.
                 return;
             }
             connection.task.abort();
@@ -99,19 +100,19 @@
             return;
         }
         on_disconnect();
-        // What waited is old by now; a peer that comes back needs the present, not the past.
+        // Drop the queued frames: they are outdated, and a peer that returns needs current state only.
         while frames.try_recv().is_ok() {}
         tokio::time::sleep(backoff).await;
         backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-/// A connection that stands.
+/// An open connection.
 struct Connection<T> {
     stream: SendStream<Bytes>,
     codec: Codec<T>,
     ping: PingPong,
-    /// Drives the connection; aborted, it is closed.
+    /// Drives the connection; aborting it closes the connection.
     task: JoinHandle<()>,
 }
 
@@ -122,7 +123,7 @@
     let (sender, mut connection) = h2::client::handshake(tcp).await?;
     let ping = connection.ping_pong().ok_or_else(refused)?;
     let task = actix_rt::spawn(async move {
-        // Its end shows on the stream as well, where it is dealt with.
+        // The stream reports the same error, where it is handled.
         let _ = connection.await;
     });
     let mut sender: SendRequest<Bytes> = sender.ready().await?;
@@ -138,7 +139,7 @@
     Ok(Connection { stream, codec: Codec::new(session), ping, task })
 }
 
-/// Carries frames until the link breaks (an error) or nobody will send any more.
+/// Sends frames until the connection is lost (an error) or the link is dropped.
 async fn transmit<T: DeserializeOwned>(
     connection: &mut Connection<T>,
     frames: &mut mpsc::Receiver<Frame>,
@@ -152,7 +153,7 @@
     }
 }
 
-/// Asks the peer now and then whether it hears, as long as something was written since. Endpoints when it does not.
+/// Pings the peer while frames are being written. Returns an error if it doesn't reply in time.
 async fn monitor_peer(ping: &mut PingPong, written_since_ping: &Cell<bool>) -> h2::Error {
     loop {
         tokio::time::sleep(PING_INTERVAL).await;
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -1,4 +1,4 @@
-//! Messages from other boxes to this one.
+//! Listener: incoming messages from other boxes.
 
 use crate::{Codec, FrameError, Key, VERSION};
 use bytes::Bytes;
@@ -12,24 +12,24 @@
 use telemetry::Event;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Most connections at once.
+/// Maximum number of simultaneous connections.
 const MAX_CONNECTIONS: usize = 2_048;
 
-/// Most streams of one connection at once.
+/// Maximum number of simultaneous streams per connection.
 const MAX_STREAMS_PER_CONNECTION: u32 = 4;
 
-/// Longest wait for a connection's first words.
+/// Time limit of the HTTP/2 handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A link without a single frame for this long is closed; a living peer probes far more often.
+/// Time without frames after which a stream is closed. A live peer sends probes far more often.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest name of a box.
+/// Length limit of a box name.
 const MAX_NAME_BYTES: usize = 64;
 
 type Handler<T> = Rc<dyn Fn(&str, T)>;
 
-/// Takes in links from other boxes.
+/// Accepts links from other boxes.
 pub struct Listener<T> {
     key: Key,
     local_name: String,
@@ -51,7 +51,8 @@
 }
 
 impl<T: DeserializeOwned + 'static> Listener<T> {
-    /// A listener of the box `me`; `handler` gets each proved message with its sender's name.
+    /// Creates a listener for the box `local_name`. `handler` receives each authenticated message with the name of its
+    /// sender.
     #[must_use]
     pub fn new(key: &Key, local_name: &str, handler: Handler<T>) -> Self {
         Self {
@@ -63,17 +64,17 @@
         }
     }
 
-    /// Bytes of frames taken in so far.
+    /// Returns the number of frame bytes received so far.
     #[must_use]
     pub fn bytes_received(&self) -> u64 {
         self.received_bytes.get()
     }
 
-    /// Takes connections for as long as the process runs.
+    /// Accepts connections until the process exits.
     pub async fn run(self, listener: TcpListener) {
         loop {
             let Ok((tcp, _)) = listener.accept().await else {
-                // Out of file handles, most likely: waiting lets some be closed.
+                // Probably out of file descriptors: the delay lets other connections close.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: what is malformed, too large, replayed or not proved is refused, and no bytes make it panic.
+//! Malformed, oversized, replayed and unauthenticated frames are refused, and no input causes a panic.
 
 use bytes::{Bytes, BytesMut};
 use proptest::prelude::*;
@@ -51,7 +51,7 @@
 fn oversized_frame_is_refused_by_its_length() {
     assert_eq!(Frame::encode(&vec![u32::MAX; MAX_FRAME_BYTES / 4]), Err(FrameError::TooLarge));
     let mut reader = codec("secret", "a");
-    // 252 says that four bytes of the length follow.
+    // In `bincode`'s varint encoding, 252 announces a length of four bytes.
     let length = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
     reader.feed(&Bytes::from([&[252], &length[..]].concat()));
     assert_eq!(reader.read(), Err(FrameError::TooLarge));
--- a/crates/wire/tests/silent_connection.rs
+++ b/crates/wire/tests/silent_connection.rs
@@ -1,4 +1,4 @@
-//! A connection that falls silent for good without a reset is noticed, and another is made.
+//! A link reconnects if its connection becomes silent permanently without a reset.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -8,10 +8,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use wire::{Key, Link, Listener};
 
-/// Longest time until a message comes through after the silence began; several times what is needed.
+/// Time limit for a message after the connection became silent; several times the expected recovery time.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Passes bytes on; connections that stand when `silence` rises pass nothing more, and stay open.
+/// Forwards bytes. Connections opened before `silence` is incremented stay open but forward nothing more.
 async fn proxy(listener: TcpListener, to: SocketAddr, silence: Rc<Cell<u32>>) {
     loop {
         let (near, _) = listener.accept().await.expect("a connection");
