--- a/crates/peers/examples/tick.rs
+++ b/crates/peers/examples/tick.rs
@@ -8,8 +8,8 @@
 
 const HALLS: u16 = 5;
 
-/// Pause between two looks, as the program makes it, in milliseconds.
-const TICK: u64 = 100;
+/// Interval between ticks in the program.
+const TICK_INTERVAL_MS: u64 = 100;
 
 /// Looks that are timed.
 const ROUNDS: u64 = 2_000;
@@ -22,8 +22,9 @@
     Profile { hall: format!("hall-of-the-fleet-{}", index % HALLS), capacity: 120 }
 }
 
-/// The mean time of a look, in microseconds, for a box that hears two watchers, or is one.
-fn micros(boxes: u16, watches: bool) -> f64 {
+/// Returns the mean time of a tick, in microseconds, for a box that receives the heartbeats of two watchers,
+/// or is one.
+fn tick_micros(boxes: u16, watches: bool) -> f64 {
     let me = if watches { 0 } else { boxes - 1 };
     let mut peers = Peers::new(address(me), profile(me), &[address(0)]);
     peers.set_known_versions(KnownVersions { table: 1, directory: Position::new(0, 9), ..KnownVersions::default() });
@@ -41,24 +42,24 @@
         suspects: 0,
         notices: 0,
     };
-    let mut took = 0.0;
+    let mut total = 0.0;
     for round in 0..ROUNDS {
-        let now = round * TICK;
+        let now = round * TICK_INTERVAL_MS;
         if round % 5 == 0 && !watches {
             for from in [(boxes - 1) % HALLS, (boxes - 1) % HALLS + HALLS] {
                 peers.handle(address(from), Message::Heartbeat(beat(from)), now);
             }
         }
-        let began = Instant::now();
+        let start = Instant::now();
         std::hint::black_box(peers.tick(now));
-        took += began.elapsed().as_secs_f64() * 1e6;
+        total += start.elapsed().as_secs_f64() * 1e6;
     }
-    took / ROUNDS as f64
+    total / ROUNDS as f64
 }
 
 fn main() {
-    println!("boxes  hears watchers  watches   (microseconds a look, ten a second)");
+    println!("boxes  not a watcher   watcher   (microseconds per tick, ten ticks per second)");
     for boxes in [75, 150, 300, 585, 1_170] {
-        println!("{boxes:5} {:14.1} {:8.1}", micros(boxes, false), micros(boxes, true));
+        println!("{boxes:5} {:14.1} {:8.1}", tick_micros(boxes, false), tick_micros(boxes, true));
     }
 }
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -7,16 +7,17 @@
 pub(crate) struct Member {
     /// What it said of itself, or others of it.
     pub(crate) profile: Profile,
-    /// True for a box of this box's hall.
-    pub(crate) mate: bool,
-    /// When it was last heard, or heard of for the first time.
-    pub(crate) heard: Millis,
-    /// When its last heartbeat came: it watches or tries to.
-    pub(crate) tried: Option<Millis>,
-    /// When its first heartbeat came that told of no list of servers, until one does: it reads its first list.
-    pub(crate) begins: Option<Millis>,
-    /// When it last said that it watches; none when it doesn't, or hasn't said so.
-    pub(crate) watched: Option<Millis>,
+    /// The box is in the same hall as this one.
+    pub(crate) same_hall: bool,
+    /// Time of its last message, or the time when it became known.
+    pub(crate) last_contact: Millis,
+    /// Time of its last heartbeat. Boxes that send heartbeats watch the publisher or try to.
+    pub(crate) last_heartbeat: Option<Millis>,
+    /// Time of its first heartbeat without a list of servers, until a heartbeat has one: it reads its first
+    /// list.
+    pub(crate) reading_since: Option<Millis>,
+    /// Time of its last heartbeat, if that announced that it watches the publisher.
+    pub(crate) last_watching: Option<Millis>,
 }
 
 impl Member {
@@ -24,11 +25,11 @@
     pub(crate) fn new(profile: &Profile, me: &Profile, now: Millis) -> Self {
         Self {
             profile: profile.clone(),
-            mate: profile.hall == me.hall,
-            heard: now,
-            tried: None,
-            begins: None,
-            watched: None,
+            same_hall: profile.hall == me.hall,
+            last_contact: now,
+            last_heartbeat: None,
+            reading_since: None,
+            last_watching: None,
         }
     }
 }
--- a/crates/peers/src/missed_replies.rs
+++ b/crates/peers/src/missed_replies.rs
@@ -4,41 +4,41 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a box must have said nothing while it missed answers before it is taken for silent. Small boxes
-/// run on a share of a processor and pause for up to a tenth of a second; another box in its place would know
-/// nothing of what it knows.
-const AFTER: Millis = 250;
+/// Time during which a box must have sent nothing while missing replies before it counts as unresponsive.
+/// Small boxes run on a share of a processor and pause for up to 100 ms, and a box that replaced an
+/// unresponsive one would have none of its state.
+const UNRESPONSIVE_TIMEOUT: Millis = 250;
 
-/// How long a silent box isn't asked again.
-const FOR: Millis = 2_000;
+/// Time during which an unresponsive box gets no requests.
+const UNRESPONSIVE_BACKOFF: Millis = 2_000;
 
 /// Which boxes are silent.
 #[derive(Clone, Debug, Default)]
 pub struct MissedReplies {
-    /// When a box first missed an answer after its last word.
-    missed: HashMap<SocketAddr, Millis>,
-    /// Until when a box isn't asked.
-    until: HashMap<SocketAddr, Millis>,
+    /// Time of the first reply that a box missed since its last message.
+    first_missed: HashMap<SocketAddr, Millis>,
+    /// End of the back-off of each unresponsive box.
+    backoff_until: HashMap<SocketAddr, Millis>,
 }
 
 impl MissedReplies {
     /// A box has said something, however late.
     pub fn record_reply(&mut self, from: SocketAddr) {
-        self.missed.remove(&from);
-        self.until.remove(&from);
+        self.first_missed.remove(&from);
+        self.backoff_until.remove(&from);
     }
 
     /// A box has not answered in time.
     pub fn record_missed(&mut self, by: SocketAddr, now: Millis) {
-        let first = *self.missed.entry(by).or_insert(now);
-        if now >= first + AFTER {
-            self.until.insert(by, now + FOR);
+        let first = *self.first_missed.entry(by).or_insert(now);
+        if now >= first + UNRESPONSIVE_TIMEOUT {
+            self.backoff_until.insert(by, now + UNRESPONSIVE_BACKOFF);
         }
     }
 
     /// True while a box isn't to be asked.
     #[must_use]
     pub fn is_unresponsive(&self, address: &SocketAddr, now: Millis) -> bool {
-        self.until.get(address).is_some_and(|until| now < *until)
+        self.backoff_until.get(address).is_some_and(|until| now < *until)
     }
 }
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -10,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One heartbeat in this many goes to silent boxes too.
-const SILENT_BEATS: u64 = 8;
+/// One in this many heartbeats is also sent to silent boxes.
+const FULL_HEARTBEAT_EVERY: u64 = 8;
 
-/// How long after its start a box may take others' agreement for knowing all: by then boxes that start
-/// together have met.
-const SETTLED_AFTER: Millis = 1_000;
+/// Time after its start from which a box may take a matching digest as a sign that it knows all boxes. By
+/// then, boxes that start together know each other.
+const MIN_CONVERGENCE_DELAY: Millis = 1_000;
 
 /// How new this box's knowledge is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -40,34 +40,34 @@
     me: SocketAddr,
     profile: Profile,
     seeds: Vec<SocketAddr>,
-    /// True for a box that others begin with, or that has none to begin with: it doesn't listen first.
-    first: bool,
-    /// Other boxes by the address where they listen for boxes. Never holds this box.
+    /// This box is one of the seeds, or there are no other seeds: it doesn't listen for watchers first.
+    is_seed: bool,
+    /// Other boxes by the address where they listen for peers. Never contains this box.
     members: BTreeMap<SocketAddr, Member>,
-    /// How many of them are of this box's hall.
-    mates: usize,
-    /// Rises whenever `members` may have changed.
+    /// Number of `members` in this box's hall.
+    hall_peers: usize,
+    /// Incremented whenever `members` may have changed.
     generation: u64,
     /// Digest of `members` and this box.
     digest: u32,
-    holding: KnownVersions,
-    /// True while this box watches the publisher, or tries to.
+    known: KnownVersions,
+    /// This box watches the publisher, or tries to.
     watching: bool,
-    /// True while the publisher answers this box.
-    reached: bool,
-    /// True once another box said that it knows the same boxes.
-    settled: bool,
-    /// When too few watchers were first heard; none while enough are.
-    lacking: Option<Millis>,
-    /// When it first looked at what is due; none before.
-    began: Option<Millis>,
-    /// Since when newcomers are counted, and how many came since.
-    welcomes: (Millis, u32),
-    beat_at: Millis,
-    beats: u64,
-    hello_at: Millis,
-    /// When each subject was last asked for.
-    wanted: BTreeMap<u8, Millis>,
+    /// The publisher answers this box.
+    reachable: bool,
+    /// Another box has announced the same digest of known boxes.
+    converged: bool,
+    /// Time since which there have been too few watchers, if there are.
+    watchers_missing_since: Option<Millis>,
+    /// Time of the first tick.
+    started: Option<Millis>,
+    /// Start of the current rate-limit window of bootstrap messages, and the number sent in it.
+    bootstraps: (Millis, u32),
+    next_heartbeat: Millis,
+    heartbeats: u64,
+    next_hello: Millis,
+    /// Time of the last request for each subject.
+    last_requested: BTreeMap<u8, Millis>,
 }
 
 impl Peers {
@@ -78,22 +78,22 @@
             me,
             profile,
             seeds: seeds.iter().copied().filter(|seed| *seed != me).collect(),
-            first: seeds.iter().all(|seed| *seed == me) || seeds.contains(&me),
+            is_seed: seeds.iter().all(|seed| *seed == me) || seeds.contains(&me),
             members: BTreeMap::new(),
-            mates: 0,
+            hall_peers: 0,
             generation: 0,
             digest: rank_address(0, &me) as u32,
-            holding: KnownVersions::default(),
+            known: KnownVersions::default(),
             watching: false,
-            reached: false,
-            settled: false,
-            lacking: None,
-            began: None,
-            welcomes: (0, 0),
-            beat_at: 0,
-            beats: 0,
-            hello_at: 0,
-            wanted: BTreeMap::new(),
+            reachable: false,
+            converged: false,
+            watchers_missing_since: None,
+            started: None,
+            bootstraps: (0, 0),
+            next_heartbeat: 0,
+            heartbeats: 0,
+            next_hello: 0,
+            last_requested: BTreeMap::new(),
         }
     }
 
@@ -123,7 +123,7 @@
     /// True once this box knows the others: one of them knew the same, or there is none that it could ask.
     #[must_use]
     pub fn has_converged(&self) -> bool {
-        self.settled || (self.seeds.is_empty() && self.members.is_empty())
+        self.converged || (self.seeds.is_empty() && self.members.is_empty())
     }
 
     /// Rises whenever the boxes known may have changed.
@@ -138,39 +138,40 @@
         self.watching
     }
 
-    /// Notes how new this box's knowledge is.
-    pub fn set_known_versions(&mut self, holding: KnownVersions) {
-        if self.holding.evacuations.evacuated_halls() != holding.evacuations.evacuated_halls() {
-            // Heartbeats carry them.
-            self.tell_all();
+    /// Updates the versions of the data that this box has.
+    pub fn set_known_versions(&mut self, known: KnownVersions) {
+        if self.known.evacuations.evacuated_halls() != known.evacuations.evacuated_halls() {
+            // Evacuations are distributed by heartbeats.
+            self.schedule_full_heartbeat();
         }
-        self.holding = holding;
+        self.known = known;
     }
 
-    /// Notes whether the publisher answers this box. A change is told at once, since others rely on it.
-    pub fn set_publisher_reachable(&mut self, reached: bool) {
-        if self.reached != reached {
-            self.reached = reached;
-            self.tell_all();
+    /// Updates whether the publisher answers this box. A change is announced at once, since other boxes
+    /// depend on it.
+    pub fn set_publisher_reachable(&mut self, reachable: bool) {
+        if self.reachable != reachable {
+            self.reachable = reachable;
+            self.schedule_full_heartbeat();
         }
     }
 
-    /// Makes the next heartbeat due, and one that goes to the whole hall: also to those that have said
-    /// nothing to this box, and would take over too.
-    fn tell_all(&mut self) {
-        self.beat_at = 0;
-        self.beats = SILENT_BEATS - 1;
+    /// Schedules an immediate heartbeat to the whole hall, including silent boxes, since those could take
+    /// over as well.
+    fn schedule_full_heartbeat(&mut self) {
+        self.next_heartbeat = 0;
+        self.heartbeats = FULL_HEARTBEAT_EVERY - 1;
     }
 
     /// To be called every few hundred milliseconds.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.decide(now, &mut actions);
-        if self.watching && now >= self.beat_at {
-            self.beat(now, &mut actions);
+        self.update_watching(now, &mut actions);
+        if self.watching && now >= self.next_heartbeat {
+            self.send_heartbeats(now, &mut actions);
         }
-        if now >= self.hello_at {
-            self.hello(now, &mut actions);
+        if now >= self.next_hello {
+            self.send_hello(now, &mut actions);
         }
         actions
     }
@@ -183,76 +184,78 @@
         }
         match message {
             Message::Hello { profile, members } => {
-                self.compare(members, now);
-                if self.hear(from, &profile, now, &mut actions) {
-                    self.welcome(from, now, &mut actions);
+                self.compare_digest(members, now);
+                if self.record_contact(from, &profile, now, &mut actions) {
+                    self.send_bootstrap(from, now, &mut actions);
                 }
             }
             Message::Welcome { table, directory, evacuations } => {
-                self.take_holdings(from, table, directory, now, &mut actions);
-                self.take_evacuations(evacuations, &mut actions);
+                self.request_newer(from, table, directory, now, &mut actions);
+                self.on_evacuations(evacuations, &mut actions);
             }
-            Message::Heartbeat(beat) => self.take_heartbeat(from, beat, now, &mut actions),
-            Message::Want(subject) => self.give(from, subject, &mut actions),
-            Message::Members(roster) => self.meet(roster, now),
+            Message::Heartbeat(beat) => self.on_heartbeat(from, beat, now, &mut actions),
+            Message::Want(subject) => self.on_want(from, subject, &mut actions),
+            Message::Members(roster) => self.add_members(roster, now),
             Message::Table(bytes) => actions.push(Action::Table(bytes)),
             Message::Lacking(digests) => actions.push(Action::SendDirectory(from, digests)),
             Message::Excerpt(packed) => actions.push(Action::Excerpt(packed)),
             Message::Changes { since, until, packed } => {
-                self.take_changes(from, since, until, packed, now, &mut actions);
+                self.on_changes(from, since, until, packed, now, &mut actions);
             }
             Message::Leave => {
                 if let Some(member) = self.members.get_mut(&from) {
-                    member.watched = None;
-                    member.tried = None;
-                    member.begins = None;
-                    member.heard = 0;
+                    member.last_watching = None;
+                    member.last_heartbeat = None;
+                    member.reading_since = None;
+                    member.last_contact = 0;
                 }
             }
         }
         actions
     }
 
-    /// The other boxes of this one's hall.
-    fn mates(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> + Clone {
-        self.members.iter().filter(|(_, member)| member.mate)
+    /// Returns the other boxes of this box's hall.
+    fn hall_peers(&self) -> impl Iterator<Item = (&SocketAddr, &Member)> + Clone {
+        self.members.iter().filter(|(_, member)| member.same_hall)
     }
 
-    /// Notes that a box lives. True for one that wasn't known.
-    fn hear(&mut self, from: SocketAddr, profile: &Profile, now: Millis, actions: &mut Vec<Action>) -> bool {
+    /// Records a message from a box. Returns true if the box or its profile is new.
+    fn record_contact(&mut self, from: SocketAddr, profile: &Profile, now: Millis, actions: &mut Vec<Action>) -> bool {
         let known = self.members.get(&from).is_some_and(|m| m.profile == *profile);
         let member = self.members.entry(from).or_insert_with(|| Member::new(profile, &self.profile, now));
-        member.heard = now;
+        member.last_contact = now;
         if !known {
-            *member = Member { profile: profile.clone(), mate: profile.hall == self.profile.hall, ..member.clone() };
-            self.beat_at = 0;
-            self.roster_changed();
+            *member =
+                Member { profile: profile.clone(), same_hall: profile.hall == self.profile.hall, ..member.clone() };
+            self.next_heartbeat = 0;
+            self.on_members_changed();
             actions.push(Action::Send(from, Message::Members(Roster::new(self.members()))));
         }
         !known
     }
 
-    /// Takes the digest of the boxes that another box knows. Just after a start two may agree that know few.
-    fn compare(&mut self, members: u32, now: Millis) {
-        let started = self.began.is_some_and(|at| now >= at + SETTLED_AFTER);
-        self.settled |= started && members == self.digest;
+    /// Compares the digest of the boxes known to another box. Shortly after a start, it is ignored because
+    /// two boxes that know only a few others may agree.
+    fn compare_digest(&mut self, members: u32, now: Millis) {
+        let elapsed = self.started.is_some_and(|at| now >= at + MIN_CONVERGENCE_DELAY);
+        self.converged |= elapsed && members == self.digest;
     }
 
-    fn meet(&mut self, roster: Roster, now: Millis) {
+    fn add_members(&mut self, roster: Roster, now: Millis) {
         let known = self.members.len();
         for (address, profile) in roster.into_boxes().filter(|(address, _)| *address != self.me) {
             self.members.entry(address).or_insert_with(|| Member::new(&profile, &self.profile, now));
         }
         if self.members.len() > known {
-            self.roster_changed();
+            self.on_members_changed();
         }
     }
 
-    /// Notes that other boxes are known, or that they said other things of themselves.
-    fn roster_changed(&mut self) {
+    /// Updates derived state after a change to the known boxes or their profiles.
+    fn on_members_changed(&mut self) {
         self.generation += 1;
-        self.mates = self.mates().count();
-        // Equal for equal sets of boxes, whoever computes it.
+        self.hall_peers = self.hall_peers().count();
+        // The digest is equal on all boxes that know the same set, which includes the computing box.
         let hash = |address: &SocketAddr| rank_address(0, address) as u32;
         self.digest = self.members.keys().chain([&self.me]).map(hash).fold(0, u32::wrapping_add);
     }
--- a/crates/peers/src/peers/broadcast.rs
+++ b/crates/peers/src/peers/broadcast.rs
@@ -1,6 +1,6 @@
 //! What a box tells others of its own accord, and whom.
 
-use super::{KnownVersions, Peers, SILENT_BEATS};
+use super::{KnownVersions, Peers, FULL_HEARTBEAT_EVERY};
 use crate::member::Member;
 use crate::{Action, Heartbeat, Message, Millis};
 use routing::Position;
@@ -8,36 +8,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Boxes up to which each tells all others by itself what they must know at once: as many as a small hall has.
-const TELL_ALL_MOST: usize = 40;
+/// Number of boxes up to which urgent messages are sent directly to all others: about the size of a small hall.
+const MAX_DIRECT_BROADCAST_BOXES: usize = 40;
 
-/// Pause between a box's words to the watchers that it hears, and while it hears none.
-const HELLO_EVERY: Millis = 3_000;
-const HELLO_ALONE: Millis = 500;
+/// Interval between hellos to known watchers.
+const HELLO_INTERVAL: Millis = 3_000;
 
-/// A box that hasn't said a word for this long gets heartbeats only now and then.
-const SILENT: Millis = 10_000;
+/// Interval between hellos while no watcher is known.
+const HELLO_INTERVAL_ALONE: Millis = 500;
 
-/// What a box must be able to do for each newcomer a second that it tells of its knowledge, since most then
-/// ask for it: thousandths of a core or tenths of Mbit/s. At 30 kB each it spends at most a quarter of its
-/// link on them.
-const CAPACITY_PER_WELCOME: u32 = 10;
+/// Time without a message after which a box counts as silent and receives only one in
+/// [`FULL_HEARTBEAT_EVERY`] heartbeats.
+const SILENCE_TIMEOUT: Millis = 10_000;
 
-/// A second.
-const SECOND: Millis = 1_000;
+/// Capacity that a box needs for each bootstrap message per second, in thousandths of a core or tenths of
+/// Mbit/s. Most recipients then request all data, and at 30 kB each, these take at most a quarter of the
+/// box's link.
+const CAPACITY_PER_BOOTSTRAP_PER_S: u32 = 10;
+
+/// Window in which bootstrap messages are counted.
+const BOOTSTRAP_WINDOW: Millis = 1_000;
 
 impl Peers {
     /// A new configuration came: the hall's others get it if this box watches for them.
     #[must_use]
     pub fn broadcast_table(&self) -> Vec<Action> {
-        self.hall_members().map(Action::SendTable).collect()
+        self.hall_targets().map(Action::SendTable).collect()
     }
 
     /// Servers changed: the hall's others are told if this box watches for them.
     #[must_use]
     pub fn broadcast_changes(&self, since: Position, until: Position, packed: &[u8]) -> Vec<Action> {
         let message = Message::Changes { since, until, packed: packed.to_vec() };
-        self.hall_members().map(|to| Action::Send(to, message.clone())).collect()
+        self.hall_targets().map(|to| Action::Send(to, message.clone())).collect()
     }
 
     /// Where a word goes that is for all boxes and new to this one: heard `from` another box, or first said
@@ -48,88 +51,94 @@
     pub fn forward_targets(&self, from: Option<SocketAddr>, now: Millis) -> Vec<SocketAddr> {
         let others = || self.members.iter().filter(|(address, _)| Some(**address) != from);
         let all = || others().map(|(address, _)| *address).collect();
-        if self.members.len() < TELL_ALL_MOST {
+        if self.members.len() < MAX_DIRECT_BROADCAST_BOXES {
             return if from.is_none() { all() } else { Vec::new() };
         }
         if !self.watching {
             if from.is_some() {
                 return Vec::new();
             }
-            let watchers = others().filter(|(_, member)| member.mate && self.lately(member.tried, now));
+            let watchers =
+                others().filter(|(_, member)| member.same_hall && self.is_recent(member.last_heartbeat, now));
             let watchers: Vec<SocketAddr> = watchers.map(|(address, _)| *address).collect();
             return if watchers.is_empty() { all() } else { watchers };
         }
-        let elsewhere = from.and_then(|from| self.members.get(&from)).is_none_or(|member| member.mate);
-        let told = |(_, member): &(&SocketAddr, &Member)| member.mate || (elsewhere && self.lately(member.tried, now));
-        others().filter(told).map(|(address, _)| *address).collect()
+        let from_hall = from.and_then(|from| self.members.get(&from)).is_none_or(|member| member.same_hall);
+        let is_target = |(_, member): &(&SocketAddr, &Member)| {
+            member.same_hall || (from_hall && self.is_recent(member.last_heartbeat, now))
+        };
+        others().filter(is_target).map(|(address, _)| *address).collect()
     }
 
     /// This box stops by plan: those are told that may rely on it, or send to it of their own accord.
     #[must_use]
     pub fn leave(&self) -> Vec<Action> {
-        let watches = |member: &Member| member.tried.is_some();
-        let told = |(_, member): &(&SocketAddr, &Member)| {
+        let watches = |member: &Member| member.last_heartbeat.is_some();
+        let is_target = |(_, member): &(&SocketAddr, &Member)| {
             if self.watching {
-                member.mate || watches(member)
+                member.same_hall || watches(member)
             } else {
-                member.mate && watches(member)
+                member.same_hall && watches(member)
             }
         };
-        self.members.iter().filter(told).map(|(to, _)| Action::Send(*to, Message::Leave)).collect()
+        self.members.iter().filter(is_target).map(|(to, _)| Action::Send(*to, Message::Leave)).collect()
     }
 
-    /// The hall's other boxes, while this one watches; nobody otherwise.
-    pub(super) fn hall_members(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.mates().filter(|_| self.watching).map(|(address, _)| *address)
+    /// Returns the hall's other boxes while this box watches, and no boxes otherwise.
+    pub(super) fn hall_targets(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        self.hall_peers().filter(|_| self.watching).map(|(address, _)| *address)
     }
 
-    pub(super) fn beat(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.beat_at = now + self.beat_every();
-        self.beats += 1;
+    pub(super) fn send_heartbeats(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        self.next_heartbeat = now + self.heartbeat_interval();
+        self.heartbeats += 1;
         let beat = Message::Heartbeat(Heartbeat {
             profile: self.profile.clone(),
-            watches: self.reached,
-            table: self.holding.table,
-            table_until: self.holding.table_until,
-            directory: self.holding.directory,
-            evacuations: self.holding.evacuations.clone(),
+            watches: self.reachable,
+            table: self.known.table,
+            table_until: self.known.table_until,
+            directory: self.known.directory,
+            evacuations: self.known.evacuations.clone(),
             members: self.digest,
-            suspects: self.holding.suspects,
-            notices: self.holding.notices,
+            suspects: self.known.suspects,
+            notices: self.known.notices,
         });
-        let all = self.beats.is_multiple_of(SILENT_BEATS);
-        let firsts = if all { self.first_of_halls() } else { BTreeSet::new() };
+        let all = self.heartbeats.is_multiple_of(FULL_HEARTBEAT_EVERY);
+        let preferred = if all { self.preferred_watchers() } else { BTreeSet::new() };
         for (address, member) in &self.members {
-            let spoken = now < member.heard + SILENT;
-            // Also one that the publisher turns away: its hall hears of news only from here.
-            let other_watcher = self.lately(member.tried, now) || firsts.contains(address);
-            if (member.mate && (spoken || all)) || (!member.mate && other_watcher) {
+            let active = now < member.last_contact + SILENCE_TIMEOUT;
+            // Includes watchers that the publisher rejects, whose halls receive updates only from other halls.
+            let other_watcher = self.is_recent(member.last_heartbeat, now) || preferred.contains(address);
+            if (member.same_hall && (active || all)) || (!member.same_hall && other_watcher) {
                 actions.push(Action::Send(*address, beat.clone()));
             }
         }
     }
 
-    /// The box of each hall that is the first to watch there, as far as this box knows.
-    pub(super) fn first_of_halls(&self) -> BTreeSet<SocketAddr> {
-        let mut firsts: BTreeMap<&str, (Reverse<u32>, SocketAddr)> = BTreeMap::new();
+    /// Returns the preferred watcher of each hall, as far as this box knows.
+    pub(super) fn preferred_watchers(&self) -> BTreeSet<SocketAddr> {
+        let mut preferred: BTreeMap<&str, (Reverse<u32>, SocketAddr)> = BTreeMap::new();
         for (address, member) in &self.members {
-            let place = (Reverse(member.profile.capacity), *address);
-            firsts.entry(&member.profile.hall).and_modify(|first| *first = place.min(*first)).or_insert(place);
+            let preference = (Reverse(member.profile.capacity), *address);
+            preferred
+                .entry(&member.profile.hall)
+                .and_modify(|best| *best = preference.min(*best))
+                .or_insert(preference);
         }
-        firsts.into_values().map(|(_, address)| address).collect()
+        preferred.into_values().map(|(_, address)| address).collect()
     }
 
-    pub(super) fn hello(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    pub(super) fn send_hello(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let hello = Message::Hello { profile: self.profile.clone(), members: self.digest };
-        let heard: Vec<SocketAddr> =
-            self.mates().filter(|(_, m)| self.heard_watching(m, now)).map(|(a, _)| *a).collect();
-        let alone = heard.is_empty();
-        let mut to = heard;
+        let watchers: Vec<SocketAddr> =
+            self.hall_peers().filter(|(_, m)| self.is_watcher(m, now)).map(|(a, _)| *a).collect();
+        let alone = watchers.is_empty();
+        let mut to = watchers;
         if alone || self.members.is_empty() {
             to.extend(self.seeds.iter().filter(|seed| !to.contains(seed)).copied().collect::<Vec<_>>());
         }
         let unknown = self.seeds.iter().any(|seed| !self.members.contains_key(seed));
-        self.hello_at = now + if alone || unknown { HELLO_ALONE } else { HELLO_EVERY };
+        self.next_hello = now + if alone || unknown { HELLO_INTERVAL_ALONE } else { HELLO_INTERVAL };
         if unknown {
             to.extend(self.seeds.iter().filter(|seed| !self.members.contains_key(seed)));
             to.sort_unstable();
@@ -138,16 +147,16 @@
         actions.extend(to.into_iter().map(|address| Action::Send(address, hello.clone())));
     }
 
-    /// Tells a newcomer how new this box's knowledge is, unless many come at once.
-    pub(super) fn welcome(&mut self, to: SocketAddr, now: Millis, actions: &mut Vec<Action>) {
-        let KnownVersions { table, directory, ref evacuations, .. } = self.holding;
-        if now >= self.welcomes.0 + SECOND {
-            self.welcomes = (now, 0);
+    /// Sends a bootstrap message to a new box, unless many arrive at once.
+    pub(super) fn send_bootstrap(&mut self, to: SocketAddr, now: Millis, actions: &mut Vec<Action>) {
+        let KnownVersions { table, directory, ref evacuations, .. } = self.known;
+        if now >= self.bootstraps.0 + BOOTSTRAP_WINDOW {
+            self.bootstraps = (now, 0);
         }
-        if table == 0 || self.welcomes.1 >= self.profile.capacity / CAPACITY_PER_WELCOME {
+        if table == 0 || self.bootstraps.1 >= self.profile.capacity / CAPACITY_PER_BOOTSTRAP_PER_S {
             return;
         }
-        self.welcomes.1 += 1;
+        self.bootstraps.1 += 1;
         let evacuations = evacuations.clone();
         actions.push(Action::Send(to, Message::Welcome { table, directory, evacuations }));
     }
--- a/crates/peers/src/peers/exchange.rs
+++ b/crates/peers/src/peers/exchange.rs
@@ -5,24 +5,24 @@
 use routing::{Evacuations, Position};
 use std::net::SocketAddr;
 
-/// Pause between two questions for the same thing.
-const WANT_EVERY: Millis = 300;
+/// Minimum interval between two requests for the same subject.
+const REQUEST_INTERVAL: Millis = 300;
 
-/// The same for a first list of servers: some tens of kilobytes for each of a hundred boxes take a small link
-/// seconds, and whoever asks again meanwhile gets all of it twice.
-const FIRST_LIST_EVERY: Millis = 2_500;
+/// Request interval for the first list of servers. Sending some tens of kilobytes to each of a hundred boxes
+/// takes seconds on a small link, and a box that repeats its request meanwhile would receive the list twice.
+const FIRST_LIST_REQUEST_INTERVAL: Millis = 2_500;
 
-/// The same for the boxes known: a list for each of some hundred boxes fills a small link while all start,
-/// and nothing waits for it.
-const MEMBERS_EVERY: Millis = 1_500;
+/// Request interval for the known boxes. While some hundred boxes start, sending a list to each would fill a
+/// small link, and nothing depends on a quick response.
+const MEMBERS_REQUEST_INTERVAL: Millis = 1_500;
 
-/// The same for requests that end servers, and for servers that leave: each box is told of them as they are
-/// found, and asks only where that was lost.
-const TOLD_EVERY: Millis = 1_000;
+/// Request interval for suspect requests and server notices. They are broadcast as they are found, and are
+/// only requested where a broadcast was lost.
+const EXCHANGE_INTERVAL: Millis = 1_000;
 
 impl Peers {
-    /// Asks for what another box knows and this one doesn't.
-    pub(super) fn take_holdings(
+    /// Requests data of which another box has a newer version.
+    pub(super) fn request_newer(
         &mut self,
         from: SocketAddr,
         table: u64,
@@ -30,57 +30,57 @@
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        if table > self.holding.table {
-            self.want(from, Subject::Table, now, actions);
+        if table > self.known.table {
+            self.request(from, Subject::Table, now, actions);
         }
-        if directory > self.holding.directory {
-            self.want(from, Subject::Directory, now, actions);
+        if directory > self.known.directory {
+            self.request(from, Subject::Directory, now, actions);
         }
     }
 
-    pub(super) fn take_heartbeat(&mut self, from: SocketAddr, beat: Heartbeat, now: Millis, actions: &mut Vec<Action>) {
-        self.hear(from, &beat.profile, now, actions);
+    pub(super) fn on_heartbeat(&mut self, from: SocketAddr, beat: Heartbeat, now: Millis, actions: &mut Vec<Action>) {
+        self.record_contact(from, &beat.profile, now, actions);
         if let Some(member) = self.members.get_mut(&from) {
-            member.tried = Some(now);
-            member.watched = beat.watches.then_some(now);
-            member.begins = if !beat.directory.is_known() { member.begins.or(Some(now)) } else { None };
+            member.last_heartbeat = Some(now);
+            member.last_watching = beat.watches.then_some(now);
+            member.reading_since = if !beat.directory.is_known() { member.reading_since.or(Some(now)) } else { None };
         }
-        self.take_holdings(from, beat.table, beat.directory, now, actions);
-        if beat.table == self.holding.table && beat.table_until > self.holding.table_until {
+        self.request_newer(from, beat.table, beat.directory, now, actions);
+        if beat.table == self.known.table && beat.table_until > self.known.table_until {
             actions.push(Action::TableUntil(beat.table_until));
         }
-        self.take_evacuations(beat.evacuations, actions);
-        if beat.suspects != self.holding.suspects {
-            self.want(from, Subject::Suspects, now, actions);
+        self.on_evacuations(beat.evacuations, actions);
+        if beat.suspects != self.known.suspects {
+            self.request(from, Subject::Suspects, now, actions);
         }
-        if beat.notices != self.holding.notices {
-            self.want(from, Subject::Notices, now, actions);
+        if beat.notices != self.known.notices {
+            self.request(from, Subject::Notices, now, actions);
         }
         if beat.members == self.digest {
-            self.compare(beat.members, now);
+            self.compare_digest(beat.members, now);
         } else {
-            self.want(from, Subject::Members, now, actions);
+            self.request(from, Subject::Members, now, actions);
         }
     }
 
-    pub(super) fn take_evacuations(&self, evacuations: Evacuations, actions: &mut Vec<Action>) {
-        let known = &self.holding.evacuations;
-        let more = evacuations.position == known.position && evacuations.held != known.held;
-        if evacuations.position > known.position || more {
+    pub(super) fn on_evacuations(&self, evacuations: Evacuations, actions: &mut Vec<Action>) {
+        let known = &self.known.evacuations;
+        let held_differs = evacuations.position == known.position && evacuations.held != known.held;
+        if evacuations.position > known.position || held_differs {
             actions.push(Action::Evacuations(evacuations));
         }
     }
 
-    pub(super) fn want(&mut self, from: SocketAddr, subject: Subject, now: Millis, actions: &mut Vec<Action>) {
-        let last = self.wanted.get(&(subject as u8)).copied();
-        let pause = match subject {
-            Subject::Members => MEMBERS_EVERY,
-            Subject::Directory if !self.holding.directory.is_known() => FIRST_LIST_EVERY,
-            Subject::Directory | Subject::Table => WANT_EVERY,
-            Subject::Suspects | Subject::Notices => TOLD_EVERY,
+    pub(super) fn request(&mut self, from: SocketAddr, subject: Subject, now: Millis, actions: &mut Vec<Action>) {
+        let last = self.last_requested.get(&(subject as u8)).copied();
+        let interval = match subject {
+            Subject::Members => MEMBERS_REQUEST_INTERVAL,
+            Subject::Directory if !self.known.directory.is_known() => FIRST_LIST_REQUEST_INTERVAL,
+            Subject::Directory | Subject::Table => REQUEST_INTERVAL,
+            Subject::Suspects | Subject::Notices => EXCHANGE_INTERVAL,
         };
-        if last.is_none_or(|at| now >= at + pause) {
-            self.wanted.insert(subject as u8, now);
+        if last.is_none_or(|at| now >= at + interval) {
+            self.last_requested.insert(subject as u8, now);
             actions.push(match subject {
                 Subject::Directory => Action::RequestDirectory(from),
                 Subject::Suspects => Action::SyncSuspects(from),
@@ -90,7 +90,7 @@
         }
     }
 
-    pub(super) fn give(&self, to: SocketAddr, subject: Subject, actions: &mut Vec<Action>) {
+    pub(super) fn on_want(&self, to: SocketAddr, subject: Subject, actions: &mut Vec<Action>) {
         actions.push(match subject {
             Subject::Table => Action::SendTable(to),
             // Asked for with what the asker has, in messages of their own.
@@ -99,7 +99,7 @@
         });
     }
 
-    pub(super) fn take_changes(
+    pub(super) fn on_changes(
         &mut self,
         from: SocketAddr,
         since: Position,
@@ -108,11 +108,11 @@
         now: Millis,
         actions: &mut Vec<Action>,
     ) {
-        if until <= self.holding.directory {
+        if until <= self.known.directory {
             return;
         }
-        if since > self.holding.directory {
-            self.want(from, Subject::Directory, now, actions);
+        if since > self.known.directory {
+            self.request(from, Subject::Directory, now, actions);
         } else {
             actions.push(Action::Changes(packed, until));
         }
--- a/crates/peers/src/peers/watching.rs
+++ b/crates/peers/src/peers/watching.rs
@@ -6,106 +6,107 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// Pause between a watcher's heartbeats. Two lost ones and a read of the publisher stay within the shortest
-/// bound for news, 2 s.
-const BEAT_EVERY: Millis = 400;
+/// Interval between a watcher's heartbeats. Two lost heartbeats and a read of the publisher take less than 2
+/// s, the shortest bound on the age of updates.
+const HEARTBEAT_INTERVAL: Millis = 400;
 
-/// Boxes of a hall up to which heartbeats come that often; with more they come in proportion rarer, so that
-/// a watcher's bytes stay bounded.
-const BEAT_BOXES: u64 = 40;
+/// Size of a hall above which the heartbeat interval grows in proportion, so that a watcher's traffic stays
+/// bounded.
+const HEARTBEAT_SCALING_BOXES: u64 = 40;
 
-/// Heartbeats that may be missing before a watcher isn't relied upon.
-const BEATS_LOST: Millis = 2;
+/// Number of consecutive heartbeats that may be missed before a watcher is no longer relied upon.
+const MAX_MISSED_HEARTBEATS: Millis = 2;
 
-/// Boxes of a hall from which on two of them watch, so that the loss of one costs nobody anything.
-const BOXES_FOR_TWO: usize = 5;
+/// Size of a hall from which on two boxes watch, so that the loss of one has no effect.
+const MIN_BOXES_FOR_TWO_WATCHERS: usize = 5;
 
-/// When too few boxes of a hall watch, the others begin one, two, four, eight at a time, this long after each
-/// other: long enough for those before to read the publisher and to say so.
-const STAGGER: Millis = 180;
+/// When too few boxes of a hall watch, others start in groups of one, two, four, eight, with this delay
+/// between groups. It gives the previous group time to read the publisher and to announce it.
+const TAKEOVER_DELAY: Millis = 180;
 
-/// How long a box that has just come listens for watchers before it begins to be one itself: boxes that start
-/// together know each other by then, and take turns. It has read the publisher once, and needs no news for
-/// some seconds more. A box that others begin with doesn't listen.
-const LISTEN: Millis = 600;
+/// Time during which a new box listens for watchers before it may become one. By then, boxes that start
+/// together know each other and take turns. A new box has read the publisher once and needs no updates for
+/// some seconds. Seeds don't listen.
+const LISTEN_WINDOW: Millis = 600;
 
-/// How long a box counts as a watcher that has not read its first list yet. Without this all of a hall's
-/// boxes begin to watch while the first of them reads.
-const FIRST_LIST_MOST: Millis = 2_000;
+/// Time during which a box that has not read its first list yet counts as a watcher. Without this, all of a
+/// hall's boxes would start to watch while the first of them reads.
+const FIRST_LIST_TIMEOUT: Millis = 2_000;
 
 impl Peers {
     /// What this box watches the publisher as.
     #[must_use]
     pub fn watch_role(&self, now: Millis) -> WatchRole {
-        let mut before =
-            self.mates().filter(|(address, m)| self.goes_before(address, m) && self.heard_watching(m, now));
-        match (self.watching, before.next()) {
+        let mut preceding =
+            self.hall_peers().filter(|(address, m)| self.precedes(address, m) && self.is_watcher(m, now));
+        match (self.watching, preceding.next()) {
             (false, _) => WatchRole::Off,
             (true, None) => WatchRole::Primary,
             (true, Some(_)) => WatchRole::Secondary,
         }
     }
 
-    pub(super) fn decide(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let mine = self.mates();
-        let relied = |m: &Member| self.heard_watching(m, now) || self.heard_beginning(m, now);
-        let heard = mine.clone().filter(|(_, m)| relied(m)).count();
-        let before = mine.clone().filter(|(a, m)| self.goes_before(a, m) && self.heard_watching(m, now)).count();
-        let place = mine.filter(|(a, m)| self.goes_before(a, m)).count();
+    pub(super) fn update_watching(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        let hall = self.hall_peers();
+        let counts = |m: &Member| self.is_watcher(m, now) || self.is_reading_first_list(m, now);
+        let watchers = hall.clone().filter(|(_, m)| counts(m)).count();
+        let preceding_watchers = hall.clone().filter(|(a, m)| self.precedes(a, m) && self.is_watcher(m, now)).count();
+        let rank = hall.filter(|(a, m)| self.precedes(a, m)).count();
         if self.watching {
-            if before >= self.enough() {
+            if preceding_watchers >= self.target_watchers() {
                 self.watching = false;
-                self.lacking = None;
+                self.watchers_missing_since = None;
                 actions.push(Action::SetWatching(false));
             }
             return;
         }
-        let began = *self.began.get_or_insert(now);
-        if heard >= self.enough() || (now < began + LISTEN && !self.first) {
-            self.lacking = None;
+        let started = *self.started.get_or_insert(now);
+        if watchers >= self.target_watchers() || (now < started + LISTEN_WINDOW && !self.is_seed) {
+            self.watchers_missing_since = None;
             return;
         }
-        let since = *self.lacking.get_or_insert(now);
-        if now >= since + STAGGER * Millis::from(usize::BITS - place.leading_zeros()) {
+        let since = *self.watchers_missing_since.get_or_insert(now);
+        if now >= since + TAKEOVER_DELAY * Millis::from(usize::BITS - rank.leading_zeros()) {
             self.watching = true;
-            self.lacking = None;
-            self.tell_all();
+            self.watchers_missing_since = None;
+            self.schedule_full_heartbeat();
             actions.push(Action::SetWatching(true));
         }
     }
 
-    /// Boxes of this hall that are to watch.
-    pub(super) fn enough(&self) -> usize {
-        if self.mates + 1 < BOXES_FOR_TWO {
+    /// Returns the number of boxes of this hall that should watch.
+    pub(super) fn target_watchers(&self) -> usize {
+        if self.hall_peers + 1 < MIN_BOXES_FOR_TWO_WATCHERS {
             1
         } else {
             2
         }
     }
 
-    /// True when another box of the hall is to watch before this one: it can do more, or else has a lower
-    /// address.
-    pub(super) fn goes_before(&self, address: &SocketAddr, member: &Member) -> bool {
+    /// Returns true if another box of the hall is preferred as a watcher, by its capacity or else by its
+    /// lower address.
+    pub(super) fn precedes(&self, address: &SocketAddr, member: &Member) -> bool {
         let theirs = (Reverse(member.profile.capacity), *address);
         theirs < (Reverse(self.profile.capacity), self.me)
     }
 
-    pub(super) fn heard_watching(&self, member: &Member, now: Millis) -> bool {
-        self.lately(member.watched, now)
+    pub(super) fn is_watcher(&self, member: &Member, now: Millis) -> bool {
+        self.is_recent(member.last_watching, now)
     }
 
-    /// True for a box that is about to watch: it reads its first list.
-    pub(super) fn heard_beginning(&self, member: &Member, now: Millis) -> bool {
-        member.begins.is_some_and(|at| now <= at + FIRST_LIST_MOST) && self.lately(member.tried, now)
+    /// Returns true for a box that is about to watch and reads its first list.
+    pub(super) fn is_reading_first_list(&self, member: &Member, now: Millis) -> bool {
+        member.reading_since.is_some_and(|at| now <= at + FIRST_LIST_TIMEOUT)
+            && self.is_recent(member.last_heartbeat, now)
     }
 
-    /// True when no more heartbeats are missing since then than may be lost.
-    pub(super) fn lately(&self, at: Option<Millis>, now: Millis) -> bool {
-        let longest = self.beat_every() * (BEATS_LOST + 1);
-        at.is_some_and(|at| now <= at + longest)
+    /// Returns true if at most [`MAX_MISSED_HEARTBEATS`] heartbeats have been missed since `at`.
+    pub(super) fn is_recent(&self, at: Option<Millis>, now: Millis) -> bool {
+        let max_age = self.heartbeat_interval() * (MAX_MISSED_HEARTBEATS + 1);
+        at.is_some_and(|at| now <= at + max_age)
     }
 
-    pub(super) fn beat_every(&self) -> Millis {
-        BEAT_EVERY * (self.mates as u64).max(BEAT_BOXES) / BEAT_BOXES
+    pub(super) fn heartbeat_interval(&self) -> Millis {
+        HEARTBEAT_INTERVAL * (self.hall_peers as u64).max(HEARTBEAT_SCALING_BOXES) / HEARTBEAT_SCALING_BOXES
     }
 }
