--- a/crates/peers/examples/tick.rs
+++ b/crates/peers/examples/tick.rs
@@ -1,5 +1,4 @@
-//! What a box spends on looking at what is due, by the number of boxes: `cargo run --release -p peers
-//! --example tick`.
+//! Measures the time of `Peers::tick` by the number of boxes: `cargo run --release -p peers --example tick`.
 
 use peers::{Heartbeat, KnownVersions, Message, Peers, Profile, Roster};
 use routing::{Evacuations, Position};
@@ -11,7 +10,7 @@
 /// Interval between ticks in the program.
 const TICK_INTERVAL_MS: u64 = 100;
 
-/// Looks that are timed.
+/// Number of ticks that are measured.
 const ROUNDS: u64 = 2_000;
 
 fn address(index: u16) -> SocketAddr {
--- a/crates/peers/src/action.rs
+++ b/crates/peers/src/action.rs
@@ -1,34 +1,34 @@
-//! What the state machine asks for.
+//! Actions requested by the state machine.
 
 use crate::Message;
 use routing::{Digests, Evacuations, Position};
 use std::net::SocketAddr;
 
-/// Something to carry out.
+/// An action to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message.
     Send(SocketAddr, Message),
-    /// Send the configuration as published.
+    /// Send the configuration, as published, to a box.
     SendTable(SocketAddr),
-    /// Ask for what this box's list of servers lacks.
+    /// Request the parts that this box's list of servers lacks.
     RequestDirectory(SocketAddr),
-    /// Send what a list of servers lacks.
+    /// Send the parts that the list of servers with these digests lacks.
     SendDirectory(SocketAddr, Digests),
-    /// Exchange with this box which requests end servers: it holds others.
+    /// Exchange suspect requests with a box whose set differs.
     SyncSuspects(SocketAddr),
-    /// Exchange with this box what servers said of themselves: it knows something else.
+    /// Exchange server notices with a box whose set differs.
     SyncNotices(SocketAddr),
-    /// Begin or end to watch the publisher.
+    /// Start (true) or stop (false) watching the publisher.
     SetWatching(bool),
-    /// A peer sent a configuration.
+    /// Apply a configuration received from a peer.
     Table(Vec<u8>),
-    /// A watcher says that the configuration which this box has was still the newest there.
+    /// Record that this box's configuration was still the latest at this position, according to a watcher.
     TableUntil(Position),
-    /// A peer told which halls are evacuated.
+    /// Merge evacuated halls received from a peer.
     Evacuations(Evacuations),
-    /// A peer sent what this box's list of servers lacked, packed.
+    /// Apply an encoded excerpt received from a peer: the parts that this box's list of servers lacked.
     Excerpt(Vec<u8>),
-    /// A peer told what became of servers, packed, on top of the position that this box has.
+    /// Apply encoded changes to the list of servers up to this position, received from a peer.
     Changes(Vec<u8>, Position),
 }
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,10 +1,10 @@
-//! Which boxes watch the publisher, and how all others hear of news within their bounds.
+//! Election of the boxes that watch the publisher, and distribution of updates to all other boxes.
 //!
-//! Calls to the publisher are few and paid for, so that in each hall only some boxes watch; they send
-//! what they learn to the hall's others, and tell watchers of other halls how new their knowledge is. A
-//! box that hears no watcher watches by itself. [`Peers`] is a state machine without I/O and clock: it
-//! takes messages and the time, and answers with [`Action`]s. It doesn't decide what news mean, and it is
-//! no membership service: a box that others can't hear is merely not relied upon.
+//! Calls to the publisher are billed and must be few, so only some boxes of each hall watch it. Watchers send
+//! updates to the other boxes of their hall, and announce the versions they have to watchers of other halls.
+//! A box that receives no watcher's heartbeats starts to watch by itself. [`Peers`] is a state machine
+//! without I/O or clock: it takes messages and the time, and returns [`Action`]s. It doesn't interpret
+//! updates and is not a membership service: a box that can't be reached is merely not relied upon.
 
 mod action;
 mod member;
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -1,11 +1,11 @@
-//! One other box.
+//! State of another box.
 
 use crate::{Millis, Profile};
 
-/// What is known of another box.
+/// State of another box, as known by this one.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
-    /// What it said of itself, or others of it.
+    /// Its profile, received from the box itself or from others.
     pub(crate) profile: Profile,
     /// The box is in the same hall as this one.
     pub(crate) same_hall: bool,
@@ -21,7 +21,7 @@
 }
 
 impl Member {
-    /// A box that `me` meets.
+    /// Creates the state of a box that has become known to `me`.
     pub(crate) fn new(profile: &Profile, me: &Profile, now: Millis) -> Self {
         Self {
             profile: profile.clone(),
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -1,10 +1,10 @@
-//! What boxes say to each other.
+//! Messages between boxes.
 
 use crate::Roster;
 use routing::{Digests, Evacuations, Position};
 use serde::{Deserialize, Serialize};
 
-/// What may be asked for.
+/// The data that can be requested from another box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Subject {
     /// The configuration as published.
@@ -13,85 +13,85 @@
     Directory,
     /// The boxes known.
     Members,
-    /// Requests that end servers.
+    /// Suspect requests, which appear to terminate the servers that run them.
     Suspects,
-    /// What servers said of themselves.
+    /// Notices that servers gave about themselves.
     Notices,
 }
 
-/// Says that the sender lives, what it knows, and whether it can be relied upon for news.
+/// Announces that the sender is alive, the versions it has, and whether it watches the publisher successfully.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub profile: Profile,
     /// True while the sender watches the publisher and its last call succeeded.
     pub watches: bool,
-    /// Version of the configuration that it has; 0 for none.
+    /// Version of its configuration; 0 for none.
     pub table: u64,
-    /// Where in the publisher's history that was still the newest; none when it doesn't know.
+    /// Position at which that configuration was still the latest; [`Position::NONE`] if unknown.
     pub table_until: Position,
     /// Position of its list of servers.
     pub directory: Position,
-    /// The evacuated halls that it knows of.
+    /// Evacuated halls that it knows.
     pub evacuations: Evacuations,
     /// Digest of the boxes that it knows.
     pub members: u32,
-    /// Digest of the requests that it knows to end servers.
+    /// Digest of the suspect requests that it knows.
     pub suspects: u64,
-    /// Digest of what servers said of themselves and their entries don't say.
+    /// Digest of the server notices that it knows and that are not part of the servers' entries.
     pub notices: u64,
 }
 
-/// What boxes say of themselves when they meet.
+/// Properties that a box announces to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Profile {
     /// Its hall.
     pub hall: String,
-    /// How much it can do for others; boxes with more watch first.
+    /// Its capacity to serve other boxes. Boxes with a higher capacity are preferred as watchers.
     pub capacity: u32,
 }
 
 /// A message between two boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A box is there and wants to hear of news.
+    /// Announces a box that wants to receive updates.
     Hello {
         /// The sender.
         profile: Profile,
         /// Digest of the boxes that it knows.
         members: u32,
     },
-    /// Tells a box that has just come how new the sender's knowledge is, so that it need not read the
+    /// Bootstrap message, which announces the sender's versions to a new box so that it need not read the
     /// publisher.
     Welcome {
         /// Version of the sender's configuration; 0 for none.
         table: u64,
         /// Position of its list of servers.
         directory: Position,
-        /// The evacuated halls that it knows of.
+        /// Evacuated halls that it knows.
         evacuations: Evacuations,
     },
-    /// A watcher's heartbeat.
+    /// Heartbeat of a watcher.
     Heartbeat(Heartbeat),
-    /// Asks for what the receiver has.
+    /// Requests data from the receiver.
     Want(Subject),
     /// Boxes that the sender knows.
     Members(Roster),
     /// A configuration as published.
     Table(Vec<u8>),
-    /// Asks for what the sender's list of servers lacks.
+    /// Requests the parts that the sender's list of servers, with these digests, lacks.
     Lacking(Digests),
-    /// The answer, packed: parts of a list of servers.
+    /// The encoded response: parts of a list of servers.
     Excerpt(Vec<u8>),
-    /// What became of servers after `since`, up to `until`: both of one era.
+    /// Changes to the list of servers after `since` and up to `until`, which are of the same era.
     Changes {
-        /// Position that these changes build upon.
+        /// Position of the list to which the changes apply.
         since: Position,
-        /// Position of the list with these changes.
+        /// Position of the list after the changes.
         until: Position,
-        /// The changes in order, packed.
+        /// The encoded changes, in order.
         packed: Vec<u8>,
     },
-    /// The sender stops by plan.
+    /// The sender is shutting down.
     Leave,
 }
--- a/crates/peers/src/missed_replies.rs
+++ b/crates/peers/src/missed_replies.rs
@@ -1,4 +1,4 @@
-//! Boxes that don't answer.
+//! Detection of boxes that don't reply.
 
 use crate::Millis;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 /// Time during which an unresponsive box gets no requests.
 const UNRESPONSIVE_BACKOFF: Millis = 2_000;
 
-/// Which boxes are silent.
+/// Tracks missed replies, to find unresponsive boxes.
 #[derive(Clone, Debug, Default)]
 pub struct MissedReplies {
     /// Time of the first reply that a box missed since its last message.
@@ -22,13 +22,13 @@
 }
 
 impl MissedReplies {
-    /// A box has said something, however late.
+    /// Records a message from a box, even a late one.
     pub fn record_reply(&mut self, from: SocketAddr) {
         self.first_missed.remove(&from);
         self.backoff_until.remove(&from);
     }
 
-    /// A box has not answered in time.
+    /// Records that a box did not reply in time.
     pub fn record_missed(&mut self, by: SocketAddr, now: Millis) {
         let first = *self.first_missed.entry(by).or_insert(now);
         if now >= first + UNRESPONSIVE_TIMEOUT {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// True while a box isn't to be asked.
+    /// Returns true while a box is unresponsive and should get no requests.
     #[must_use]
     pub fn is_unresponsive(&self, address: &SocketAddr, now: Millis) -> bool {
         self.backoff_until.get(address).is_some_and(|until| now < *until)
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -1,4 +1,4 @@
-//! The state machine: who is there, and what is due.
+//! The state machine: known boxes and scheduled messages.
 
 mod broadcast;
 mod exchange;
@@ -17,24 +17,24 @@
 /// then, boxes that start together know each other.
 const MIN_CONVERGENCE_DELAY: Millis = 1_000;
 
-/// How new this box's knowledge is.
+/// The versions of the data that this box has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownVersions {
     /// Version of the configuration; 0 for none.
     pub table: u64,
-    /// Where in the publisher's history that was still the newest; none when this is not known.
+    /// Position at which that configuration was still the latest; [`Position::NONE`] if unknown.
     pub table_until: Position,
     /// Position of the list of servers.
     pub directory: Position,
     /// The evacuated halls.
     pub evacuations: Evacuations,
-    /// Digest of the requests that end servers.
+    /// Digest of the suspect requests.
     pub suspects: u64,
-    /// Digest of what servers said of themselves and their entries don't say.
+    /// Digest of the server notices that are not part of the servers' entries.
     pub notices: u64,
 }
 
-/// What one box knows of the others, and what it does about news.
+/// The other boxes known to a box, and its exchange of updates with them.
 #[derive(Clone, Debug)]
 pub struct Peers {
     me: SocketAddr,
@@ -71,7 +71,7 @@
 }
 
 impl Peers {
-    /// A box that other boxes reach at `me`. It begins by listening.
+    /// Creates the state of a box that other boxes reach at `me`. It starts by listening for watchers.
     #[must_use]
     pub fn new(me: SocketAddr, profile: Profile, seeds: &[SocketAddr]) -> Self {
         Self {
@@ -97,42 +97,42 @@
         }
     }
 
-    /// Takes new seeds, after the settings have changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.iter().copied().filter(|seed| *seed != self.me).collect();
     }
 
-    /// Boxes known, this one included.
+    /// Returns the number of known boxes, including this one.
     #[must_use]
     pub fn box_count(&self) -> usize {
         self.members.len() + 1
     }
 
-    /// All boxes known, this one included.
+    /// Returns all known boxes, including this one.
     #[must_use]
     pub fn members(&self) -> Vec<(SocketAddr, Profile)> {
         let others = self.members.iter().map(|(address, member)| (*address, member.profile.clone()));
         others.chain([(self.me, self.profile.clone())]).collect()
     }
 
-    /// The other boxes known.
+    /// Returns the addresses of the other known boxes.
     pub fn other_boxes(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.members.keys().copied()
     }
 
-    /// True once this box knows the others: one of them knew the same, or there is none that it could ask.
+    /// Returns true once this box knows all others: one of them knows the same boxes, or there is none to ask.
     #[must_use]
     pub fn has_converged(&self) -> bool {
         self.converged || (self.seeds.is_empty() && self.members.is_empty())
     }
 
-    /// Rises whenever the boxes known may have changed.
+    /// Returns a counter that increases whenever the known boxes may have changed.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// True while this box watches the publisher, or tries to.
+    /// Returns true while this box watches the publisher, or tries to.
     #[must_use]
     pub fn is_watching(&self) -> bool {
         self.watching
@@ -163,7 +163,7 @@
         self.heartbeats = FULL_HEARTBEAT_EVERY - 1;
     }
 
-    /// To be called every few hundred milliseconds.
+    /// Runs scheduled work. To be called every few hundred milliseconds.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         self.update_watching(now, &mut actions);
@@ -176,7 +176,7 @@
         actions
     }
 
-    /// Takes a message.
+    /// Handles a message from another box.
     pub fn handle(&mut self, from: SocketAddr, message: Message, now: Millis) -> Vec<Action> {
         let mut actions = Vec::new();
         if from == self.me {
--- a/crates/peers/src/peers/broadcast.rs
+++ b/crates/peers/src/peers/broadcast.rs
@@ -1,4 +1,4 @@
-//! What a box tells others of its own accord, and whom.
+//! Messages that a box sends on its own initiative, and their recipients.
 
 use super::{KnownVersions, Peers, FULL_HEARTBEAT_EVERY};
 use crate::member::Member;
@@ -30,23 +30,26 @@
 const BOOTSTRAP_WINDOW: Millis = 1_000;
 
 impl Peers {
-    /// A new configuration came: the hall's others get it if this box watches for them.
+    /// Returns the actions that send a new configuration to the hall's other boxes, if this box watches for
+    /// them.
     #[must_use]
     pub fn broadcast_table(&self) -> Vec<Action> {
         self.hall_targets().map(Action::SendTable).collect()
     }
 
-    /// Servers changed: the hall's others are told if this box watches for them.
+    /// Returns the actions that send changes of servers to the hall's other boxes, if this box watches for
+    /// them.
     #[must_use]
     pub fn broadcast_changes(&self, since: Position, until: Position, packed: &[u8]) -> Vec<Action> {
         let message = Message::Changes { since, until, packed: packed.to_vec() };
         self.hall_targets().map(|to| Action::Send(to, message.clone())).collect()
     }
 
-    /// Where a word goes that is for all boxes and new to this one: heard `from` another box, or first said
-    /// here. Few boxes tell all others themselves. In a larger fleet the watchers of the hall tell it, and
-    /// those of other halls, which tell theirs: what a box sends doesn't grow with the fleet. Whoever is
-    /// missed asks, since heartbeats tell that something is known elsewhere.
+    /// Returns the recipients of a message for all boxes that is new to this one, received `from` another box
+    /// or originating here. In a small fleet, the originating box sends it to all others. In a larger one, it
+    /// goes to the watchers of its hall, which forward it to their hall and to the watchers of other halls,
+    /// so that the number of messages per box doesn't grow with the fleet. A box that is missed requests the
+    /// data, since heartbeats contain its digest.
     #[must_use]
     pub fn forward_targets(&self, from: Option<SocketAddr>, now: Millis) -> Vec<SocketAddr> {
         let others = || self.members.iter().filter(|(address, _)| Some(**address) != from);
@@ -70,7 +73,8 @@
         others().filter(is_target).map(|(address, _)| *address).collect()
     }
 
-    /// This box stops by plan: those are told that may rely on it, or send to it of their own accord.
+    /// Returns the messages that announce a planned shutdown to the boxes that may rely on this one or send
+    /// to it on their own initiative.
     #[must_use]
     pub fn leave(&self) -> Vec<Action> {
         let watches = |member: &Member| member.last_heartbeat.is_some();
--- a/crates/peers/src/peers/exchange.rs
+++ b/crates/peers/src/peers/exchange.rs
@@ -1,4 +1,4 @@
-//! What a box asks for, since another knows it, and what it gives.
+//! Requests for data that another box has, and responses to such requests.
 
 use super::Peers;
 use crate::{Action, Heartbeat, Message, Millis, Roster, Subject};
@@ -93,7 +93,7 @@
     pub(super) fn on_want(&self, to: SocketAddr, subject: Subject, actions: &mut Vec<Action>) {
         actions.push(match subject {
             Subject::Table => Action::SendTable(to),
-            // Asked for with what the asker has, in messages of their own.
+            // Requested by separate messages that contain the requester's state.
             Subject::Directory | Subject::Suspects | Subject::Notices => return,
             Subject::Members => Action::Send(to, Message::Members(Roster::new(self.members()))),
         });
--- a/crates/peers/src/peers/watching.rs
+++ b/crates/peers/src/peers/watching.rs
@@ -1,4 +1,4 @@
-//! Who of a hall watches the publisher, by whom the others hear.
+//! Election of the boxes of a hall that watch the publisher for the others.
 
 use super::Peers;
 use crate::member::Member;
@@ -34,7 +34,7 @@
 const FIRST_LIST_TIMEOUT: Millis = 2_000;
 
 impl Peers {
-    /// What this box watches the publisher as.
+    /// Returns the role of this box in watching the publisher.
     #[must_use]
     pub fn watch_role(&self, now: Millis) -> WatchRole {
         let mut preceding =
--- a/crates/peers/src/roster.rs
+++ b/crates/peers/src/roster.rs
@@ -1,17 +1,17 @@
-//! The boxes that one box knows, as they are told.
+//! The list of boxes known to a box, in compact form.
 
 use crate::Profile;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Boxes by hall. A hall's name is told once: with 300 boxes a list takes 3 KB and not 8, and each box that
-/// starts gets one.
+/// Boxes by hall. Grouping avoids repeating the hall's name: with 300 boxes, a list takes 3 KB instead of 8
+/// KB, and each box that starts receives one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Roster(BTreeMap<String, Vec<(SocketAddr, u32)>>);
 
 impl Roster {
-    /// The roster of these boxes.
+    /// Creates a roster of these boxes.
     #[must_use]
     pub fn new(boxes: impl IntoIterator<Item = (SocketAddr, Profile)>) -> Self {
         let mut halls: BTreeMap<String, Vec<(SocketAddr, u32)>> = BTreeMap::new();
@@ -21,7 +21,7 @@
         Self(halls)
     }
 
-    /// The boxes.
+    /// Returns the boxes with their profiles.
     pub fn into_boxes(self) -> impl Iterator<Item = (SocketAddr, Profile)> {
         self.0.into_iter().flat_map(|(hall, boxes)| {
             let profile = move |(address, capacity)| (address, Profile { hall: hall.clone(), capacity });
--- a/crates/peers/src/watch_role.rs
+++ b/crates/peers/src/watch_role.rs
@@ -1,19 +1,19 @@
-//! What a box watches the publisher as.
+//! Role of a box in watching the publisher.
 
-/// Whether a box watches the publisher, and whether its hall relies on it first.
+/// Role of a box in watching the publisher for its hall.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WatchRole {
-    /// It doesn't: it hears of news from others.
+    /// The box doesn't watch and receives updates from other boxes.
     #[default]
     Off,
-    /// It does, and no other box of its hall goes before it.
+    /// The box watches, and no other watcher of its hall precedes it.
     Primary,
-    /// It does, and its hall hears of news from another one as well.
+    /// The box watches, and another watcher of its hall precedes it.
     Secondary,
 }
 
 impl WatchRole {
-    /// True while the box watches.
+    /// Returns true if the box watches.
     #[must_use]
     pub fn is_on(self) -> bool {
         self != Self::Off
--- a/crates/peers/tests/heartbeat.rs
+++ b/crates/peers/tests/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What a box takes from a watcher's heartbeat.
+//! Handling of heartbeats, hellos and bootstrap messages.
 
 use peers::{Action, Heartbeat, KnownVersions, Message, Peers, Profile, Roster, Subject};
 use routing::{Evacuations, Position};
@@ -196,9 +196,9 @@
     assert_eq!(applied, [Action::Changes(vec![1], Position::new(1, 31))]);
 }
 
-/// How many boxes are of a box's hall was counted anew for each of them at each look, ten times a second: 1
-/// ms of a core with 585 boxes, and 4 ms with 1,170. It is kept now, and must go by what boxes say of their
-/// halls last.
+/// The number of boxes in the hall is cached, since counting it for each box in each of ten ticks per second
+/// took 1 ms of a core with 585 boxes and 4 ms with 1,170. The cached number must follow the halls that boxes
+/// announce.
 #[test]
 fn the_heartbeat_interval_follows_the_current_size_of_the_hall() {
     let interval = |peers: &mut Peers, from: u64| -> u64 {
--- a/crates/peers/tests/missed_replies.rs
+++ b/crates/peers/tests/missed_replies.rs
@@ -1,4 +1,4 @@
-//! When a box counts as silent.
+//! Detection of unresponsive boxes.
 
 use peers::MissedReplies;
 use std::net::SocketAddr;
--- a/crates/peers/tests/world.rs
+++ b/crates/peers/tests/world.rs
@@ -1,4 +1,5 @@
-//! Boxes in three halls under a randomised network: few watch, and all hear of news in time.
+//! Simulation of boxes in several halls with a randomised network: few boxes watch, and all receive updates
+//! in time.
 
 use peers::{Action, KnownVersions, Message, Peers, Profile, WatchRole};
 use rand::{Rng, SeedableRng};
@@ -39,7 +40,7 @@
     /// Halls that are partitioned from the others.
     partitioned: HashSet<String>,
     calls: u64,
-    /// Bytes of all messages that were sent, but for what lists of servers hold.
+    /// Bytes of all messages sent, except the contents of lists of servers.
     bytes: usize,
 }
 
@@ -54,7 +55,7 @@
     SocketAddr::from(([10, hall as u8, 0, index as u8], 8000))
 }
 
-/// The halls that are evacuated at a position: others at each.
+/// The evacuated halls at a position, which are different at each.
 fn evacuations(position: Position) -> Evacuations {
     Evacuations::new(position, [format!("evacuated-{position}")].into())
 }
@@ -104,14 +105,14 @@
         }
     }
 
-    /// Another configuration, other servers and other evacuations are published.
+    /// Publishes a new configuration, list of servers and set of evacuated halls.
     fn publish(&mut self) {
         self.published.revision += 1;
         self.version += 1;
         self.versions.insert(self.published, self.version);
     }
 
-    /// The publisher comes back from an older copy, and all is written again.
+    /// Restores the publisher from an older backup, and publishes all data again.
     fn restore(&mut self) {
         let lost = self.rng.random_range(0..=5).min(self.published.revision - 1);
         self.published = Position::new(self.published.era + 1, self.published.revision - lost);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Watchers that are reached learn of what is published.
+    /// Updates the watchers that the publisher answers.
     fn watch(&mut self) {
         for one in self.boxes.values_mut().filter(|b| b.watching && b.reachable && !b.frozen) {
             if one.known.directory < self.published {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Both know afterwards what either knew; here the digest is all that there is to know, and grows.
+    /// Synchronises two boxes. The digest, which only increases, stands for the data.
     fn share(&mut self, one: SocketAddr, other: SocketAddr, digest: fn(&mut KnownVersions) -> &mut u64) {
         let known = [one, other].map(|address| self.boxes.get_mut(&address).map_or(0, |b| *digest(&mut b.known)));
         for address in [one, other] {
@@ -402,7 +403,7 @@
 #[test]
 fn few_boxes_take_over_when_a_hall_loses_its_watchers() {
     let mut world = World::new(5, 3, 40);
-    // Long enough for boxes to have said nothing for a while to all that don't watch.
+    // Long enough for each box to count as silent to all boxes that don't watch.
     world.run(15_000);
     let watchers: Vec<SocketAddr> = world.boxes.iter().filter(|(_, b)| b.watching).map(|(a, _)| *a).collect();
     for watcher in &watchers {
@@ -460,9 +461,9 @@
     assert_eq!(broadcast_from(&small, address(1, 2)), (17, 17));
 }
 
-/// Each watcher of a hall called the publisher as often as if it were alone: two thirds of what a small hall
-/// spent while nothing happened. The second one may wait longer, as long as it notices when the first is
-/// gone.
+/// If each watcher of a hall called the publisher as often as a single one, that would be two thirds of the
+/// traffic of an idle small hall. The secondary watcher may poll less often as long as it notices the loss of
+/// the primary.
 #[test]
 fn the_secondary_watcher_becomes_primary_once_the_primary_is_lost() {
     let mut world = World::new(6, 3, 6);
