--- a/crates/placement/examples/choose.rs
+++ b/crates/placement/examples/choose.rs
@@ -16,7 +16,7 @@
 const CHOICES: u64 = 2_000;
 
 /// Owners asked for a choice at most.
-const ASKED: usize = 9;
+const MAX_QUERIES: usize = 9;
 
 fn placement() -> Placement {
     let engine = |index: usize| {
@@ -51,7 +51,7 @@
             now: index * 300,
         };
         let began = Instant::now();
-        let planned = placement.servers_to_query(&request, ASKED);
+        let planned = placement.servers_to_query(&request, MAX_QUERIES);
         took += began.elapsed();
         let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
         let began = Instant::now();
--- a/crates/placement/examples/slopes.rs
+++ b/crates/placement/examples/slopes.rs
@@ -16,7 +16,7 @@
 const ROUNDS: u64 = 200;
 
 /// Owners asked for a choice at most.
-const ASKED: usize = 9;
+const MAX_QUERIES: usize = 9;
 
 fn entry(index: usize) -> Server {
     // Names are spread as evenly as those of the users' platform.
@@ -52,7 +52,7 @@
         now: round * 300,
     };
     let began = Instant::now();
-    let planned = placement.servers_to_query(&request, ASKED);
+    let planned = placement.servers_to_query(&request, MAX_QUERIES);
     let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
     let _ = black_box(placement.choose(&PlacementRequest { statuses: &statuses, ..request }));
     began.elapsed()
--- a/crates/placement/tests/register.rs
+++ b/crates/placement/tests/cache_directory.rs
@@ -26,7 +26,7 @@
     Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
-/// A box's question to the owners of nine servers, of which the first five, that are asked for the prompt's parts, have their
+/// A box's query to the owners of nine servers, of which the first five, that are asked for the prompt's parts, have their
 /// hands full, and its choice.
 fn choose(one: &mut Placement, owner: &mut Owner, prompt: &Prompt, now: u64) -> Choice {
     let request = |statuses| PlacementRequest {
@@ -44,10 +44,10 @@
     };
     let planned = one.servers_to_query(&request(&[]), 9);
     let mut statuses = Vec::new();
-    for (place, server) in planned.iter().enumerate() {
-        let question = StatusQuery { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-        let mut status = owner.on_query(&question, now);
-        if place < 5 {
+    for (index, server) in planned.iter().enumerate() {
+        let query = StatusQuery { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
+        let mut status = owner.on_query(&query, now);
+        if index < 5 {
             let reading = Prefill { tokens: 4_000_000, ..Prefill::default() };
             status.load = Load { running: 60, prefill: reading, ..Load::default() };
         }
@@ -64,16 +64,16 @@
         let (mut owner, mut first_box, mut other_box) = (Owner::default(), placement(), placement());
         let first = choose(&mut first_box, &mut owner, &prompt(shared, 1_000), 0);
         let from = SocketAddr::from(([10, 1, 0, 1], 80));
-        let tell = |owner: &mut Owner, number: u64, server: &str, news: SendUpdate| {
-            owner.on_report(from, SendReport { number, server: server.to_owned(), update: news }, 100);
+        let report = |owner: &mut Owner, number: u64, server: &str, update: SendUpdate| {
+            owner.on_report(from, SendReport { number, server: server.to_owned(), update }, 100);
         };
         let prompt_sent = prompt(shared, 1_000);
         let sent = SendUpdate::Sent { parts: prompt_sent.parts, work: first.work, memory: 400_000, permitted: false };
-        tell(&mut owner, 1, &first.server.id, sent);
-        tell(&mut owner, 1, &first.server.id, SendUpdate::Read);
-        for (register, part) in &first.cache_directories {
+        report(&mut owner, 1, &first.server.id, sent);
+        report(&mut owner, 1, &first.server.id, SendUpdate::Read);
+        for (directory, part) in &first.cache_directories {
             assert_eq!(*part, shared);
-            tell(&mut owner, 2, &register.id, SendUpdate::Elsewhere { part: *part, by: first.server.id.clone() });
+            report(&mut owner, 2, &directory.id, SendUpdate::Elsewhere { part: *part, by: first.server.id.clone() });
         }
         let next = choose(&mut other_box, &mut owner, &prompt(shared, 2_000), 200);
         let reads = next.work.prefill.tokens > 3_000;
@@ -82,24 +82,24 @@
             assert_eq!(next.fetch, Some(first.server.address));
         }
     }
-    assert_eq!(again, 0, "of 50 parts are read again");
+    assert_eq!(again, 0, "parts of 50 are read again");
 }
 
 #[test]
-fn a_register_remembers_the_last_readers_of_a_part_and_no_others() {
+fn a_cache_directory_remembers_the_last_readers_of_a_part() {
     let mut owner = Owner::default();
     let from = SocketAddr::from(([10, 1, 0, 1], 80));
     for reader in ["a", "b", "c", "a", "d"] {
-        let news = SendUpdate::Elsewhere { part: 7, by: reader.to_owned() };
-        owner.on_report(from, SendReport { number: 0, server: "s".to_owned(), update: news }, 0);
+        let update = SendUpdate::Elsewhere { part: 7, by: reader.to_owned() };
+        owner.on_report(from, SendReport { number: 0, server: "s".to_owned(), update }, 0);
     }
-    let mut elsewhere = |parts: &[u64]| {
+    let mut cached_by = |parts: &[u64]| {
         let parts = parts.iter().map(|id| Part { id: *id, tokens: 5_000 }).collect();
-        let question = StatusQuery { number: 1, server: "s".to_owned(), parts, gap_ms: 0 };
-        let ServerStatus { cached_by: elsewhere, .. } = owner.on_query(&question, 1);
-        elsewhere
+        let query = StatusQuery { number: 1, server: "s".to_owned(), parts, gap_ms: 0 };
+        let ServerStatus { cached_by, .. } = owner.on_query(&query, 1);
+        cached_by
     };
-    assert_eq!(elsewhere(&[7, 100]), ["d", "a", "c"]);
-    assert!(elsewhere(&[8, 100]).is_empty(), "another part");
-    assert!(elsewhere(&[7]).is_empty(), "a request's own part is nobody else's");
+    assert_eq!(cached_by(&[7, 100]), ["d", "a", "c"]);
+    assert!(cached_by(&[8, 100]).is_empty(), "another part");
+    assert!(cached_by(&[7]).is_empty(), "a request's own part is not shared");
 }
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 /// Aim for the first event.
-const AIM: Duration = Duration::from_millis(1_500);
+const TARGET: Duration = Duration::from_millis(1_500);
 
 /// A pause between events that reading beside them may make longer.
-const QUICK_GAP: Duration = Duration::from_millis(300);
+const SHORT_GAP: Duration = Duration::from_millis(300);
 
 fn server(index: usize, hall: &str, draining: bool) -> Server {
     Server { draining, ..common::server(index, hall) }
@@ -27,7 +27,7 @@
 /// With one route to engines whose events hold four tokens.
 fn placement(servers: Vec<Server>) -> Placement {
     let mut placement = Placement::new("here", RetryBudget::new(0.2, 50.0, 10_000));
-    let table = Table::new(1, vec![route(Some(QUICK_GAP))], vec![service(64, 4, None)]);
+    let table = Table::new(1, vec![route(Some(SHORT_GAP))], vec![service(64, 4, None)]);
     common::update(&mut placement, &table, servers, &[], 0);
     placement
 }
@@ -47,7 +47,7 @@
     let request = PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
-        target: AIM,
+        target: TARGET,
         gap_limit: None,
         urgency: 0,
         bytes: 17_000,
@@ -64,18 +64,18 @@
     choose_at(placement, 1_000, prompt, &[], statuses)
 }
 
-fn status(running: u32, unread: u64, kept: u32, read: u32) -> ServerStatus {
+fn status(running: u32, unread: u64, cached: u32, read: u32) -> ServerStatus {
     let reading = Prefill { tokens: unread, ..Prefill::default() };
     ServerStatus {
         load: Load { running, prefill: reading, ..Load::default() },
-        cached_tokens: kept,
+        cached_tokens: cached,
         confirmed_tokens: read,
         ..ServerStatus::default()
     }
 }
 
 #[test]
-fn boxes_that_know_the_same_servers_send_a_shared_part_to_the_same_one() {
+fn boxes_with_the_same_servers_agree_on_the_home_of_a_part() {
     let mut one = placement(servers(9));
     let mut other = placement(servers(9).into_iter().rev().collect());
     let mut homes = std::collections::HashSet::new();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_draining_server_and_a_tried_one_get_nothing() {
+fn draining_and_tried_servers_are_not_chosen() {
     let mut placement = placement(vec![server(0, "here", true), server(1, "here", false), server(2, "here", false)]);
     for shared in 0..50 {
         let chosen = choose_at(&mut placement, 0, &prompt(shared, 100 + shared), &["s1".to_owned()], &[]);
@@ -98,21 +98,21 @@
 }
 
 #[test]
-fn a_server_whose_owner_was_not_heard_is_not_taken_for_idle() {
+fn a_server_without_a_status_is_not_assumed_to_be_idle() {
     let mut placement = placement(servers(3));
     let home = choose(&mut placement, &prompt(7, 100), &[]).server.id.clone();
-    let heard = vec![(home.clone(), status(20, 40_000, 13_000, 13_000))];
-    assert_eq!(choose(&mut placement, &prompt(7, 101), &heard).server.id, home);
+    let reported = vec![(home.clone(), status(20, 40_000, 13_000, 13_000))];
+    assert_eq!(choose(&mut placement, &prompt(7, 101), &reported).server.id, home);
 }
 
 #[test]
-fn a_loaded_home_gives_way_and_its_parts_are_fetched_only_once_they_were_read() {
+fn parts_of_a_loaded_home_are_fetched_only_after_they_were_read() {
     for (read, fetches, unread) in [(0, false, 16_000), (13_000, true, 3_000)] {
         let mut placement = placement(servers(2));
         let home = choose(&mut placement, &prompt(7, 100), &[]).server.clone();
         let other = if home.id == "s0" { "s1" } else { "s0" };
-        let heard = [(home.id.clone(), status(64, 2_000_000, 13_000, read)), (other.to_owned(), status(0, 0, 0, 0))];
-        let chosen = choose(&mut placement, &prompt(7, 101), &heard);
+        let reported = [(home.id.clone(), status(64, 2_000_000, 13_000, read)), (other.to_owned(), status(0, 0, 0, 0))];
+        let chosen = choose(&mut placement, &prompt(7, 101), &reported);
         assert_eq!(chosen.server.id, other);
         assert_eq!(chosen.fetch, fetches.then_some(home.address));
         assert_eq!(chosen.work.prefill.tokens, unread);
@@ -120,20 +120,20 @@
 }
 
 #[test]
-fn parts_are_fetched_from_whoever_surely_read_them() {
+fn parts_are_fetched_from_a_server_known_to_have_read_them() {
     let mut placement = placement(servers(3));
     let home = choose(&mut placement.clone(), &prompt(7, 100), &[]).server.clone();
     let holder = servers(3).into_iter().find(|s| s.id != home.id).expect("another server");
     // As after the home's restart: it has nothing, and the one that stood in for it is busy.
-    let heard = [(home.id.clone(), status(0, 0, 0, 0)), (holder.id.clone(), status(64, 3_000_000, 13_000, 13_000))];
-    let chosen = choose(&mut placement, &prompt(7, 101), &heard);
+    let reported = [(home.id.clone(), status(0, 0, 0, 0)), (holder.id.clone(), status(64, 3_000_000, 13_000, 13_000))];
+    let chosen = choose(&mut placement, &prompt(7, 101), &reported);
     assert_eq!(chosen.server.id, home.id);
     assert_eq!(chosen.fetch, Some(holder.address));
     assert_eq!(chosen.work.prefill.tokens, 3_000);
 }
 
 #[test]
-fn the_owners_of_the_first_homes_are_asked_and_then_those_of_cheap_servers() {
+fn owners_of_the_first_homes_are_queried_before_those_of_cheap_servers() {
     let mut placement = placement(servers(9));
     let home = choose(&mut placement.clone(), &prompt(7, 100), &[]).server.id.clone();
     let without = std::slice::from_ref(&home);
@@ -149,7 +149,7 @@
     let request = PlacementRequest {
         service: MODEL,
         prompt: Some(&prompt),
-        target: AIM,
+        target: TARGET,
         gap_limit: None,
         urgency: 0,
         bytes: 0,
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_box_does_not_ask_the_same_few_of_many_servers_again_and_again() {
+fn queries_are_spread_over_many_servers() {
     let mut placement = placement(servers(40));
     let mut asked = std::collections::HashSet::new();
     for own in 0..100 {
@@ -173,7 +173,7 @@
         asked
             .extend(placement.servers_to_query(&quick_request(&prompt, &[]), 9).iter().map(|server| server.id.clone()));
     }
-    assert!(asked.len() >= 36, "{} of 40 are asked by 100 requests", asked.len());
+    assert!(asked.len() >= 36, "{} of 40 are queried by 100 requests", asked.len());
 }
 
 fn quick_prompt(own: u64) -> Prompt {
@@ -186,13 +186,13 @@
     Prompt { model: "m".to_owned(), tokens: 32_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
-/// An ask whose answer may pause only for [`QUICK_GAP`].
+/// An ask whose answer may pause only for [`SHORT_GAP`].
 fn quick_request<'a>(prompt: &'a Prompt, statuses: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
     PlacementRequest {
         service: MODEL,
         prompt: Some(prompt),
-        target: AIM,
-        gap_limit: Some(QUICK_GAP),
+        target: TARGET,
+        gap_limit: Some(SHORT_GAP),
         urgency: 0,
         bytes: 1_500,
         tried: &[],
@@ -208,9 +208,9 @@
     Speed { stall_ms, stall_depth_ms: 0.0, seen: 40.0, stalls_seen: 40.0, ..Speed::default() }
 }
 
-/// What is said of a server where so many answers bear pauses of [`QUICK_GAP`], and of its speed.
-fn paced(answers: u32, stall_ms: f32) -> ServerStatus {
-    let paces = [(QUICK_GAP.as_millis() as u32, answers)].into_iter().filter(|(_, count)| *count > 0).collect();
+/// What is status_with of a server where so many answers bear pauses of [`SHORT_GAP`], and of its speed.
+fn with_gap_limits(answers: u32, stall_ms: f32) -> ServerStatus {
+    let paces = [(SHORT_GAP.as_millis() as u32, answers)].into_iter().filter(|(_, count)| *count > 0).collect();
     ServerStatus {
         load: Load { running: answers, gap_limits: paces, ..Load::default() },
         cached_tokens: 28_000,
@@ -221,57 +221,63 @@
 }
 
 fn chosen(prompt: &Prompt, s0: ServerStatus, s1: ServerStatus) -> String {
-    let heard = [("s0".to_owned(), s0), ("s1".to_owned(), s1)];
+    let reported = [("s0".to_owned(), s0), ("s1".to_owned(), s1)];
     let mut placement = placement(servers(2));
-    for (id, status) in &heard {
+    for (id, status) in &reported {
         placement.on_status(MODEL, id, status.clone(), 1_000);
     }
-    choose(&mut placement, prompt, &heard).server.id.clone()
+    choose(&mut placement, prompt, &reported).server.id.clone()
 }
 
 #[test]
-fn a_long_prompt_is_read_where_fewer_answers_are_made_late() {
+fn a_long_prompt_goes_where_it_makes_fewer_answers_late() {
     let long = Prompt { tokens: 45_000, ..deep_prompt(7) };
     for (many, few) in [(30, 0), (30, 3)] {
-        assert_eq!(chosen(&long, paced(many, 400.0), paced(few, 400.0)), "s1");
-        assert_eq!(chosen(&long, paced(few, 400.0), paced(many, 400.0)), "s0");
+        assert_eq!(chosen(&long, with_gap_limits(many, 400.0), with_gap_limits(few, 400.0)), "s1");
+        assert_eq!(chosen(&long, with_gap_limits(few, 400.0), with_gap_limits(many, 400.0)), "s0");
     }
 }
 
 #[test]
-fn a_long_prompt_is_read_beside_answers_that_its_server_does_not_hold_up_for_too_long() {
+fn a_long_prompt_goes_where_stalls_stay_below_the_gap_limit() {
     let long = Prompt { tokens: 45_000, ..deep_prompt(7) };
-    assert_eq!(chosen(&long, paced(20, 200.0), paced(3, 400.0)), "s0");
-    assert_eq!(chosen(&long, paced(3, 400.0), paced(20, 200.0)), "s1");
+    assert_eq!(chosen(&long, with_gap_limits(20, 200.0), with_gap_limits(3, 400.0)), "s0");
+    assert_eq!(chosen(&long, with_gap_limits(3, 400.0), with_gap_limits(20, 200.0)), "s1");
 }
 
 #[test]
-fn a_short_rest_is_read_beside_any_answers() {
+fn a_short_remainder_is_read_beside_any_answers() {
     let short = Prompt { tokens: 30_000, ..deep_prompt(7) };
-    let elsewhere = ServerStatus { cached_tokens: 0, confirmed_tokens: 0, ..paced(0, 400.0) };
-    assert_eq!(chosen(&short, paced(30, 400.0), elsewhere.clone()), "s0", "30 answers there bear its 50 ms");
-    assert_eq!(chosen(&short, elsewhere, paced(30, 400.0)), "s1");
+    let elsewhere = ServerStatus { cached_tokens: 0, confirmed_tokens: 0, ..with_gap_limits(0, 400.0) };
+    assert_eq!(
+        chosen(&short, with_gap_limits(30, 400.0), elsewhere.clone()),
+        "s0",
+        "a prefill of 50 ms makes none of the 30 answers late"
+    );
+    assert_eq!(chosen(&short, elsewhere, with_gap_limits(30, 400.0)), "s1");
 }
 
 #[test]
-fn an_answer_runs_where_reading_stalls_it_less() {
+fn an_answer_runs_where_prefill_stalls_it_less() {
     for stalled in ["s0", "s1"] {
         let mut placement = placement(servers(2));
-        let status_of =
-            |id: &str| ServerStatus { stalls_per_s: if id == stalled { 1.0 } else { 0.0 }, ..paced(9, 400.0) };
-        let heard = ["s0", "s1"].map(|id| (id.to_owned(), status_of(id)));
-        for (id, status) in &heard {
+        let status_of = |id: &str| ServerStatus {
+            stalls_per_s: if id == stalled { 1.0 } else { 0.0 },
+            ..with_gap_limits(9, 400.0)
+        };
+        let reported = ["s0", "s1"].map(|id| (id.to_owned(), status_of(id)));
+        for (id, status) in &reported {
             placement.on_status(MODEL, id, status.clone(), 1_000);
         }
         let prompt = quick_prompt(100);
-        let chosen = placement.choose(&quick_request(&prompt, &heard)).expect("a server");
+        let chosen = placement.choose(&quick_request(&prompt, &reported)).expect("a server");
         assert_ne!(chosen.server.id, stalled);
         assert_eq!((chosen.work.gap_ms, chosen.work.out), (300, 200));
     }
 }
 
 #[test]
-fn an_unwatched_server_is_taken_to_be_as_fast_as_the_others() {
+fn a_server_without_observations_has_the_mean_speed_of_its_pool() {
     let mut placement = placement(servers(3));
     let slow = ServerStatus { speed: Speed { read_ms: 80.0, ..speed(400.0) }, ..ServerStatus::default() };
     for id in ["s0", "s1"] {
@@ -285,33 +291,33 @@
 }
 
 #[test]
-fn a_home_whose_owner_is_late_keeps_its_parts() {
+fn a_home_without_a_status_is_assumed_to_cache_its_parts() {
     for shared in 0..30 {
         let mut placement = placement(servers(9));
         let home = choose(&mut placement.clone(), &prompt(shared, 100), &[]).server.id.clone();
         let others = placement.servers_to_query(&quick_request(&prompt(shared, 100), &[]), 9);
-        let heard: Vec<_> =
+        let reported: Vec<_> =
             others.iter().filter(|s| s.id != home).map(|s| (s.id.clone(), status(3, 2_000, 0, 0))).collect();
-        assert_eq!(choose(&mut placement, &prompt(shared, 100), &heard).server.id, home);
+        assert_eq!(choose(&mut placement, &prompt(shared, 100), &reported).server.id, home);
         // Where another has read them, that one is as good.
-        let kept: Vec<_> = heard.iter().map(|(id, _)| (id.clone(), status(3, 2_000, 13_000, 13_000))).collect();
-        assert_ne!(choose(&mut placement, &prompt(shared, 100), &kept).server.id, home);
+        let cached: Vec<_> = reported.iter().map(|(id, _)| (id.clone(), status(3, 2_000, 13_000, 13_000))).collect();
+        assert_ne!(choose(&mut placement, &prompt(shared, 100), &cached).server.id, home);
     }
 }
 
 #[test]
-fn a_wait_beyond_the_aim_is_worth_a_transfer() {
+fn a_wait_beyond_the_target_is_worth_a_transfer() {
     let home = choose(&mut placement(servers(9)), &prompt(7, 100), &[]).server.clone();
     let other = if home.id == "s0" { "s1" } else { "s0" };
     for (waiting, moves) in [(20_000, false), (50_000, true)] {
-        let heard = [(home.id.clone(), status(5, waiting, 13_000, 13_000)), (other.to_owned(), status(5, 0, 0, 0))];
-        let chosen = choose(&mut placement(servers(9)), &prompt(7, 101), &heard);
+        let reported = [(home.id.clone(), status(5, waiting, 13_000, 13_000)), (other.to_owned(), status(5, 0, 0, 0))];
+        let chosen = choose(&mut placement(servers(9)), &prompt(7, 101), &reported);
         assert_eq!(chosen.fetch, moves.then_some(home.address), "{waiting} tokens wait at home");
     }
 }
 
 #[test]
-fn for_a_prompt_with_few_shared_tokens_four_owners_are_asked() {
+fn four_owners_are_queried_for_a_prompt_with_few_shared_tokens() {
     let mut placement = placement(servers(9));
     let prompt = quick_prompt(100);
     assert_eq!(placement.servers_to_query(&quick_request(&prompt, &[]), 9).len(), 4);
@@ -319,16 +325,16 @@
     assert_eq!(placement.servers_to_query(&quick_request(&long, &[]), 9).len(), 9);
 }
 
-/// What is said of two servers of 64 places that so many requests have or wait for, of which one ends every 100 ms.
-fn places(running: u32) -> Vec<(String, ServerStatus)> {
+/// What is status_with of two servers of 64 busy_slots that so many requests have or wait for, of which one ends every 100 ms.
+fn busy_slots(running: u32) -> Vec<(String, ServerStatus)> {
     let load = Load { running, urgencies: [(0, running)].into(), ..Load::default() };
-    let said = ServerStatus { load, completion_interval_ms: 100.0, ..ServerStatus::default() };
-    ["s0", "s1"].map(|id| (id.to_owned(), said.clone())).into()
+    let status = ServerStatus { load, completion_interval_ms: 100.0, ..ServerStatus::default() };
+    ["s0", "s1"].map(|id| (id.to_owned(), status.clone())).into()
 }
 
 /// How long a quick request would have to wait for a place; none if it is sent.
 fn refused(placement: &mut Placement, running: u32, urgency: u8, now: u64) -> Option<f64> {
-    let (prompt, statuses) = (quick_prompt(100), places(running));
+    let (prompt, statuses) = (quick_prompt(100), busy_slots(running));
     let request = PlacementRequest { urgency, now, ..quick_request(&prompt, &statuses) };
     match placement.choose(&request) {
         Ok(_) => None,
@@ -338,14 +344,14 @@
 }
 
 #[test]
-fn nothing_is_refused_while_a_place_is_free_or_comes_free_in_time() {
+fn nothing_is_refused_while_a_slot_is_free_or_becomes_free_in_time() {
     for running in [0, 32, 63, 64, 70, 78] {
-        assert_eq!(refused(&mut placement(servers(2)), running, 3, 0), None, "{running} of 64 places");
+        assert_eq!(refused(&mut placement(servers(2)), running, 3, 0), None, "{running} of 64 slots");
     }
 }
 
 #[test]
-fn nothing_is_refused_while_a_dearer_server_has_a_place() {
+fn nothing_is_refused_while_a_more_expensive_server_has_a_slot() {
     let full = Load { running: 80, urgencies: [(0, 80)].into(), ..Load::default() };
     // It keeps the prompt, so that sending it here would cost less than reading it again.
     let full = ServerStatus {
@@ -359,17 +365,17 @@
         let (mut placement, prompt) = (placement(servers(2)), prompt(7, 100));
         let statuses = [("s0".to_owned(), full.clone()), ("s1".to_owned(), status(0, 0, 0, 0))];
         let choice = placement.choose(&PlacementRequest { urgency, ..quick_request(&prompt, &statuses) });
-        assert_eq!(choice.expect("a place").server.id, "s1");
+        assert_eq!(choice.expect("a slot").server.id, "s1");
     }
 }
 
 #[test]
-fn what_would_wait_beyond_its_aim_for_a_place_is_refused() {
-    assert_eq!(refused(&mut placement(servers(2)), 79, 0, 0), Some(1_600.0), "the aim is 1,500 ms");
+fn a_request_that_would_wait_beyond_its_target_is_refused() {
+    assert_eq!(refused(&mut placement(servers(2)), 79, 0, 0), Some(1_600.0), "the target is 1,500 ms");
 }
 
 #[test]
-fn the_less_urgent_are_refused_before_the_more_urgent() {
+fn less_urgent_requests_are_refused_first() {
     let mut placement = placement(servers(2));
     let admitted = |placement: &mut Placement, urgency| {
         let fits = |running: &u32| refused(placement, *running, urgency, 0).is_none();
@@ -377,43 +383,43 @@
     };
     let counts = [0, 1, 2].map(|urgency| admitted(&mut placement, urgency));
     assert_eq!(counts, [15, 7, 5], "waits of 1,500, 750 and 500 ms");
-    assert_eq!(refused(&mut placement, 78, 2, 10_000), None, "the more urgent have not come for long");
+    assert_eq!(refused(&mut placement, 78, 2, 10_000), None, "no more urgent request has come recently");
 }
 
 #[test]
-fn nothing_is_refused_for_the_places_of_the_less_urgent() {
+fn less_urgent_requests_do_not_block_the_slots_of_more_urgent_ones() {
     let mut placement = placement(servers(2));
     let prompt = quick_prompt(100);
-    let said = |lesser: u32, urgent: u32| {
-        let urgencies = [(1, lesser), (0, urgent)].into_iter().filter(|(_, count)| *count > 0).collect();
+    let status_with = |less_urgent: u32, urgent: u32| {
+        let urgencies = [(1, less_urgent), (0, urgent)].into_iter().filter(|(_, count)| *count > 0).collect();
         ServerStatus {
-            load: Load { running: lesser + urgent, urgencies, ..Load::default() },
+            load: Load { running: less_urgent + urgent, urgencies, ..Load::default() },
             ..ServerStatus::default()
         }
     };
-    let statuses = [("s0".to_owned(), said(200, 60)), ("s1".to_owned(), said(0, 90))];
-    let urgent = placement.choose(&quick_request(&prompt, &statuses)).expect("a place of the less urgent");
+    let statuses = [("s0".to_owned(), status_with(200, 60)), ("s1".to_owned(), status_with(0, 90))];
+    let urgent = placement.choose(&quick_request(&prompt, &statuses)).expect("a slot of a less urgent request");
     assert_eq!(urgent.server.id, "s0");
-    let lesser = placement.choose(&PlacementRequest { urgency: 1, ..quick_request(&prompt, &statuses) });
-    assert!(matches!(lesser, Err(Refusal::Overloaded { .. })), "{lesser:?}");
-    let free = [("s0".to_owned(), said(10, 54)), ("s1".to_owned(), said(0, 63))];
+    let less_urgent = placement.choose(&PlacementRequest { urgency: 1, ..quick_request(&prompt, &statuses) });
+    assert!(matches!(less_urgent, Err(Refusal::Overloaded { .. })), "{less_urgent:?}");
+    let free = [("s0".to_owned(), status_with(10, 54)), ("s1".to_owned(), status_with(0, 63))];
     assert_eq!(
-        placement.choose(&quick_request(&prompt, &free)).expect("a place").server.id,
+        placement.choose(&quick_request(&prompt, &free)).expect("a slot").server.id,
         "s1",
-        "nobody is displaced"
+        "no request is displaced"
     );
 }
 
 #[test]
-fn a_request_that_was_sent_already_is_not_refused_for_want_of_a_place() {
+fn a_request_that_was_sent_before_is_not_refused_for_lack_of_a_slot() {
     let mut placement = placement(servers(2));
-    let (prompt, statuses, tried) = (quick_prompt(100), places(100), ["s0".to_owned()]);
+    let (prompt, statuses, tried) = (quick_prompt(100), busy_slots(100), ["s0".to_owned()]);
     let request = PlacementRequest { tried: &tried, ..quick_request(&prompt, &statuses) };
     assert_eq!(placement.choose(&request).expect("a server").server.id, "s1");
 }
 
 #[test]
-fn a_server_that_breaks_twice_is_left_alone_and_then_tried_by_one_request() {
+fn a_server_that_fails_twice_is_paused_and_then_probed_by_one_request() {
     let mut placement = placement(servers(2));
     for _ in 0..2 {
         placement.record_sent(MODEL, "s0", Work::default());
@@ -427,19 +433,19 @@
 }
 
 #[test]
-fn without_a_sound_server_the_one_whose_pause_ends_first_is_tried() {
+fn with_all_servers_paused_the_one_whose_pause_ends_first_is_used() {
     let mut placement = placement(servers(1));
     placement.record_end(MODEL, "s0", Work::default(), Ending::Unreached, 1_000);
     assert_eq!(choose(&mut placement, &prompt(1, 2), &[]).server.id, "s0");
 }
 
 #[test]
-fn plain_requests_stay_in_the_hall_unless_it_is_busy() {
+fn plain_requests_stay_in_their_hall_unless_it_is_busy() {
     let mut placement = placement(vec![server(0, "here", false), server(1, "there", false)]);
     let request = PlacementRequest {
         service: MODEL,
         prompt: None,
-        target: AIM,
+        target: TARGET,
         gap_limit: None,
         urgency: 0,
         bytes: 600,
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -19,18 +19,18 @@
 const SERVERS: usize = 12;
 
 /// What a cold server bears in a second, and what all boxes may send there in one.
-const PER_S: f64 = 5.2;
-const ALLOWED: f64 = PER_S * 1.5 + 5.0;
+const REQUESTS_PER_S: f64 = 5.2;
+const ALLOWED_PER_S: f64 = REQUESTS_PER_S * 1.5 + 5.0;
 
 /// Longest way of a message between boxes, and of a request to its server.
-const WAY_MOST: u64 = 60;
+const MAX_TRANSIT_MS: u64 = 60;
 
-fn life(index: usize, born: u64, cold_ms: u32) -> Server {
+fn instance(index: usize, born: u64, cold_ms: u32) -> Server {
     Server { id: format!("s{index}@{born}"), cold_ms, ..server(index, &format!("hall-{}", index % 2)) }
 }
 
 fn update(placement: &mut Placement, servers: Vec<Server>, evacuated: &[&str], now: u64) {
-    let cold = Some(ColdStart { duration: Duration::from_secs(3), requests_per_s: PER_S });
+    let cold = Some(ColdStart { duration: Duration::from_secs(3), requests_per_s: REQUESTS_PER_S });
     common::update(placement, &Table::new(1, Vec::new(), vec![service(64, 6, cold)]), servers, evacuated, now);
 }
 
@@ -80,7 +80,7 @@
 
 impl Fleet {
     fn new(seed: u64, cut_off: usize) -> Self {
-        let servers = || (0..SERVERS).map(|index| life(index, 1, 0)).collect();
+        let servers = || (0..SERVERS).map(|index| instance(index, 1, 0)).collect();
         let mut boxes = vec![placement(); BOXES];
         boxes.iter_mut().for_each(|one| update(one, servers(), &[], 0));
         let rng = ChaCha8Rng::seed_from_u64(seed);
@@ -96,13 +96,13 @@
         let planned = self.boxes[index].servers_to_query(&request(prompt, &[], &[], now), 9);
         let mut statuses = Vec::new();
         for server in planned {
-            let question = StatusQuery {
+            let query = StatusQuery {
                 number: self.number(),
                 server: server.id.clone(),
                 parts: prompt.parts.clone(),
                 gap_ms: 0,
             };
-            let status = self.owner.on_query(&question, now);
+            let status = self.owner.on_query(&query, now);
             self.boxes[index].on_status(MODEL, &server.id, status.clone(), now);
             statuses.push((server.id.clone(), status));
         }
@@ -113,8 +113,8 @@
     fn request(&mut self, index: usize, now: u64) {
         let (shared, own) = (self.rng.random_range(0..6), self.rng.random());
         let prompt = prompt(shared, own);
-        let heard = index >= self.cut_off;
-        let statuses = if heard { self.statuses(index, &prompt, now) } else { Vec::new() };
+        let connected = index >= self.cut_off;
+        let statuses = if connected { self.statuses(index, &prompt, now) } else { Vec::new() };
         let mut denied = Vec::new();
         let choice = loop {
             match self.boxes[index].choose(&request(&prompt, &statuses, &denied, now)) {
@@ -122,7 +122,7 @@
                     let Some(quotas) = choice.permit_quotas else { break choice };
                     let permit =
                         PermitRequest { number: self.number(), server: choice.server.id.clone(), quotas, urgency: 0 };
-                    if heard && self.owner.on_permit_request(&permit, now) == PermitReply::Granted {
+                    if connected && self.owner.on_permit_request(&permit, now) == PermitReply::Granted {
                         break choice;
                     }
                     denied.push(choice.server.id.clone());
@@ -135,14 +135,15 @@
             }
         };
         let id = choice.server.id.clone();
-        let arrives = now + self.rng.random_range(0..=WAY_MOST);
+        let arrives = now + self.rng.random_range(0..=MAX_TRANSIT_MS);
         self.arrived.entry(id.clone()).or_default().push(arrives);
-        if heard {
+        if connected {
             let permitted = choice.permit_quotas.is_some();
-            let news = SendUpdate::Sent { parts: prompt.parts, work: Work::default(), memory: 300_000, permitted };
+            let update_sent =
+                SendUpdate::Sent { parts: prompt.parts, work: Work::default(), memory: 300_000, permitted };
             let from = SocketAddr::from(([10, 1, 0, index as u8], 80));
             let number = self.number();
-            self.owner.on_report(from, SendReport { number, server: id.clone(), update: news }, now);
+            self.owner.on_report(from, SendReport { number, server: id.clone(), update: update_sent }, now);
             let over = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
             self.owner.on_report(from, SendReport { number, server: id, update: over }, now);
         }
@@ -174,59 +175,59 @@
 }
 
 #[test]
-fn a_rush_onto_servers_that_all_have_just_started_stays_within_the_bound_for_cold_ones() {
+fn load_on_servers_that_have_just_started_stays_within_the_bound() {
     for seed in 0..8 {
         let mut fleet = Fleet::new(seed, 0);
         for one in &mut fleet.boxes {
-            update(one, (0..SERVERS).map(|index| life(index, 2, 3_000)).collect(), &[], 1_000);
+            update(one, (0..SERVERS).map(|index| instance(index, 2, 3_000)).collect(), &[], 1_000);
         }
         fleet.run(1_000, 3_900, 300.0);
         let most = fleet.most_in_a_second();
-        assert!(most as f64 <= ALLOWED, "seed {seed}: {most} of {ALLOWED}");
+        assert!(most as f64 <= ALLOWED_PER_S, "seed {seed}: {most} of {ALLOWED_PER_S}");
         let got: usize = fleet.arrived.values().map(Vec::len).sum();
-        assert!(got as f64 >= PER_S * 2.9 * SERVERS as f64, "seed {seed}: what they bear is used, {got}");
-        assert!(fleet.refused > 0, "what they don't bear is turned away");
+        assert!(got as f64 >= REQUESTS_PER_S * 2.9 * SERVERS as f64, "seed {seed}: the allowed rate is used, {got}");
+        assert!(fleet.refused > 0, "the excess is refused");
     }
 }
 
 #[test]
-fn boxes_that_hear_no_owner_send_nothing_to_cold_servers() {
+fn boxes_cut_off_from_owners_send_nothing_to_cold_servers() {
     for seed in 0..8 {
         let mut fleet = Fleet::new(seed, BOXES / 2);
         for one in &mut fleet.boxes {
-            update(one, (0..SERVERS).map(|index| life(index, 2, 3_000)).collect(), &[], 1_000);
+            update(one, (0..SERVERS).map(|index| instance(index, 2, 3_000)).collect(), &[], 1_000);
         }
         fleet.run(1_000, 3_900, 400.0);
         let most = fleet.most_in_a_second();
-        assert!(most as f64 <= ALLOWED, "seed {seed}: {most} of {ALLOWED}");
+        assert!(most as f64 <= ALLOWED_PER_S, "seed {seed}: {most} of {ALLOWED_PER_S}");
     }
 }
 
 #[test]
-fn a_server_that_nobody_knows_to_be_cold_gets_no_burst_while_others_can_have_it() {
+fn a_server_not_known_to_be_cold_gets_no_burst_while_others_are_available() {
     for seed in 0..8 {
         // All are warm as far as the boxes know: 45 a second are four for each, though six shared parts are all there is.
         let mut fleet = Fleet::new(seed, 0);
         fleet.run(1_000, 5_000, 45.0);
         let most = fleet.most_in_a_second();
-        assert!(most as f64 <= ALLOWED, "seed {seed}: {most} of {ALLOWED}");
-        assert_eq!(fleet.refused, 0, "warm servers turn nothing away");
+        assert!(most as f64 <= ALLOWED_PER_S, "seed {seed}: {most} of {ALLOWED_PER_S}");
+        assert_eq!(fleet.refused, 0, "warm servers refuse nothing");
     }
 }
 
 #[test]
-fn servers_of_a_hall_that_is_given_back_are_taken_for_cold() {
+fn servers_count_as_cold_after_their_hall_was_evacuated() {
     let mut placement = placement();
-    let servers = || (0..2).map(|index| life(index, 1, 0)).collect();
+    let servers = || (0..2).map(|index| instance(index, 1, 0)).collect();
     update(&mut placement, servers(), &["hall-0"], 1_000);
     let prompt = prompt(1, 2);
     let during = placement.choose(&request(&prompt, &[], &[], 1_500)).expect("the other hall's server");
     assert_eq!((during.server.name.as_str(), during.permit_quotas), ("s1", None));
     update(&mut placement, servers(), &[], 9_000);
     let tried = ["s1@1".to_owned()];
-    let given_back =
+    let reopened =
         placement.choose(&PlacementRequest { tried: &tried, ..request(&prompt, &[], &[], 9_100) }).expect("a server");
-    assert!(given_back.permit_quotas.is_some());
+    assert!(reopened.permit_quotas.is_some());
     let warm =
         placement.choose(&PlacementRequest { tried: &tried, ..request(&prompt, &[], &[], 12_100) }).expect("a server");
     assert_eq!(warm.permit_quotas, None);
@@ -235,33 +236,33 @@
 }
 
 #[test]
-fn a_server_that_broke_off_is_cold_until_some_time_after_its_next_answer() {
+fn a_server_that_lost_its_connections_is_cold_until_some_time_after_its_next_answer() {
     let mut placement = placement();
-    update(&mut placement, vec![life(0, 1, 0)], &[], 0);
-    let leave = |placement: &mut Placement, now: u64| {
+    update(&mut placement, vec![instance(0, 1, 0)], &[], 0);
+    let needs_permit = |placement: &mut Placement, now: u64| {
         placement.choose(&request(&prompt(1, 2), &[], &[], now)).expect("a server").permit_quotas.is_some()
     };
-    assert!(!leave(&mut placement, 10));
+    assert!(!needs_permit(&mut placement, 10));
     placement.record_ending(MODEL, "s0@1", Ending::Broken, 20);
-    assert!(leave(&mut placement, 30) && leave(&mut placement, 60_000), "it may start again at any time");
+    assert!(needs_permit(&mut placement, 30) && needs_permit(&mut placement, 60_000), "it may restart at any time");
     placement.record_ending(MODEL, "s0@1", Ending::Good, 60_000);
-    assert!(leave(&mut placement, 62_900));
-    assert!(!leave(&mut placement, 63_100));
+    assert!(needs_permit(&mut placement, 62_900));
+    assert!(!needs_permit(&mut placement, 63_100));
 }
 
 #[test]
-fn what_a_former_life_did_says_nothing_of_the_next() {
+fn a_new_instance_inherits_nothing_from_the_former_one() {
     let mut placement = placement();
-    update(&mut placement, vec![life(0, 1, 0)], &[], 0);
+    update(&mut placement, vec![instance(0, 1, 0)], &[], 0);
     let known = prompt(1, 2);
     placement.choose(&request(&known, &[], &[], 10)).expect("a server");
     placement.record_cached(MODEL, "s0@1", &known);
     placement.record_ending(MODEL, "s0@1", Ending::Unreached, 20);
-    update(&mut placement, vec![life(0, 2, 0)], &[], 30);
+    update(&mut placement, vec![instance(0, 2, 0)], &[], 30);
     let chosen = placement.choose(&request(&prompt(1, 3), &[], &[], 40)).expect("it isn't paused");
     assert_eq!((chosen.server.id.as_str(), chosen.permit_quotas), ("s0@2", None));
     assert_eq!(chosen.load.running, 0);
-    // Late news of the former life change nothing.
+    // Late update_sent of the former instance change nothing.
     placement.record_ending(MODEL, "s0@1", Ending::Broken, 50);
     assert_eq!(placement.choose(&request(&prompt(1, 4), &[], &[], 60)).expect("a server").permit_quotas, None);
     let mut owner = Owner::default();
@@ -270,7 +271,7 @@
         SendUpdate::Sent { parts: known.parts.clone(), work: Work::default(), memory: 100_000, permitted: false };
     owner.on_report(from, SendReport { number: 1, server: "s0@1".to_owned(), update: sent }, 10);
     owner.on_report(from, SendReport { number: 1, server: "s0@1".to_owned(), update: SendUpdate::Read }, 40);
-    let asked = StatusQuery { number: 2, server: "s0@2".to_owned(), parts: known.parts, gap_ms: 0 };
-    let status = owner.on_query(&asked, 50);
+    let query = StatusQuery { number: 2, server: "s0@2".to_owned(), parts: known.parts, gap_ms: 0 };
+    let status = owner.on_query(&query, 50);
     assert_eq!((status.load.running, status.cached_tokens, status.confirmed_tokens, status.arrivals), (0, 0, 0, 0));
 }
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -14,24 +14,25 @@
 const PARTS: u64 = 600;
 
 /// The one hall that is in a region of its own, and how many servers it has.
-const FAR: &str = "far";
-const FAR_SERVERS: usize = 3;
+const REMOTE_HALL: &str = "far";
+const REMOTE_SERVERS: usize = 3;
 
 fn servers() -> Vec<Server> {
-    let hall = |index: usize| if index < FAR_SERVERS { FAR.to_owned() } else { format!("hall-{}", index % 5) };
+    let hall =
+        |index: usize| if index < REMOTE_SERVERS { REMOTE_HALL.to_owned() } else { format!("hall-{}", index % 5) };
     (0..SERVERS).map(|index| server(index, &hall(index))).collect()
 }
 
 fn placement(servers: Vec<Server>) -> Placement {
     let halls = (0..5).map(|hall| (format!("hall-{hall}"), "near".to_owned()));
-    let regions: HallRegions = halls.chain([(FAR.to_owned(), "far".to_owned())]).collect();
+    let regions: HallRegions = halls.chain([(REMOTE_HALL.to_owned(), "far".to_owned())]).collect();
     let mut placement = Placement::new("hall-0", RetryBudget::new(0.2, 50.0, 10_000)).with_regions(regions);
     let table = Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(64, 8, None)]);
     common::update(&mut placement, &table, servers, &[], 0);
     placement
 }
 
-/// The server that a request is sent to whose prompt shares a part, and the first that would be asked for it.
+/// The server that a request is sent to whose prompt shares a part, and the first that would be queried for it.
 fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&AllowedRegions>) -> (String, String) {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
     let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
@@ -61,15 +62,15 @@
 /// Each request weighed all servers: 9 ms of a core where there are 6,000, which a small box has 75 ms for, and 26 ms where there are
 /// 12,000. Now it weighs as many as there are in a small pool, and boxes must agree on them without a word.
 #[test]
-fn boxes_agree_on_the_homes_of_parts_which_are_spread_evenly_and_move_rarely() {
+fn homes_of_parts_agree_between_boxes_are_spread_evenly_and_rarely_move() {
     let mut one = placement(servers());
     let known = homes(&mut one);
     assert_eq!(known, homes(&mut placement(servers().into_iter().rev().collect())));
     let mut counts: HashMap<&str, usize> = HashMap::new();
     known.iter().for_each(|home| *counts.entry(home).or_default() += 1);
     // Nine tenths of as many as drawing evenly would name.
-    let even = SERVERS as f64 * (1.0 - (-(PARTS as f64) / SERVERS as f64).exp());
-    assert!(counts.len() as f64 > 0.9 * even, "{} homes", counts.len());
+    let expected = SERVERS as f64 * (1.0 - (-(PARTS as f64) / SERVERS as f64).exp());
+    assert!(counts.len() as f64 > 0.9 * expected, "{} homes", counts.len());
     assert!(counts.values().all(|count| *count <= 7), "{counts:?}");
     // Three in a hundred servers go.
     let left: Vec<Server> = servers().into_iter().enumerate().filter(|(i, _)| i % 33 != 0).map(|(_, s)| s).collect();
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn requests_that_all_share_one_part_find_servers_all_over_the_pool() {
+fn requests_that_share_one_part_are_spread_over_the_pool() {
     let mut one = placement(servers());
     let mut sent = HashSet::new();
     for own in 0..300 {
@@ -102,18 +103,18 @@
         };
         sent.extend(one.servers_to_query(&request, 9).iter().map(|server| server.id.clone()));
     }
-    assert!(sent.len() > SERVERS / 3, "{} servers are looked at", sent.len());
+    assert!(sent.len() > SERVERS / 3, "{} servers are considered", sent.len());
 }
 
 #[test]
-fn the_few_servers_that_may_have_a_request_are_found_among_all() {
+fn the_few_eligible_servers_of_a_large_pool_are_found() {
     let mut one = placement(servers());
     let homes = AllowedRegions::new(vec!["far".to_owned()]).expect("a region");
     for part in 0..10 {
-        let (chosen, asked) = choose(&mut one, part, 1_000 + part, Some(&homes));
-        for id in [&chosen, &asked] {
+        let (chosen, queried) = choose(&mut one, part, 1_000 + part, Some(&homes));
+        for id in [&chosen, &queried] {
             let index: usize = id[1..].parse().expect("a number");
-            assert!(index < FAR_SERVERS, "{id}");
+            assert!(index < REMOTE_SERVERS, "{id}");
         }
     }
 }
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -21,17 +21,17 @@
 const SHARED: u64 = 12;
 
 /// Longest way of a message between boxes, of a request to its server or of its answer.
-const WAY_MOST: u64 = 60;
+const MAX_TRANSIT_MS: u64 = 60;
 
-/// How long a server takes to answer, at most.
-const ANSWER_MOST: u64 = 800;
+/// How long a server capacity to answer, at most.
+const MAX_ANSWER_MS: u64 = 800;
 
 /// The platform's bound: in any so long a span, from so long after a limit was first named on.
-const WINDOW: u64 = 4_000;
-const CONTACT: u64 = 3_000;
+const WINDOW_MS: u64 = 4_000;
+const GRACE_MS: u64 = 3_000;
 
 fn allowed(per_s: f64) -> f64 {
-    1.5 * per_s * (WINDOW as f64 / 1e3) + 5.0
+    1.5 * per_s * (WINDOW_MS as f64 / 1e3) + 5.0
 }
 
 fn table(cold: Option<ColdStart>) -> Table {
@@ -81,22 +81,22 @@
     Request { from: usize, sent: u64, server: usize, number: u64 },
     /// Its answer, with what it says.
     Answer { to: usize, sent: u64, server: usize, number: u64, limit: Limit },
-    /// Another box's word.
-    Told { to: usize, statement: LimitUpdate },
+    /// Another box's limit_update.
+    Update { to: usize, limit_update: LimitUpdate },
 }
 
 /// Who says that a request may be sent to a server that names a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
+enum Enforcement {
     /// One box, for each request.
-    PermitReply,
+    Permits,
     /// Each box for itself: its share of the limit.
     Shares,
 }
 
 /// Boxes before servers, in virtual time.
 struct Fleet {
-    way: Way,
+    enforcement: Enforcement,
     boxes: Vec<Placement>,
     owner: Owner,
     /// When a box may send next to a server, by its share.
@@ -111,20 +111,20 @@
     bodies: BTreeMap<u64, Message>,
     /// What servers say.
     limits: Vec<Limit>,
-    /// When requests came to each server.
+    /// When requests outcomes to each server.
     arrived: Vec<Vec<u64>>,
     refused: usize,
-    /// Changes of limits that were told to all boxes.
-    told: usize,
-    /// The part of the requests that is more urgent than the others, and what came of them and of the others: sent, refused.
+    /// Changes of limits that were updates_sent to all boxes.
+    updates_sent: usize,
+    /// The part of the requests that is more urgent than the others, and what outcomes of them and of the others: sent, refused.
     urgent: f64,
-    came: [(usize, usize); 2],
+    outcomes: [(usize, usize); 2],
 }
 
 impl Fleet {
-    fn new(seed: u64, way: Way, boxes: usize) -> Self {
+    fn new(seed: u64, enforcement: Enforcement, boxes: usize) -> Self {
         Self {
-            way,
+            enforcement,
             boxes: vec![placement(servers(SERVERS)); boxes],
             owner: Owner::default(),
             shares: BTreeMap::new(),
@@ -137,9 +137,9 @@
             limits: vec![Limit::None; SERVERS],
             arrived: vec![Vec::new(); SERVERS],
             refused: 0,
-            told: 0,
+            updates_sent: 0,
             urgent: 0.0,
-            came: [(0, 0); 2],
+            outcomes: [(0, 0); 2],
         }
     }
 
@@ -148,20 +148,20 @@
         self.numbers
     }
 
-    fn send(&mut self, takes: u64, message: Message) {
+    fn send(&mut self, delay: u64, message: Message) {
         let number = self.number();
-        let way = self.rng.random_range(0..=WAY_MOST);
-        self.messages.push(Reverse((self.now + takes + way, number)));
+        let transit = self.rng.random_range(0..=MAX_TRANSIT_MS);
+        self.messages.push(Reverse((self.now + delay + transit, number)));
         self.bodies.insert(number, message);
     }
 
     fn may(&mut self, from: usize, server: usize, quotas: Quotas, urgency: u8) -> PermitReply {
-        match self.way {
-            Way::PermitReply => {
+        match self.enforcement {
+            Enforcement::Permits => {
                 let permit = PermitRequest { number: self.number(), server: format!("s{server}"), quotas, urgency };
                 self.owner.on_permit_request(&permit, self.now)
             }
-            Way::Shares => {
+            Enforcement::Shares => {
                 let quota = quotas.limit.expect("a limit");
                 let each = quota.window * self.boxes.len() as u64 / u64::from(quota.max_requests);
                 // Boxes begin at different moments, so that they don't all send at once.
@@ -183,8 +183,8 @@
         let mut statuses = Vec::new();
         for server in planned {
             let (number, id) = (self.number(), server.id.clone());
-            let question = StatusQuery { number, server: id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
-            let status = self.owner.on_query(&question, self.now);
+            let query = StatusQuery { number, server: id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
+            let status = self.owner.on_query(&query, self.now);
             self.boxes[from].on_status(MODEL, &id, status.clone(), self.now);
             statuses.push((id, status));
         }
@@ -195,8 +195,8 @@
     fn request(&mut self, from: usize) {
         let prompt = prompt(self.rng.random_range(0..self.shared), self.rng.random());
         let statuses = self.statuses(from, &prompt);
-        let lesser = usize::from(!self.rng.random_bool(self.urgent));
-        let urgency = [0, 6][lesser];
+        let less_urgent = usize::from(!self.rng.random_bool(self.urgent));
+        let urgency = [0, 6][less_urgent];
         let mut denied = Vec::new();
         loop {
             let request =
@@ -205,26 +205,26 @@
                 Ok(choice) => choice,
                 Err(Refusal::Limited { .. }) => {
                     self.refused += 1;
-                    self.came[lesser].1 += 1;
+                    self.outcomes[less_urgent].1 += 1;
                     return;
                 }
                 Err(other) => panic!("{other:?}"),
             };
             let id = choice.server.id.clone();
             let server: usize = id[1..].parse().expect("a number");
-            let leave =
+            let reply =
                 choice.permit_quotas.map_or(PermitReply::Granted, |quotas| self.may(from, server, quotas, urgency));
-            match leave {
+            match reply {
                 PermitReply::Granted => {
-                    self.came[lesser].0 += 1;
+                    self.outcomes[less_urgent].0 += 1;
                     let (sent, number) = (self.now, self.number());
                     let permitted = choice.permit_quotas.is_some();
                     let news = SendUpdate::Sent { parts: prompt.parts, work: choice.work, memory: 300_000, permitted };
                     self.owner.on_report(address(from), SendReport { number, server: id, update: news }, sent);
                     return self.send(0, Message::Request { from, sent, server, number });
                 }
-                PermitReply::Denied { retry_ms: again } => {
-                    self.boxes[from].record_denial(MODEL, &id, urgency, self.now + again);
+                PermitReply::Denied { retry_ms } => {
+                    self.boxes[from].record_denial(MODEL, &id, urgency, self.now + retry_ms);
                     denied.push(id);
                 }
             }
@@ -235,24 +235,24 @@
         match message {
             Message::Request { from, sent, server, number } => {
                 self.arrived[server].push(self.now);
-                let takes = self.rng.random_range(0..=ANSWER_MOST);
+                let delay = self.rng.random_range(0..=MAX_ANSWER_MS);
                 // It says so when it answers.
                 let limit = self.limits[server];
-                self.send(takes, Message::Answer { to: from, sent, server, number, limit });
+                self.send(delay, Message::Answer { to: from, sent, server, number, limit });
             }
             Message::Answer { to, sent, server, number, limit } => {
                 let id = format!("s{server}");
                 let news = self.boxes[to].record_limit(&id, limit, sent, self.now);
                 let over = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
                 self.owner.on_report(address(to), SendReport { number, server: id, update: over }, self.now);
-                self.told += usize::from(news.is_some());
+                self.updates_sent += usize::from(news.is_some());
                 for other in (0..self.boxes.len()).filter(|other| *other != to && news.is_some()) {
-                    let statement = news.clone().expect("just looked");
-                    self.send(0, Message::Told { to: other, statement });
+                    let limit_update = news.clone().expect("just looked");
+                    self.send(0, Message::Update { to: other, limit_update });
                 }
             }
-            Message::Told { to, statement } => {
-                self.boxes[to].on_limit_update(&statement, self.now);
+            Message::Update { to, limit_update } => {
+                self.boxes[to].on_limit_update(&limit_update, self.now);
             }
         }
     }
@@ -277,23 +277,23 @@
         }
     }
 
-    /// The most requests that a server got within the window between these times.
+    /// The most requests that a server received within the window between these times.
     fn most(&self, server: usize, from: u64, until: u64) -> usize {
         let times: Vec<u64> = self.arrived[server].iter().copied().filter(|at| (from..until).contains(at)).collect();
-        let within = |first: usize| times[first..].iter().take_while(|at| **at < times[first] + WINDOW).count();
+        let within = |first: usize| times[first..].iter().take_while(|at| **at < times[first] + WINDOW_MS).count();
         (0..times.len()).map(within).max().unwrap_or_default()
     }
 
-    fn got(&self, server: usize, from: u64, until: u64) -> f64 {
+    fn received(&self, server: usize, from: u64, until: u64) -> f64 {
         self.arrived[server].iter().filter(|at| (from..until).contains(at)).count() as f64
     }
 }
 
 #[test]
-fn limits_hold_over_all_boxes_and_what_servers_take_is_used() {
+fn limits_hold_over_all_boxes_and_are_used() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
         for per_s in [0.3, 2.1, 12.0] {
-            let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
+            let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
             fleet.run(2_000, 300.0);
             fleet.limits[0] = Limit::PerS(per_s);
             fleet.limits[1] = Limit::PerS(2.0 * per_s);
@@ -301,12 +301,12 @@
             fleet.run(15_000, 300.0);
             for (server, per_s) in [(0, per_s), (1, 2.0 * per_s)] {
                 let what = format!("{boxes} boxes, server {server}, {per_s} a second");
-                let most = fleet.most(server, named + CONTACT, fleet.now) as f64;
+                let most = fleet.most(server, named + GRACE_MS, fleet.now) as f64;
                 assert!(most <= allowed(per_s), "{what}: {most} in four seconds");
-                let takes = per_s * (fleet.now - named - CONTACT) as f64 / 1e3;
-                let got = fleet.got(server, named + CONTACT, fleet.now);
-                assert!(got <= takes + per_s.max(1.0), "{what}: {got} of {takes}");
-                assert!(got >= 0.8 * takes - 1.0, "{what}: {got} of {takes}");
+                let capacity = per_s * (fleet.now - named - GRACE_MS) as f64 / 1e3;
+                let received = fleet.received(server, named + GRACE_MS, fleet.now);
+                assert!(received <= capacity + per_s.max(1.0), "{what}: {received} of {capacity}");
+                assert!(received >= 0.8 * capacity - 1.0, "{what}: {received} of {capacity}");
             }
             assert_eq!(fleet.refused, 0, "others serve");
         }
@@ -314,123 +314,128 @@
 }
 
 #[test]
-fn where_all_servers_name_limits_they_get_what_they_take() {
+fn limits_of_all_servers_are_used() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
-        let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
+        let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
         fleet.limits = vec![Limit::PerS(3.0); SERVERS];
-        fleet.run(CONTACT, 100.0);
+        fleet.run(GRACE_MS, 100.0);
         fleet.run(12_000, 100.0);
-        let mut got = 0.0;
+        let mut received = 0.0;
         for server in 0..SERVERS {
-            assert!(fleet.most(server, CONTACT, fleet.now) as f64 <= allowed(3.0));
-            got += fleet.got(server, CONTACT, fleet.now);
+            assert!(fleet.most(server, GRACE_MS, fleet.now) as f64 <= allowed(3.0));
+            received += fleet.received(server, GRACE_MS, fleet.now);
         }
-        let takes = 3.0 * SERVERS as f64 * 12.0;
-        assert!(got >= 0.8 * takes, "{boxes} boxes: {got} of {takes}");
-        assert!(fleet.refused > 0, "what they don't take is turned away");
+        let capacity = 3.0 * SERVERS as f64 * 12.0;
+        assert!(received >= 0.8 * capacity, "{boxes} boxes: {received} of {capacity}");
+        assert!(fleet.refused > 0, "the excess is refused");
     }
 }
 
 #[test]
-fn a_server_whose_need_is_over_has_its_share_back_at_once_and_without_a_rush() {
+fn a_server_that_lifts_its_limit_gets_its_share_back_at_once_without_a_burst() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
-        let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
+        let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
         // Nothing is read twice, so that no other server keeps what this one had.
         fleet.shared = u64::MAX;
         fleet.run(4_000, 300.0);
-        let share = fleet.got(0, 1_000, 4_000) / 3.0;
+        let share = fleet.received(0, 1_000, 4_000) / 3.0;
         fleet.limits[0] = Limit::PerS(2.0);
         fleet.run(6_000, 300.0);
         fleet.limits[0] = Limit::None;
         // A request that is sent within half a second says so after its answer.
         fleet.run(4_000, 300.0);
         for from in [12_000, 13_000] {
-            let got = fleet.got(0, from, from + 1_000);
-            assert!((0.7 * share..1.5 * share).contains(&got), "{boxes} boxes: {got} of {share}");
+            let received = fleet.received(0, from, from + 1_000);
+            assert!((0.7 * share..1.5 * share).contains(&received), "{boxes} boxes: {received} of {share}");
         }
     }
 }
 
 #[test]
-fn limits_that_change_with_each_answer_hold_as_well() {
+fn limits_that_change_with_each_answer_hold() {
     for seed in 0..4 {
-        let mut fleet = Fleet::new(seed, Way::PermitReply, 40);
+        let mut fleet = Fleet::new(seed, Enforcement::Permits, 40);
         for _ in 0..100 {
             let per_s = fleet.rng.random_range(1.0..4.0);
             fleet.limits[0] = Limit::PerS(per_s);
             fleet.run(100, 300.0);
         }
-        let most = fleet.most(0, CONTACT, fleet.now) as f64;
+        let most = fleet.most(0, GRACE_MS, fleet.now) as f64;
         assert!(most <= allowed(4.0), "seed {seed}: {most}");
     }
 }
 
 #[test]
-fn a_limit_that_wavers_is_not_told_with_each_answer() {
+fn a_fluctuating_limit_is_not_broadcast_with_each_answer() {
     for seed in 0..4 {
-        let mut fleet = Fleet::new(seed, Way::PermitReply, 40);
+        let mut fleet = Fleet::new(seed, Enforcement::Permits, 40);
         for _ in 0..100 {
             let per_s = fleet.rng.random_range(10.0..12.0);
             fleet.limits[0] = Limit::PerS(per_s);
             fleet.run(100, 300.0);
         }
-        let (told, got) = (fleet.told, fleet.got(0, CONTACT, fleet.now));
-        println!("seed {seed}: {told} changes told, {got} requests in seven seconds");
-        assert!(told <= 10, "seed {seed}: {told} changes told");
-        assert!(got >= 0.8 * 10.0 * 7.0, "seed {seed}: {got}");
+        let (updates_sent, received) = (fleet.updates_sent, fleet.received(0, GRACE_MS, fleet.now));
+        println!("seed {seed}: {updates_sent} updates, {received} requests in seven seconds");
+        assert!(updates_sent <= 10, "seed {seed}: {updates_sent} updates");
+        assert!(received >= 0.8 * 10.0 * 7.0, "seed {seed}: {received}");
     }
 }
 
 /// The part of eight urgent requests a second that is sent where servers take twelve, and how many others of so many a second are.
 fn urgent_beside(seed: u64, boxes: usize, others: f64) -> (f64, usize) {
-    let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
+    let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
     fleet.limits = vec![Limit::PerS(2.0); SERVERS];
     let rate = 8.0 + others;
     fleet.urgent = 8.0 / rate;
-    fleet.run(CONTACT, rate);
-    fleet.came = [(0, 0); 2];
+    fleet.run(GRACE_MS, rate);
+    fleet.outcomes = [(0, 0); 2];
     fleet.run(40_000, rate);
-    let [(urgent, shed), (lesser, _)] = fleet.came;
-    (urgent as f64 / (urgent + shed) as f64, lesser)
+    let [(urgent, shed), (less_urgent, _)] = fleet.outcomes;
+    (urgent as f64 / (urgent + shed) as f64, less_urgent)
 }
 
 #[test]
-fn urgent_requests_go_first_where_all_servers_name_limits_and_no_class_starves() {
+fn urgent_requests_have_priority_under_limits_and_no_class_starves() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
         let (alone, _) = urgent_beside(seed, boxes, 0.0);
-        let (beside, lesser) = urgent_beside(seed, boxes, 32.0);
-        println!("{boxes} boxes: {beside:.2} of the urgent ones sent ({alone:.2} without others), {lesser} others");
+        let (beside, less_urgent) = urgent_beside(seed, boxes, 32.0);
+        println!(
+            "{boxes} boxes: {beside:.2} of the urgent ones sent ({alone:.2} without others), {less_urgent} others"
+        );
         assert!(beside >= alone - 0.1, "{boxes} boxes: {beside} of the urgent ones, {alone} without others");
-        assert!(lesser > 40, "{boxes} boxes: {lesser} others in 40 s");
+        assert!(less_urgent > 40, "{boxes} boxes: {less_urgent} others in 40 s");
         // Where urgent ones alone are more than the servers take, the others still get some.
-        let mut fleet = Fleet::new(seed, Way::PermitReply, boxes);
+        let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
         fleet.limits = vec![Limit::PerS(2.0); SERVERS];
         fleet.urgent = 0.8;
         fleet.run(30_000, 40.0);
-        let [(urgent, _), (lesser, _)] = fleet.came;
-        assert!(lesser >= SERVERS && lesser * 4 < urgent, "{boxes} boxes: {lesser} others, {urgent} urgent ones");
+        let [(urgent, _), (less_urgent, _)] = fleet.outcomes;
+        assert!(
+            less_urgent >= SERVERS && less_urgent * 4 < urgent,
+            "{boxes} boxes: {less_urgent} others, {urgent} urgent ones"
+        );
     }
 }
 
 /// Reports how the ways compare; `--nocapture` shows it.
 #[test]
-fn leave_wastes_less_and_holds_better_than_shares() {
+fn permits_use_limits_better_than_shares() {
     let mut used = [0.0, 0.0];
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
         for per_s in [0.3, 1.0, 12.0] {
-            for way in [Way::PermitReply, Way::Shares] {
-                let mut fleet = Fleet::new(seed, way, boxes);
+            for enforcement in [Enforcement::Permits, Enforcement::Shares] {
+                let mut fleet = Fleet::new(seed, enforcement, boxes);
                 fleet.limits = vec![Limit::PerS(per_s); SERVERS];
                 fleet.run(15_000, 100.0);
-                let got: f64 = (0..SERVERS).map(|server| fleet.got(server, CONTACT, fleet.now)).sum();
-                let most = (0..SERVERS).map(|server| fleet.most(server, CONTACT, fleet.now)).max().unwrap_or_default();
-                let takes = per_s * SERVERS as f64 * 12.0;
+                let received: f64 = (0..SERVERS).map(|server| fleet.received(server, GRACE_MS, fleet.now)).sum();
+                let most = (0..SERVERS).map(|server| fleet.most(server, GRACE_MS, fleet.now)).max().unwrap_or_default();
+                let capacity = per_s * SERVERS as f64 * 12.0;
                 println!(
-                    "{way:?}: {boxes} boxes, {per_s} a second: {:.2} of it used, {most} of {:.1} in four seconds",
-                    got / takes,
+                    "{enforcement:?}: {boxes} boxes, {per_s} a second: {:.2} of it used, {most} of {:.1} in four seconds",
+                    received / capacity,
                     allowed(per_s)
                 );
-                used[usize::from(way == Way::Shares)] += got / takes;
+                used[usize::from(enforcement == Enforcement::Shares)] += received / capacity;
             }
         }
     }
@@ -446,7 +451,7 @@
 }
 
 #[test]
-fn each_limit_has_a_quota_that_no_number_breaks() {
+fn every_limit_has_a_valid_quota() {
     let quota = |per_s: f64| {
         let mut placement = placement(servers(1));
         assert!(placement.on_limit_update(&named(per_s), 0));
@@ -455,7 +460,7 @@
     assert_eq!(quota(2.1), Some(Quota { max_requests: 2, window: 953 }));
     assert_eq!(quota(0.3), Some(Quota { max_requests: 1, window: 3_334 }));
     assert_eq!(quota(1.0 / 60.0), Some(Quota { max_requests: 1, window: 60_000 }));
-    // Nothing a second: one now and then, since only an answer says that it takes more again.
+    // Nothing a second: one now and then, since only an answer says that it capacity more retry_ms.
     for per_s in [0.0, -0.0, 1e-9, f64::MIN_POSITIVE] {
         assert_eq!(quota(per_s), Some(Quota { max_requests: 1, window: 60_000 }), "{per_s}");
     }
@@ -464,7 +469,7 @@
 }
 
 #[test]
-fn the_later_word_holds_and_of_words_that_could_be_either_the_stricter() {
+fn the_newer_limit_applies_or_the_stricter_if_the_order_is_unknown() {
     let limit = |placement: &mut Placement, per_s: Option<f64>, sent: u64, now: u64| {
         let limit = per_s.map_or(Limit::None, Limit::PerS);
         placement.record_limit("s0", limit, sent, now).is_some()
@@ -472,8 +477,8 @@
     let mut placement = placement(servers(1));
     assert!(!limit(&mut placement, None, 1, 10), "nothing new");
     assert!(limit(&mut placement, Some(2.0), 1, 10));
-    assert!(!limit(&mut placement, Some(2.0), 11, 12), "it is news once");
-    // A request that was sent before the limit was known: its answer may be older than the word.
+    assert!(!limit(&mut placement, Some(2.0), 11, 12), "it is new once");
+    // A request that was sent before the limit was known: its answer may be older than the limit_update.
     assert!(!limit(&mut placement, None, 9, 20));
     assert!(!limit(&mut placement, Some(5.0), 9, 20));
     assert!(limit(&mut placement, Some(1.0), 9, 20), "a stricter one counts");
@@ -483,30 +488,35 @@
 }
 
 #[test]
-fn boxes_agree_whatever_order_they_hear_in() {
-    let word = |limit: Limit, version: u64| LimitUpdate { instance: "s0".to_owned(), limit, version };
-    let words = [word(Limit::PerS(2.0), 1), word(Limit::None, 2), word(Limit::PerS(1.0), 3), word(Limit::PerS(4.0), 3)];
+fn boxes_agree_whatever_the_order_of_updates() {
+    let limit_update = |limit: Limit, version: u64| LimitUpdate { instance: "s0".to_owned(), limit, version };
+    let updates = [
+        limit_update(Limit::PerS(2.0), 1),
+        limit_update(Limit::None, 2),
+        limit_update(Limit::PerS(1.0), 3),
+        limit_update(Limit::PerS(4.0), 3),
+    ];
     for order in [[0, 1, 2, 3], [3, 2, 1, 0], [2, 0, 3, 1]] {
         let mut placement = placement(servers(1));
         for index in order {
-            placement.on_limit_update(&words[index], 10);
+            placement.on_limit_update(&updates[index], 10);
         }
-        assert_eq!(placement.limit_updates(), vec![words[2].clone()], "{order:?}");
+        assert_eq!(placement.limit_updates(), vec![updates[2].clone()], "{order:?}");
     }
     let (mut one, mut other) = (placement(servers(2)), placement(servers(2)));
-    let statement = one.record_limit("s1", Limit::PerS(1.0), 5, 10).expect("news");
+    let limit_update = one.record_limit("s1", Limit::PerS(1.0), 5, 10).expect("a new limit");
     assert_ne!(one.notices_digest(), other.notices_digest());
-    assert!(other.on_limit_update(&statement, 900) && !other.on_limit_update(&statement, 901));
+    assert!(other.on_limit_update(&limit_update, 900) && !other.on_limit_update(&limit_update, 901));
     assert_eq!(one.notices_digest(), other.notices_digest());
     // A life that is no longer listed is nothing to tell of, and is known if it comes back.
     update(&mut one, &table(None), servers(1), &[], 1_000);
     assert!(one.limit_updates().is_empty());
     update(&mut one, &table(None), servers(2), &[], 2_000);
-    assert_eq!(one.limit_updates(), vec![statement]);
+    assert_eq!(one.limit_updates(), vec![limit_update]);
 }
 
 #[test]
-fn a_limit_is_of_one_life_and_holds_whatever_else_does() {
+fn a_limit_belongs_to_one_instance_and_applies_besides_other_rules() {
     let cold = Some(ColdStart { duration: Duration::from_secs(10), requests_per_s: 5.0 });
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = || Server { cold_ms: 10_000, ..server(0, "hall") };
@@ -520,29 +530,32 @@
         let permit = PermitRequest { number: 0, server: "s0".to_owned(), quotas, urgency: 0 };
         owner.on_permit_request(&permit, now)
     };
-    assert_eq!(permit(both, 0), PermitReply::Denied { retry_ms: 1_000 }, "what others gave leave for isn't known");
+    assert_eq!(permit(both, 0), PermitReply::Denied { retry_ms: 1_000 }, "permits of a former owner are unknown");
     assert_eq!(permit(both, 1_000), PermitReply::Granted);
     assert_eq!(permit(both, 1_001), PermitReply::Denied { retry_ms: 999 });
     assert_eq!(permit(Quotas { limit: None, ..both }, 1_002), PermitReply::Granted);
-    assert!(!placement.may_send(MODEL, "s0", false, 20), "chosen before the word");
+    assert!(!placement.may_send(MODEL, "s0", false, 20), "chosen before the limit was known");
     assert!(placement.may_send(MODEL, "s0", true, 20));
     placement.record_back_off("s0", 5_000);
     assert!(!placement.may_send(MODEL, "s0", true, 30));
-    assert_eq!(placement.choose(&request(&[], 30)).expect_err("it rests"), Refusal::BackingOff { retry_ms: 4_970 });
+    assert_eq!(placement.choose(&request(&[], 30)).expect_err("it backs off"), Refusal::BackingOff { retry_ms: 4_970 });
     let later = Server { id: "s0@7".to_owned(), ..server(0, "hall") };
     update(&mut placement, &table(None), vec![later], &[], 40);
-    assert_eq!(quotas(&mut placement, 50), None, "a later life is another server");
+    assert_eq!(quotas(&mut placement, 50), None, "a later instance is another server");
 }
 
 #[test]
-fn callers_hear_when_the_first_server_takes_a_request_again() {
+fn refusals_name_the_time_when_the_first_server_accepts_requests_again() {
     let mut placement = placement(servers(2));
     placement.on_limit_update(&named(1.0), 0);
     placement.on_limit_update(&LimitUpdate { instance: "s1".to_owned(), ..named(0.5) }, 0);
     assert!(placement.choose(&request(&[], 10)).is_ok());
     placement.record_denial(MODEL, "s0", 0, 700);
     placement.record_denial(MODEL, "s1", 0, 1_500);
-    assert_eq!(placement.choose(&request(&[], 100)).expect_err("spent"), Refusal::Limited { retry_ms: 600 });
+    assert_eq!(
+        placement.choose(&request(&[], 100)).expect_err("limits are used up"),
+        Refusal::Limited { retry_ms: 600 }
+    );
     assert!(placement.choose(&request(&[], 700)).is_ok());
     // Another limit is another matter.
     placement.on_limit_update(&LimitUpdate { version: 2, ..named(5.0) }, 200);
--- a/crates/placement/tests/notices.rs
+++ b/crates/placement/tests/notices.rs
@@ -49,15 +49,15 @@
 
 /// What came of choices of each kind.
 #[derive(Default)]
-struct Ways {
+struct Uses {
     /// Ids of servers that were chosen, or whose owners are asked.
     used: BTreeSet<String>,
     /// Addresses of servers that others fetch from.
     fetched: BTreeSet<SocketAddr>,
 }
 
-impl Ways {
-    fn note(&mut self, choice: Result<Choice, Refusal>) {
+impl Uses {
+    fn record(&mut self, choice: Result<Choice, Refusal>) {
         let choice = choice.expect("others serve");
         self.used.insert(choice.server.id.clone());
         self.fetched.extend(choice.fetch);
@@ -65,20 +65,20 @@
 }
 
 /// Requests with and without a prompt, with and without their owners' word, now.
-fn ways(placement: &mut Placement, now: u64) -> Ways {
-    let mut ways = Ways::default();
+fn uses(placement: &mut Placement, now: u64) -> Uses {
+    let mut uses = Uses::default();
     for own in 2..40 {
         let prompt = prompt(own);
-        ways.note(placement.choose(&request(Some(&prompt), &[], now)));
+        uses.record(placement.choose(&request(Some(&prompt), &[], now)));
         let planned = placement.servers_to_query(&request(Some(&prompt), &[], now), 9);
         // All but one have much to do, so that the one without the shared part is chosen now and then.
         let status = |id: &str| if id == "s1" { busy() } else { ServerStatus::default() };
         let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), status(&server.id))).collect();
-        ways.note(placement.choose(&request(Some(&prompt), &statuses, now)));
-        ways.note(placement.choose(&request(None, &[], now)));
-        ways.used.extend(planned.iter().map(|server| server.id.clone()));
+        uses.record(placement.choose(&request(Some(&prompt), &statuses, now)));
+        uses.record(placement.choose(&request(None, &[], now)));
+        uses.used.extend(planned.iter().map(|server| server.id.clone()));
     }
-    ways
+    uses
 }
 
 /// What the owner of a server with all places taken says, which has read the shared part.
@@ -92,29 +92,29 @@
 }
 
 #[test]
-fn a_server_that_leaves_or_rests_is_chosen_in_no_way() {
-    let all = ways(&mut placement(3), 10);
+fn a_leaving_or_backing_off_server_is_never_used() {
+    let all = uses(&mut placement(3), 10);
     let address = server(1, "hall").address;
-    assert!(["s0", "s1", "s2"].iter().all(|id| all.used.contains(*id)), "without a word each is used");
+    assert!(["s0", "s1", "s2"].iter().all(|id| all.used.contains(*id)), "without notices each is used");
     assert!(all.fetched.contains(&address), "and others fetch from it");
     let mut leaving = placement(3);
     assert!(leaving.record_leaving("s1", Some(false), 10));
-    assert!(!leaving.record_leaving("s1", Some(false), 11), "it is news once");
-    assert!(!ways(&mut leaving, 10).used.contains("s1"));
-    let mut resting = placement(3);
-    resting.record_back_off("s1", 3_000);
+    assert!(!leaving.record_leaving("s1", Some(false), 11), "it is new once");
+    assert!(!uses(&mut leaving, 10).used.contains("s1"));
+    let mut backing_off = placement(3);
+    backing_off.record_back_off("s1", 3_000);
     for now in [10, 2_999] {
-        let ways = ways(&mut resting, now);
-        assert!(!ways.used.contains("s1") && !ways.fetched.contains(&address), "after {now} ms");
+        let uses = uses(&mut backing_off, now);
+        assert!(!uses.used.contains("s1") && !uses.fetched.contains(&address), "after {now} ms");
     }
-    assert!(ways(&mut resting, 3_000).used.contains("s1"), "it is used again afterwards");
+    assert!(uses(&mut backing_off, 3_000).used.contains("s1"), "it is used again afterwards");
 }
 
 #[test]
-fn nothing_reopens_a_life_that_said_that_it_leaves() {
+fn a_leaving_instance_is_never_used_again() {
     let mut placement = placement(2);
     placement.record_leaving("s1", Some(false), 10);
-    let closed = |placement: &mut Placement, now| !ways(placement, now).used.contains("s1");
+    let closed = |placement: &mut Placement, now| !uses(placement, now).used.contains("s1");
     // Its entry is written again as it was, lapses, and comes back from an old copy.
     for (now, count) in [(100, 2), (200, 1), (300, 2), (60_000, 1), (120_000, 2)] {
         update(&mut placement, &table(None), servers(count), &[], now);
@@ -127,7 +127,7 @@
     // A later life under its name is another server.
     let later = Server { id: "s1@7".to_owned(), ..server(1, "hall") };
     update(&mut placement, &table(None), vec![server(0, "hall"), later], &[], 130_000);
-    assert!(ways(&mut placement, 130_000).used.contains("s1@7"));
+    assert!(uses(&mut placement, 130_000).used.contains("s1@7"));
 }
 
 fn placement_with_draining_entry() -> Placement {
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn rest_outlasts_an_entry_that_lapses_and_a_shorter_wish() {
+fn a_back_off_outlasts_an_expired_entry_and_a_shorter_back_off() {
     let mut placement = placement(2);
     placement.record_back_off("s1", 3_000);
     placement.record_back_off("s1", 1_000);
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_request_that_was_chosen_before_the_word_does_not_leave_after_it() {
+fn a_choice_made_before_a_notice_is_not_sent_after_it() {
     let mut placement = placement(3);
     for id in ["s0", "s1", "s2"] {
         assert!(placement.may_send(MODEL, id, false, 10));
@@ -165,13 +165,13 @@
 }
 
 #[test]
-fn where_all_rest_callers_hear_when_the_first_returns() {
+fn refusals_name_the_time_when_the_first_back_off_ends() {
     let mut placement = placement(2);
     placement.record_back_off("s0", 5_000);
     placement.record_back_off("s1", 3_000);
-    let refusal = placement.choose(&request(None, &[], 1_000)).expect_err("all rest");
+    let refusal = placement.choose(&request(None, &[], 1_000)).expect_err("all back off");
     assert_eq!(refusal, Refusal::BackingOff { retry_ms: 2_000 });
-    // One that failed lately doesn't get what a resting one would have got; it is the last resort of nobody else.
+    // One that failed lately doesn't get what a backing_off one would have got; it is the last resort of nobody else.
     for now in [1_000, 1_001] {
         placement.record_ending(MODEL, "s1", Ending::Broken, now);
     }
@@ -182,18 +182,21 @@
 }
 
 #[test]
-fn a_cold_server_that_rests_is_not_what_callers_wait_for() {
+fn a_cold_server_that_backs_off_is_refused_as_backing_off() {
     let cold = Some(ColdStart { duration: Duration::from_secs(10), requests_per_s: 5.0 });
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     let cold_server = Server { cold_ms: 10_000, ..server(0, "hall") };
     update(&mut placement, &table(cold), vec![cold_server], &[], 0);
     assert!(placement.choose(&request(None, &[], 10)).is_ok_and(|choice| choice.permit_quotas.is_some()));
     placement.record_back_off("s0", 3_000);
-    assert_eq!(placement.choose(&request(None, &[], 10)).expect_err("rests"), Refusal::BackingOff { retry_ms: 2_990 });
+    assert_eq!(
+        placement.choose(&request(None, &[], 10)).expect_err("backs off"),
+        Refusal::BackingOff { retry_ms: 2_990 }
+    );
 }
 
 #[test]
-fn boxes_that_know_the_same_agree_and_published_words_are_not_told() {
+fn digests_agree_and_omit_published_notices() {
     let mut one = placement(3);
     let mut other = placement(3);
     one.record_leaving("s1", Some(false), 10);
@@ -208,18 +211,18 @@
 }
 
 #[test]
-fn a_life_that_only_an_older_copy_has_gets_nothing_while_others_do() {
+fn an_unconfirmed_instance_is_used_only_without_others() {
     let mut placement = placement(3);
     placement.mark_unconfirmed(&["s1".to_owned(), "s2".to_owned()], 4_000);
-    assert_eq!(ways(&mut placement, 10).used, BTreeSet::from(["s0".to_owned()]));
+    assert_eq!(uses(&mut placement, 10).used, BTreeSet::from(["s0".to_owned()]));
     placement.confirm_instance("s2");
-    assert!(!ways(&mut placement, 10).used.contains("s1"));
-    assert!(ways(&mut placement, 10).used.contains("s2"), "it has written its entry");
-    assert!(ways(&mut placement, 4_000).used.contains("s1"), "its entry has not gone");
+    assert!(!uses(&mut placement, 10).used.contains("s1"));
+    assert!(uses(&mut placement, 10).used.contains("s2"), "it has written its entry");
+    assert!(uses(&mut placement, 4_000).used.contains("s1"), "its entry has not gone");
     // Where there is no other, it is better than none.
     placement.mark_unconfirmed(&["s1".to_owned(), "s2".to_owned()], 9_000);
     placement.record_leaving("s0", Some(false), 5_000);
-    let used = ways(&mut placement, 5_000).used;
+    let used = uses(&mut placement, 5_000).used;
     assert!(used.contains("s1") && used.contains("s2"));
     assert!(placement.may_send(MODEL, "s1", false, 5_000));
 }
--- a/crates/placement/tests/quarantine.rs
+++ b/crates/placement/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held after servers ended under them, and that innocent ones are not.
+//! Which requests are held suspect_after servers ended under them, and that innocent ones are not.
 
 use placement::{Change, Fingerprint, Quarantine, SuspectRecord, Termination, Verdict};
 use rand::seq::SliceRandom;
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashSet;
 
-const GUILTY: Fingerprint = Fingerprint(1);
+const CRASHING: Fingerprint = Fingerprint(1);
 const DAY: u64 = 86_400_000;
 
 fn held(quarantine: &Quarantine, request: Fingerprint, now: u64) -> bool {
@@ -19,50 +19,50 @@
 }
 
 /// One under which servers ended at these times, each sent the request this long before.
-fn after(running: u64, ends: &[u64]) -> Quarantine {
+fn suspect_after(running: u64, ends: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (number, at) in ends.iter().enumerate() {
-        quarantine.record_termination(GUILTY, end(&format!("s{number}"), at - running, *at), *at);
+        quarantine.record_termination(CRASHING, end(&format!("s{number}"), at - running, *at), *at);
     }
     quarantine
 }
 
 #[test]
-fn a_request_is_held_once_three_servers_ended_under_it() {
-    assert!(!held(&after(10, &[1_000, 2_000]), GUILTY, 2_100));
-    assert!(held(&after(10, &[1_000, 2_000, 3_000]), GUILTY, 3_000));
-    assert!(held(&after(500, &[1_000, 1_010, 1_020]), GUILTY, 1_020), "also where it runs at many");
-    assert!(!held(&after(10, &[1_000, 2_000, 3_000]), Fingerprint(2), 3_000));
-    let mut again = after(10, &[1_000, 2_000]);
+fn a_request_is_held_once_three_servers_terminated_under_it() {
+    assert!(!held(&suspect_after(10, &[1_000, 2_000]), CRASHING, 2_100));
+    assert!(held(&suspect_after(10, &[1_000, 2_000, 3_000]), CRASHING, 3_000));
+    assert!(held(&suspect_after(500, &[1_000, 1_010, 1_020]), CRASHING, 1_020), "also if it runs at several at once");
+    assert!(!held(&suspect_after(10, &[1_000, 2_000, 3_000]), Fingerprint(2), 3_000));
+    let mut again = suspect_after(10, &[1_000, 2_000]);
     assert_eq!(
-        again.record_termination(GUILTY, end("s1", 2_500, 3_000), 3_000),
+        again.record_termination(CRASHING, end("s1", 2_500, 3_000), 3_000),
         Change::Unchanged,
-        "a server ends once"
+        "a server terminates once"
     );
-    assert!(!held(&again, GUILTY, 3_000));
+    assert!(!held(&again, CRASHING, 3_000));
 }
 
 #[test]
-fn a_request_that_a_server_survives_is_innocent_everywhere() {
-    let mut here = after(10, &[1_000, 2_000, 3_000]);
+fn a_request_that_a_server_survives_is_cleared_on_all_boxes() {
+    let mut here = suspect_after(10, &[1_000, 2_000, 3_000]);
     let mut there = Quarantine::default();
-    there.on_record(&here.record(GUILTY, 3_000).expect("a suspect"), 50);
-    assert!(held(&there, GUILTY, 60));
-    let Change::Lifted(record) = here.record_survival(GUILTY, 3_100) else { panic!("it was held") };
+    there.on_record(&here.record(CRASHING, 3_000).expect("a suspect"), 50);
+    assert!(held(&there, CRASHING, 60));
+    let Change::Lifted(record) = here.record_survival(CRASHING, 3_100) else { panic!("it was held") };
     assert!(matches!(there.on_record(&record, 160), Change::Lifted(_)));
-    assert!(!held(&there, GUILTY, 170));
-    // What ended before is told late, and no longer counts.
-    there.on_record(&after(10, &[1_000, 2_000, 3_000]).record(GUILTY, 3_000).expect("a suspect"), 200);
-    assert!(!held(&there, GUILTY, 210));
-    assert_eq!(here.record_survival(GUILTY, 3_200), Change::Unchanged, "nothing to say of one that isn't suspected");
+    assert!(!held(&there, CRASHING, 170));
+    // What ended before is records late, and no longer counts.
+    there.on_record(&suspect_after(10, &[1_000, 2_000, 3_000]).record(CRASHING, 3_000).expect("a suspect"), 200);
+    assert!(!held(&there, CRASHING, 210));
+    assert_eq!(here.record_survival(CRASHING, 3_200), Change::Unchanged, "it is no longer a suspect");
 }
 
 #[test]
-fn boxes_that_heard_the_same_in_whatever_order_hold_the_same() {
+fn boxes_with_the_same_records_hold_the_same_in_any_order() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut source = Quarantine::default();
-        let mut told: Vec<(u64, SuspectRecord)> = Vec::new();
+        let mut records: Vec<(u64, SuspectRecord)> = Vec::new();
         for number in 0..60_u64 {
             let now = number * rng.random_range(50..400);
             let request = Fingerprint(rng.random_range(0..8));
@@ -71,13 +71,13 @@
             } else {
                 source.record_termination(request, end(&format!("s{number}"), now.saturating_sub(80), now), now)
             };
-            told.extend(change.into_record().map(|record| (now, record)));
+            records.extend(change.into_record().map(|record| (now, record)));
         }
         let end = 60 * 400;
         for _ in 0..3 {
             let mut other = Quarantine::default();
-            told.shuffle(&mut rng);
-            for (at, record) in told.iter().chain(&told[..10]) {
+            records.shuffle(&mut rng);
+            for (at, record) in records.iter().chain(&records[..10]) {
                 // Heard late, and said to be as old as it is.
                 let late = |ago: u64| ago + end - at;
                 let ends = record
@@ -103,7 +103,7 @@
     /// Arrivals of the one that comes all the time, and those that were refused.
     popular: usize,
     popular_refused: usize,
-    /// Servers that ended under the guilty one.
+    /// Servers that ended under the crashing one.
     ends: usize,
 }
 
@@ -136,17 +136,17 @@
             // Within the tenth of a second before.
             running[at].push((request, now.saturating_sub(rng.random_range(1..100))));
         }
-        if now % 500 == 0 && !held(&quarantine, GUILTY, now) {
-            running[rng.random_range(0..40)].push((GUILTY, now));
+        if now % 500 == 0 && !held(&quarantine, CRASHING, now) {
+            running[rng.random_range(0..40)].push((CRASHING, now));
         }
         let hall = (now % 20_000 == 10_000).then(|| rng.random_range(0..4));
         let all = now == 45_000;
         let mut repeated = Vec::new();
         for (at, requests) in running.iter_mut().enumerate() {
-            let guilty = requests.iter().any(|(request, sent)| *request == GUILTY && sent + 300 <= now);
-            day.ends += usize::from(guilty);
-            if !guilty && !all && hall != Some(at / 10) && !rng.random_bool(0.000_5) {
-                while let Some(at) = requests.iter().position(|(request, _)| *request != GUILTY) {
+            let crashing = requests.iter().any(|(request, sent)| *request == CRASHING && sent + 300 <= now);
+            day.ends += usize::from(crashing);
+            if !crashing && !all && hall != Some(at / 10) && !rng.random_bool(0.000_5) {
+                while let Some(at) = requests.iter().position(|(request, _)| *request != CRASHING) {
                     if requests.len() <= 5 && rng.random_bool(0.9) {
                         break;
                     }
@@ -157,12 +157,12 @@
             lives += 1;
             for (request, sent) in requests.drain(..) {
                 quarantine.record_termination(request, end(&format!("life-{lives}"), sent, now), now);
-                if request != GUILTY && rng.random_bool(0.7) {
+                if request != CRASHING && rng.random_bool(0.7) {
                     repeated.push(request);
                 }
             }
         }
-        single_held.extend(quarantine.held().filter(|request| ![GUILTY, POPULAR].contains(request)));
+        single_held.extend(quarantine.held().filter(|request| ![CRASHING, POPULAR].contains(request)));
         for request in repeated.into_iter().filter(|request| !held(&quarantine, *request, now)) {
             running[rng.random_range(0..40)].push((request, now));
         }
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn innocent_requests_go_on_though_halls_are_lost_and_one_runs_everywhere() {
+fn innocent_requests_are_not_held_when_halls_are_lost() {
     let days: Vec<Day> = (0..20).map(day).collect();
     let sum = |of: fn(&Day) -> usize| days.iter().map(of).sum::<usize>();
     let (single, held) = (sum(|day| day.single), sum(|day| day.single_held));
@@ -179,89 +179,91 @@
     let (popular, refused) = (sum(|day| day.popular), sum(|day| day.popular_refused));
     assert!(refused * 12 <= popular, "{refused} of {popular} arrivals of one that runs everywhere were refused");
     let most = days.iter().map(|day| day.ends).max().unwrap_or_default();
-    assert!(most <= 5, "{most} servers ended under one request");
+    assert!(most <= 5, "{most} servers terminated under one request");
 }
 
 #[test]
-fn a_server_that_answers_has_not_ended_whoever_said_so() {
+fn an_answer_disproves_a_termination_on_all_boxes() {
     // A box that is cut off takes what it can't reach for ended.
-    let mut cut_off = after(10, &[1_000, 1_100, 1_200]);
-    let told = cut_off.record(GUILTY, 1_200).expect("a suspect");
-    let mut knows_better = Quarantine::default();
+    let mut cut_off = suspect_after(10, &[1_000, 1_100, 1_200]);
+    let record = cut_off.record(CRASHING, 1_200).expect("a suspect");
+    let mut reachable = Quarantine::default();
     for server in ["s0", "s1", "s2"] {
-        assert!(knows_better.record_answer(server, 2_900).is_empty());
+        assert!(reachable.record_answer(server, 2_900).is_empty());
     }
-    let mut believes = Quarantine::default();
-    believes.on_record(&told, 1_210);
-    assert!(held(&believes, GUILTY, 1_210));
-    // It hears of it when the cut is over, and says so to who told it.
-    let later = cut_off.record(GUILTY, 3_000).expect("a suspect");
-    assert_eq!(knows_better.on_record(&later, 3_000), Change::Unchanged);
-    let signs = knows_better.evidence_against(&later, 3_000);
-    assert_eq!(signs.len(), 3);
-    for sign in &signs {
-        assert!(!cut_off.on_liveness_evidence(sign, 3_010).is_empty(), "others must hear it from there");
-        assert!(!believes.on_liveness_evidence(sign, 3_020).is_empty());
-        assert!(believes.on_liveness_evidence(sign, 3_030).is_empty(), "told once");
+    let mut misled = Quarantine::default();
+    misled.on_record(&record, 1_210);
+    assert!(held(&misled, CRASHING, 1_210));
+    // It hears of it when the cut is over, and says so to who records it.
+    let later = cut_off.record(CRASHING, 3_000).expect("a suspect");
+    assert_eq!(reachable.on_record(&later, 3_000), Change::Unchanged);
+    let evidence = reachable.evidence_against(&later, 3_000);
+    assert_eq!(evidence.len(), 3);
+    for item in &evidence {
+        assert!(!cut_off.on_liveness_evidence(item, 3_010).is_empty(), "other boxes must be notified");
+        assert!(!misled.on_liveness_evidence(item, 3_020).is_empty());
+        assert!(misled.on_liveness_evidence(item, 3_030).is_empty(), "it is new once");
     }
-    for quarantine in [&cut_off, &believes, &knows_better] {
+    for quarantine in [&cut_off, &misled, &reachable] {
         assert!(quarantine.is_empty());
     }
 }
 
 #[test]
-fn what_a_server_sent_before_its_end_is_read_late_and_proves_nothing() {
-    let mut quarantine = after(10, &[1_000, 1_100, 1_200]);
+fn an_answer_read_soon_after_a_termination_disproves_nothing() {
+    let mut quarantine = suspect_after(10, &[1_000, 1_100, 1_200]);
     assert!(quarantine.record_answer("s1", 1_800).is_empty());
-    assert!(held(&quarantine, GUILTY, 1_800));
+    assert!(held(&quarantine, CRASHING, 1_800));
     assert!(matches!(quarantine.record_answer("s1", 2_200)[..], [Change::Lifted(_)]));
-    assert!(!held(&quarantine, GUILTY, 2_200));
+    assert!(!held(&quarantine, CRASHING, 2_200));
 }
 
 #[test]
-fn a_flood_of_suspects_drops_none_that_is_held_and_fills_nothing() {
-    let mut quarantine = after(10, &[1_000, 2_000, 3_000]);
+fn a_flood_of_suspects_evicts_no_held_request_and_is_bounded() {
+    let mut quarantine = suspect_after(10, &[1_000, 2_000, 3_000]);
     for number in 0..20_000 {
         quarantine.record_termination(Fingerprint(100 + number), end("lost", 3_900, 4_000), 4_000);
     }
-    assert!(held(&quarantine, GUILTY, 5_000));
+    assert!(held(&quarantine, CRASHING, 5_000));
     let suspected = (100..20_100).filter(|n| quarantine.record(Fingerprint(*n), 5_000).is_some()).count();
     assert!(suspected <= 4_096, "{suspected} are remembered");
-    assert_eq!(quarantine.records(5_000).len(), 1, "boxes that come are told what is held, not each suspect");
+    assert_eq!(quarantine.records(5_000).len(), 1, "new boxes receive held requests, not each suspect");
 }
 
 #[test]
-fn a_held_request_is_tried_twice_by_one_box_and_forgotten_after_a_day() {
-    let mut quarantine = after(10, &[1_000, 2_000, 3_000]);
-    assert_eq!(quarantine.verdict(GUILTY, true, 122_000), Verdict::Held { retry_ms: 119_000 });
-    assert_eq!(quarantine.verdict(GUILTY, true, 200_000), Verdict::Trial);
-    assert!(matches!(quarantine.verdict(GUILTY, false, 200_000), Verdict::Held { .. }), "other boxes don't");
-    let Change::Updated(told) = quarantine.begin_trial(GUILTY, 200_000) else { panic!("others must hear") };
-    assert!(matches!(quarantine.verdict(GUILTY, true, 200_001), Verdict::Held { .. }), "once");
+fn a_held_request_is_tried_twice_by_one_box_and_expires_after_a_day() {
+    let mut quarantine = suspect_after(10, &[1_000, 2_000, 3_000]);
+    assert_eq!(quarantine.verdict(CRASHING, true, 122_000), Verdict::Held { retry_ms: 119_000 });
+    assert_eq!(quarantine.verdict(CRASHING, true, 200_000), Verdict::Trial);
+    assert!(matches!(quarantine.verdict(CRASHING, false, 200_000), Verdict::Held { .. }), "other boxes don't");
+    let Change::Updated(record) = quarantine.begin_trial(CRASHING, 200_000) else {
+        panic!("other boxes must be notified")
+    };
+    assert!(matches!(quarantine.verdict(CRASHING, true, 200_001), Verdict::Held { .. }), "once");
     let mut other = Quarantine::default();
-    other.on_record(&told, 10);
-    assert!(matches!(other.verdict(GUILTY, true, 11), Verdict::Held { .. }), "who was told doesn't try again");
-    quarantine.record_termination(GUILTY, end("s9", 200_400, 200_500), 200_500);
-    assert_eq!(quarantine.verdict(GUILTY, true, 1_900_000), Verdict::Trial);
-    quarantine.begin_trial(GUILTY, 1_900_000);
-    assert!(matches!(quarantine.verdict(GUILTY, true, 80_000_000), Verdict::Held { .. }), "twice at most");
-    assert!(!held(&quarantine, GUILTY, 3_001 + DAY));
+    other.on_record(&record, 10);
+    assert!(matches!(other.verdict(CRASHING, true, 11), Verdict::Held { .. }), "a notified box does not try again");
+    quarantine.record_termination(CRASHING, end("s9", 200_400, 200_500), 200_500);
+    assert_eq!(quarantine.verdict(CRASHING, true, 1_900_000), Verdict::Trial);
+    quarantine.begin_trial(CRASHING, 1_900_000);
+    assert!(matches!(quarantine.verdict(CRASHING, true, 80_000_000), Verdict::Held { .. }), "twice at most");
+    assert!(!held(&quarantine, CRASHING, 3_001 + DAY));
     quarantine.digest(1_900_000 + DAY);
     assert!(quarantine.is_empty());
 }
 
 #[test]
-fn a_request_that_ran_at_all_servers_when_they_ended_together_is_tried_early() {
-    let mut quarantine = after(900, &[1_000, 1_050, 1_100]);
-    assert_eq!(quarantine.verdict(GUILTY, true, 2_000), Verdict::Held { retry_ms: 5_000 });
-    assert_eq!(quarantine.verdict(GUILTY, true, 2_100), Verdict::Trial);
-    quarantine.begin_trial(GUILTY, 2_100);
-    assert!(matches!(quarantine.record_survival(GUILTY, 2_300), Change::Lifted(_)));
-    assert!(!held(&quarantine, GUILTY, 2_300));
+fn a_request_that_ran_everywhere_when_all_servers_terminated_is_tried_early() {
+    let mut quarantine = suspect_after(900, &[1_000, 1_050, 1_100]);
+    assert_eq!(quarantine.verdict(CRASHING, true, 2_000), Verdict::Held { retry_ms: 5_000 });
+    assert_eq!(quarantine.verdict(CRASHING, true, 2_100), Verdict::Trial);
+    quarantine.begin_trial(CRASHING, 2_100);
+    assert!(matches!(quarantine.record_survival(CRASHING, 2_300), Change::Lifted(_)));
+    assert!(!held(&quarantine, CRASHING, 2_300));
 }
 
 #[test]
-fn fingerprints_tell_fields_apart() {
+fn fingerprints_distinguish_fields() {
     let of = |secret, fields: &[&[u8]]| Fingerprint::of(secret, fields);
     assert_eq!(of(1, &[b"GET", b"/a"]), of(1, &[b"GET", b"/a"]));
     assert_ne!(of(1, &[b"GET", b"/a"]), of(2, &[b"GET", b"/a"]));
--- a/crates/placement/tests/budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -10,7 +10,7 @@
 const BOXES: usize = 7;
 
 #[test]
-fn no_window_has_more_second_sends_than_the_bound_however_uneven_the_boxes() {
+fn second_sends_stay_within_the_bound_for_uneven_boxes() {
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut budgets = vec![RetryBudget::new(RATIO, SLACK, WINDOW); BOXES];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_box_gets_its_part_of_the_slack_back_after_the_window() {
+fn slack_is_restored_after_the_window() {
     let mut budget = RetryBudget::new(0.0, 20.0, WINDOW);
     let taken = (0..50).filter(|_| budget.take_retry(BOXES, 0)).count();
     assert_eq!(taken, 2);
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -1,4 +1,4 @@
-//! Engines divided between long prompts and the rest, under the load that asks for it: long prompts come faster than they
+//! Engines split between long prompts and the rest, under the load that asks for it: long prompts come faster than they
 //! are read, and quick answers beside them bear no long pause.
 
 mod common;
@@ -28,8 +28,8 @@
 const LONG_MS: u64 = 3_000;
 
 /// Length of a run, and when counting begins: engines are known by then.
-const END: u64 = 20_000;
-const COUNT_FROM: u64 = 4_000;
+const END_MS: u64 = 20_000;
+const COUNT_FROM_MS: u64 = 4_000;
 
 fn me() -> SocketAddr {
     "10.0.0.1:1".parse().expect("an address")
@@ -47,18 +47,18 @@
     end: u64,
     read: bool,
     /// The longest that the engine read without an end beside it.
-    held_up: u64,
+    stall_ms: u64,
 }
 
 /// An engine that reads one prompt after the other, and holds up answers while it does.
 #[derive(Default)]
-struct Model {
+struct EngineModel {
     busy_since: u64,
     free_at: u64,
     answers: Vec<Answer>,
 }
 
-impl Model {
+impl EngineModel {
     fn take(&mut self, number: u64, unread: u64, quick: bool, now: u64) {
         if self.free_at <= now {
             self.busy_since = now;
@@ -66,10 +66,10 @@
         self.free_at = self.free_at.max(now) + (unread as f64 / TOKENS_PER_MS) as u64 + 1;
         let first = self.free_at;
         let end = first + if quick { QUICK_MS } else { LONG_MS };
-        self.answers.push(Answer { number, quick, first, end, read: false, held_up: 0 });
+        self.answers.push(Answer { number, quick, first, end, read: false, stall_ms: 0 });
         for answer in &mut self.answers {
             let beside = self.free_at.min(answer.end).saturating_sub(self.busy_since.max(answer.first));
-            answer.held_up = answer.held_up.max(beside);
+            answer.stall_ms = answer.stall_ms.max(beside);
         }
     }
 }
@@ -77,15 +77,15 @@
 struct World {
     placement: Placement,
     owner: Owner,
-    engines: BTreeMap<String, Model>,
+    engines: BTreeMap<String, EngineModel>,
     rng: ChaCha8Rng,
     number: u64,
     /// Quick answers that ended, and those of them that were held up for too long.
     quick: (u32, u32),
     /// Long prompts whose first event came, and the sum of their waits.
     long: (u64, u64),
-    /// Engines that long prompts were sent to in the counted time.
-    readers: HashSet<String>,
+    /// Engines that long prompts were update to in the counted time.
+    long_engines: HashSet<String>,
 }
 
 impl World {
@@ -96,18 +96,18 @@
         Self {
             placement,
             owner: Owner::default(),
-            engines: servers().into_iter().map(|server| (server.id, Model::default())).collect(),
+            engines: servers().into_iter().map(|server| (server.id, EngineModel::default())).collect(),
             rng: ChaCha8Rng::seed_from_u64(7),
             number: 0,
             quick: (0, 0),
             long: (0, 0),
-            readers: HashSet::new(),
+            long_engines: HashSet::new(),
         }
     }
 
     /// So many long and quick prompts come each second.
     fn run(mut self, long_per_s: f64, quick_per_s: f64) -> Self {
-        for now in 0..END {
+        for now in 0..END_MS {
             self.advance(now);
             if self.rng.random_bool(long_per_s / 1e3) {
                 let shared = Part { id: self.rng.random_range(0..60), tokens: 13_000 };
@@ -143,27 +143,27 @@
         };
         let mut statuses = Vec::new();
         for server in self.placement.servers_to_query(&request, 9) {
-            let question = StatusQuery {
+            let query = StatusQuery {
                 number: 1,
                 server: server.id.clone(),
                 parts: prompt.parts.clone(),
                 gap_ms: gap_ms as u32,
             };
-            let status = self.owner.on_query(&question, now);
+            let status = self.owner.on_query(&query, now);
             self.placement.on_status(MODEL, &server.id, status.clone(), now);
             statuses.push((server.id.clone(), status));
         }
         let Ok(choice) = self.placement.choose(&PlacementRequest { statuses: &statuses, ..request }) else { return };
         let id = choice.server.id.clone();
-        let sent =
+        let update =
             SendUpdate::Sent { parts: prompt.parts.clone(), work: choice.work, memory: 400_000, permitted: false };
-        self.owner.on_report(me(), SendReport { number: self.number, server: id.clone(), update: sent }, now);
-        if !quick && now >= COUNT_FROM {
-            self.readers.insert(id.clone());
+        self.owner.on_report(me(), SendReport { number: self.number, server: id.clone(), update }, now);
+        if !quick && now >= COUNT_FROM_MS {
+            self.long_engines.insert(id.clone());
         }
         let engine = self.engines.get_mut(&id).expect("a listed server");
         engine.take(self.number, choice.work.prefill.tokens, quick, now);
-        if !quick && now >= COUNT_FROM {
+        if !quick && now >= COUNT_FROM_MS {
             self.long.0 += 1;
             self.long.1 += engine.free_at - now;
         }
@@ -182,15 +182,11 @@
                     );
                 }
                 if answer.end <= now {
-                    let news = SendUpdate::Ended { ending: Ending::Good, pause_ms: answer.held_up as u32 };
-                    self.owner.on_report(
-                        me(),
-                        SendReport { number: answer.number, server: id.clone(), update: news },
-                        now,
-                    );
-                    if answer.quick && now >= COUNT_FROM {
+                    let update = SendUpdate::Ended { ending: Ending::Good, pause_ms: answer.stall_ms as u32 };
+                    self.owner.on_report(me(), SendReport { number: answer.number, server: id.clone(), update }, now);
+                    if answer.quick && now >= COUNT_FROM_MS {
                         self.quick.0 += 1;
-                        self.quick.1 += u32::from(answer.held_up > GAP_MS);
+                        self.quick.1 += u32::from(answer.stall_ms > GAP_MS);
                     }
                 }
             }
@@ -207,25 +203,25 @@
     }
 }
 
-/// Engines at six tenths of what they can read, and three quick answers beside each: divided, fewer than a third as many of
+/// Engines at six tenths of what they can read, and three quick answers beside each: split, fewer than a third as many of
 /// these are held up for too long as where nobody knows that they bear no long pause.
 #[test]
-fn quick_answers_run_beside_little_reading_while_long_prompts_keep_the_engines_busy() {
-    let divided = World::new(Some(Duration::from_millis(GAP_MS))).run(90.0, 40.0);
+fn quick_answers_meet_little_prefill_while_long_prompts_keep_the_engines_busy() {
+    let split = World::new(Some(Duration::from_millis(GAP_MS))).run(90.0, 40.0);
     let mixed = World::new(None).run(90.0, 40.0);
-    assert!(mixed.quick.0 > 500 && divided.quick.0 > 500);
+    assert!(mixed.quick.0 > 500 && split.quick.0 > 500);
     assert!(
-        divided.quick_late() * 3.0 < mixed.quick_late(),
-        "late: {:.3} divided, {:.3} mixed",
-        divided.quick_late(),
+        split.quick_late() * 3.0 < mixed.quick_late(),
+        "late: {:.3} split, {:.3} mixed",
+        split.quick_late(),
         mixed.quick_late()
     );
-    assert!(divided.long_wait_ms() < 1_500, "long prompts wait {} ms, 2,000 are in time", divided.long_wait_ms());
+    assert!(split.long_wait_ms() < 1_500, "long prompts wait {} ms, 2,000 are in time", split.long_wait_ms());
 }
 
 /// With hardly a quick answer, long prompts get all engines.
 #[test]
-fn long_prompts_are_read_everywhere_when_nothing_else_runs() {
+fn long_prompts_use_all_engines_when_nothing_else_runs() {
     let alone = World::new(Some(Duration::from_millis(GAP_MS))).run(90.0, 0.0);
-    assert_eq!(alone.readers.len(), ENGINES);
+    assert_eq!(alone.long_engines.len(), ENGINES);
 }
--- a/crates/placement/tests/update.rs
+++ b/crates/placement/tests/update.rs
@@ -20,12 +20,12 @@
     Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(64, 8, None)])
 }
 
-/// A server of a name, in its hall; the number of its life and its service may change. A life that leaves never does anything else.
+/// A server of a name, in its hall; the number of its instance and its service may change. A instance that leaves never does anything else.
 fn entry(rng: &mut ChaCha8Rng, leaving: &mut HashSet<String>) -> Server {
     let index = rng.random_range(0..SERVERS);
-    let life = rng.random_range(0..2);
+    let instance = rng.random_range(0..2);
     let service = if rng.random_bool(0.9) { MODEL } else { "other" };
-    let id = format!("s{index}-{life}");
+    let id = format!("s{index}-{instance}");
     if rng.random_bool(0.1) {
         leaving.insert(id.clone());
     }
@@ -75,12 +75,12 @@
 /// One server's change cost a box 14 ms of a core where there were 6,000: a tenth of a second of what a small box has, three times a
 /// second while servers are replaced. Now only what differs is looked at, and what comes of it must be the same.
 #[test]
-fn a_placement_that_saw_every_change_chooses_as_one_that_starts() {
+fn incremental_updates_give_the_same_choices_as_a_fresh_start() {
     let table = table();
     for seed in 0..8 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut directory = Directory::default();
-        let mut followed = placement();
+        let mut incremental = placement();
         let mut leaving = HashSet::new();
         let mut evacuations = Evacuations::default();
         for now in 1..60 {
@@ -91,48 +91,48 @@
                 evacuations = Evacuations::new(Position::new(0, now), [hall].into());
             }
             let in_force = Snapshot { table: &table, directory: &directory, evacuations: &evacuations };
-            followed.update(&in_force, now);
-            let mut starts = placement();
-            starts.update(&in_force, now);
-            assert_eq!(choices(&mut followed, now), choices(&mut starts, now), "seed {seed}, change {now}");
+            incremental.update(&in_force, now);
+            let mut fresh = placement();
+            fresh.update(&in_force, now);
+            assert_eq!(choices(&mut incremental, now), choices(&mut fresh, now), "seed {seed}, change {now}");
         }
     }
 }
 
 #[test]
-fn what_a_life_said_holds_while_its_entry_comes_and_goes() {
+fn notices_hold_while_an_entry_comes_and_goes() {
     let table = table();
     let evacuations = Evacuations::default();
-    let life = Server { id: "s1-0".to_owned(), ..server(1, "hall-0") };
+    let instance = Server { id: "s1-0".to_owned(), ..server(1, "hall-0") };
     let mut placement = placement();
     let mut directory = Directory::default();
     let mut put = |placement: &mut Placement, change: Change, now: u64| {
         directory.apply(vec![change], Position::new(0, now));
         placement.update(&Snapshot { table: &table, directory: &directory, evacuations: &evacuations }, now);
     };
-    put(&mut placement, Change::Present(life.clone()), 1);
-    assert!(placement.record_limit(&life.id, Limit::PerS(3.0), 2, 3).is_some());
-    assert!(placement.record_leaving(&life.id, Some(false), 3));
+    put(&mut placement, Change::Present(instance.clone()), 1);
+    assert!(placement.record_limit(&instance.id, Limit::PerS(3.0), 2, 3).is_some());
+    assert!(placement.record_leaving(&instance.id, Some(false), 3));
     let known = (placement.limit_updates().len(), placement.leaving());
-    assert_eq!(known, (1, vec![life.id.clone()]));
-    put(&mut placement, Change::Gone(life.name.clone()), 4);
-    assert_eq!((placement.limit_updates().len(), placement.leaving()), (0, Vec::new()), "others know no such life");
-    put(&mut placement, Change::Present(life.clone()), 5);
+    assert_eq!(known, (1, vec![instance.id.clone()]));
+    put(&mut placement, Change::Gone(instance.name.clone()), 4);
+    assert_eq!((placement.limit_updates().len(), placement.leaving()), (0, Vec::new()), "no entry lists it");
+    put(&mut placement, Change::Present(instance.clone()), 5);
     assert_eq!((placement.limit_updates().len(), placement.leaving()), known);
-    assert!(!placement.may_send(MODEL, &life.id, true, 6));
-    // What its entry says itself need not be told.
-    put(&mut placement, Change::Present(Server { draining: true, ..life.clone() }), 7);
+    assert!(!placement.may_send(MODEL, &instance.id, true, 6));
+    // What its entry says itself need not be limit_update.
+    put(&mut placement, Change::Present(Server { draining: true, ..instance.clone() }), 7);
     assert_eq!(placement.leaving(), Vec::<String>::new());
 }
 
-/// A box may hear of a limit after the entry of its life has gone. Told to others from then on without an end, it makes the digests of two boxes
+/// A box may hear of a limit after the entry of its instance has gone. Told to others from then on without an end, it makes the digests of two boxes
 /// differ for good, so that they exchange all that they know each second.
 #[test]
-fn a_limit_of_a_life_that_is_not_listed_is_not_told_for_good() {
+fn the_limit_of_an_unlisted_instance_is_not_exchanged() {
     let (table, evacuations) = (table(), Evacuations::default());
     let mut placement = placement();
-    let told = LimitUpdate { instance: "s1-0".to_owned(), limit: Limit::PerS(3.0), version: 1 };
-    assert!(placement.on_limit_update(&told, 1));
+    let limit_update = LimitUpdate { instance: "s1-0".to_owned(), limit: Limit::PerS(3.0), version: 1 };
+    assert!(placement.on_limit_update(&limit_update, 1));
     let mut directory = Directory::default();
     directory.apply(vec![Change::Present(server(2, "hall-0"))], Position::new(0, 2));
     placement.update(&Snapshot { table: &table, directory: &directory, evacuations: &evacuations }, 2);
