--- a/crates/placement/examples/choose.rs
+++ b/crates/placement/examples/choose.rs
@@ -1,4 +1,4 @@
-//! How long a choice among 320 engines takes: `cargo run --release -p placement --example choose`.
+//! Measures the time of a choice among 320 engines: `cargo run --release -p placement --example choose`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -12,15 +12,15 @@
 /// Engines of the pool, in five halls.
 const ENGINES: usize = 320;
 
-/// Choices that are timed for each prompt.
+/// Choices measured for each prompt.
 const CHOICES: u64 = 2_000;
 
-/// Owners asked for a choice at most.
+/// Maximum number of owners queried for a choice.
 const MAX_QUERIES: usize = 9;
 
 fn placement() -> Placement {
     let engine = |index: usize| {
-        // Ids as long as those of the users' platform.
+        // Ids are as long as those on the users' platform.
         let id = format!("i-{index:010x}");
         Server { name: id.clone(), id, slots: 32, ..server(index, &format!("hall-{}", index % 5)) }
     };
@@ -30,7 +30,7 @@
     placement
 }
 
-/// Time of planning and choosing for a prompt with so many shared tokens, on average.
+/// Returns the average time to select the servers to query and to choose, for a prompt with `shared` shared tokens.
 fn time(placement: &mut Placement, shared: u32) -> Duration {
     let mut took = Duration::ZERO;
     for index in 0..CHOICES {
--- a/crates/placement/examples/fingerprint.rs
+++ b/crates/placement/examples/fingerprint.rs
@@ -1,4 +1,5 @@
-//! What the fingerprint of a request costs: `cargo run --release -p placement --example fingerprint`.
+//! Measures the time to compute the fingerprint of a request: `cargo run --release -p placement --example
+//! fingerprint`.
 
 use placement::Fingerprint;
 use std::hint::black_box;
--- a/crates/placement/examples/slopes.rs
+++ b/crates/placement/examples/slopes.rs
@@ -1,4 +1,5 @@
-//! What a box spends on knowing its servers, by their number: `cargo run --release -p placement --example slopes`.
+//! Measures how the cost of tracking servers grows with their number: `cargo run --release -p placement --example
+//! slopes`.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
@@ -9,17 +10,17 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-/// Servers of the lists.
+/// Numbers of listed servers.
 const SIZES: [usize; 5] = [320, 1_000, 3_000, 6_000, 12_000];
 
-/// What is timed so many times for each size.
+/// Rounds measured for each size.
 const ROUNDS: u64 = 200;
 
-/// Owners asked for a choice at most.
+/// Maximum number of owners queried for a choice.
 const MAX_QUERIES: usize = 9;
 
 fn entry(index: usize) -> Server {
-    // Names are spread as evenly as those of the users' platform.
+    // Names are spread as evenly as those on the users' platform.
     let name = (index as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let id = format!("i-{:010x}", name >> 24);
     let address = ([10, (index / 40_000) as u8, (index / 200 % 200) as u8, (index % 200) as u8 + 1], 80).into();
@@ -30,7 +31,7 @@
     Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(64, 8, None)])
 }
 
-/// Mean time of what is done in each round, in microseconds.
+/// Returns the mean time of a round in microseconds.
 fn micros(mut round: impl FnMut(u64) -> Duration) -> f64 {
     (0..ROUNDS).map(&mut round).sum::<Duration>().as_secs_f64() * 1e6 / ROUNDS as f64
 }
--- a/crates/placement/tests/cache_directory.rs
+++ b/crates/placement/tests/cache_directory.rs
@@ -1,5 +1,5 @@
-//! Shared parts that were read away from their home, as happens when a burst of long prompts finds the home full: the next
-//! box that needs them fetches them and does not have them read again.
+//! Tests of shared parts that were read away from their home, as happens when a burst of long prompts finds the home
+//! full: the next box that needs them must fetch them instead of having them read again.
 
 mod common;
 
@@ -26,8 +26,8 @@
     Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
-/// A box's query to the owners of nine servers, of which the first five, that are asked for the prompt's parts, have their
-/// hands full, and its choice.
+/// Queries the owners of nine servers and chooses. The first five servers, which include the homes of the prompt's
+/// parts, are reported as busy.
 fn choose(one: &mut Placement, owner: &mut Owner, prompt: &Prompt, now: u64) -> Choice {
     let request = |statuses| PlacementRequest {
         service: MODEL,
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which server is chosen.
+//! Tests of the choice of a server.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use routing::{Server, Table};
 use std::time::Duration;
 
-/// Aim for the first event.
+/// Latency target for the first event.
 const TARGET: Duration = Duration::from_millis(1_500);
 
-/// A pause between events that reading beside them may make longer.
+/// A gap limit that concurrent prefill may exceed.
 const SHORT_GAP: Duration = Duration::from_millis(300);
 
 fn server(index: usize, hall: &str, draining: bool) -> Server {
@@ -24,7 +24,7 @@
     (0..count).map(|index| server(index, "here", false)).collect()
 }
 
-/// With one route to engines whose events hold four tokens.
+/// A placement with one route to engines whose events hold four tokens.
 fn placement(servers: Vec<Server>) -> Placement {
     let mut placement = Placement::new("here", RetryBudget::new(0.2, 50.0, 10_000));
     let table = Table::new(1, vec![route(Some(SHORT_GAP))], vec![service(64, 4, None)]);
@@ -124,7 +124,7 @@
     let mut placement = placement(servers(3));
     let home = choose(&mut placement.clone(), &prompt(7, 100), &[]).server.clone();
     let holder = servers(3).into_iter().find(|s| s.id != home.id).expect("another server");
-    // As after the home's restart: it has nothing, and the one that stood in for it is busy.
+    // As after a restart of the home: it has cached nothing, and the server that replaced it is busy.
     let reported = [(home.id.clone(), status(0, 0, 0, 0)), (holder.id.clone(), status(64, 3_000_000, 13_000, 13_000))];
     let chosen = choose(&mut placement, &prompt(7, 101), &reported);
     assert_eq!(chosen.server.id, home.id);
@@ -186,7 +186,7 @@
     Prompt { model: "m".to_owned(), tokens: 32_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
-/// An ask whose answer may pause only for [`SHORT_GAP`].
+/// A request for an answer with a gap limit of [`SHORT_GAP`].
 fn quick_request<'a>(prompt: &'a Prompt, statuses: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
     PlacementRequest {
         service: MODEL,
@@ -203,12 +203,12 @@
     }
 }
 
-/// An engine that was watched for long: 25 ms for a thousand tokens, and pauses of `stall_ms` beside reading.
+/// Speed of an engine after many observations: 25 ms per thousand tokens, and stalls of `stall_ms` during prefill.
 fn speed(stall_ms: f32) -> Speed {
     Speed { stall_ms, stall_depth_ms: 0.0, seen: 40.0, stalls_seen: 40.0, ..Speed::default() }
 }
 
-/// What is status_with of a server where so many answers bear pauses of [`SHORT_GAP`], and of its speed.
+/// Status of a server with this many answers that have a gap limit of [`SHORT_GAP`], and with this stall length.
 fn with_gap_limits(answers: u32, stall_ms: f32) -> ServerStatus {
     let paces = [(SHORT_GAP.as_millis() as u32, answers)].into_iter().filter(|(_, count)| *count > 0).collect();
     ServerStatus {
@@ -299,7 +299,7 @@
         let reported: Vec<_> =
             others.iter().filter(|s| s.id != home).map(|s| (s.id.clone(), status(3, 2_000, 0, 0))).collect();
         assert_eq!(choose(&mut placement, &prompt(shared, 100), &reported).server.id, home);
-        // Where another has read them, that one is as good.
+        // Another server that has read the parts is as good.
         let cached: Vec<_> = reported.iter().map(|(id, _)| (id.clone(), status(3, 2_000, 13_000, 13_000))).collect();
         assert_ne!(choose(&mut placement, &prompt(shared, 100), &cached).server.id, home);
     }
@@ -325,14 +325,15 @@
     assert_eq!(placement.servers_to_query(&quick_request(&long, &[]), 9).len(), 9);
 }
 
-/// What is status_with of two servers of 64 busy_slots that so many requests have or wait for, of which one ends every 100 ms.
+/// Statuses of two servers with 64 slots and this many running or waiting requests each, one of which ends every 100
+/// ms.
 fn busy_slots(running: u32) -> Vec<(String, ServerStatus)> {
     let load = Load { running, urgencies: [(0, running)].into(), ..Load::default() };
     let status = ServerStatus { load, completion_interval_ms: 100.0, ..ServerStatus::default() };
     ["s0", "s1"].map(|id| (id.to_owned(), status.clone())).into()
 }
 
-/// How long a quick request would have to wait for a place; none if it is sent.
+/// Returns how long a quick request would have to wait for a slot; `None` if it is sent.
 fn refused(placement: &mut Placement, running: u32, urgency: u8, now: u64) -> Option<f64> {
     let (prompt, statuses) = (quick_prompt(100), busy_slots(running));
     let request = PlacementRequest { urgency, now, ..quick_request(&prompt, &statuses) };
@@ -353,7 +354,7 @@
 #[test]
 fn nothing_is_refused_while_a_more_expensive_server_has_a_slot() {
     let full = Load { running: 80, urgencies: [(0, 80)].into(), ..Load::default() };
-    // It keeps the prompt, so that sending it here would cost less than reading it again.
+    // This server caches the prompt, so that waiting there would cost less than reading the prompt again.
     let full = ServerStatus {
         load: full,
         cached_tokens: 13_000,
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -1,5 +1,6 @@
-//! Cold servers under the load that breaks them: all boxes of a fleet send at once what they held back, to servers that have
-//! just started. Summed over all boxes, no second brings one of them more than the platform allows.
+//! Tests of cold servers under the load that overloads them: all boxes of a fleet send their backlog at once to
+//! servers that have just started. In no second may any server receive more requests from all boxes together than the
+//! platform allows.
 
 mod common;
 
@@ -18,11 +19,12 @@
 const BOXES: usize = 40;
 const SERVERS: usize = 12;
 
-/// What a cold server bears in a second, and what all boxes may send there in one.
+/// Requests per second that a cold server accepts, and the number that all boxes together may send to it in one
+/// second.
 const REQUESTS_PER_S: f64 = 5.2;
 const ALLOWED_PER_S: f64 = REQUESTS_PER_S * 1.5 + 5.0;
 
-/// Longest way of a message between boxes, and of a request to its server.
+/// Longest transit time of a message between boxes, and of a request to its server.
 const MAX_TRANSIT_MS: u64 = 60;
 
 fn instance(index: usize, born: u64, cold_ms: u32) -> Server {
@@ -65,15 +67,15 @@
     }
 }
 
-/// Boxes with one owner for each server, whose word some of them don't get.
+/// Boxes with one owner for all servers, some of which are cut off from it.
 struct Fleet {
     boxes: Vec<Placement>,
     owner: Owner,
-    /// Boxes that no owner hears.
+    /// Number of boxes that don't receive messages from the owner.
     cut_off: usize,
     rng: ChaCha8Rng,
     numbers: u64,
-    /// When requests arrived at each server, by id.
+    /// Arrival times of requests at each server, by id.
     arrived: BTreeMap<String, Vec<u64>>,
     refused: usize,
 }
@@ -109,7 +111,7 @@
         statuses
     }
 
-    /// One request at one box, as the program sends it.
+    /// Sends one request from one box, as the router does.
     fn request(&mut self, index: usize, now: u64) {
         let (shared, own) = (self.rng.random_range(0..6), self.rng.random());
         let prompt = prompt(shared, own);
@@ -149,7 +151,7 @@
         }
     }
 
-    /// `rate` requests a second over all boxes.
+    /// Sends `rate` requests per second from all boxes together.
     fn run(&mut self, from: u64, until: u64, rate: f64) {
         for now in from..until {
             let mut due = rate / 1e3;
@@ -161,7 +163,7 @@
         }
     }
 
-    /// The most requests that any server got within one second.
+    /// Returns the most requests that any server received within one second.
     fn most_in_a_second(&mut self) -> usize {
         let mut most = 0;
         for times in self.arrived.values_mut() {
@@ -206,7 +208,8 @@
 #[test]
 fn a_server_not_known_to_be_cold_gets_no_burst_while_others_are_available() {
     for seed in 0..8 {
-        // All are warm as far as the boxes know: 45 a second are four for each, though six shared parts are all there is.
+        // All servers are warm as far as the boxes know. 45 requests per second are about four for each server, but
+        // there are only six shared parts.
         let mut fleet = Fleet::new(seed, 0);
         fleet.run(1_000, 5_000, 45.0);
         let most = fleet.most_in_a_second();
@@ -262,7 +265,7 @@
     let chosen = placement.choose(&request(&prompt(1, 3), &[], &[], 40)).expect("it isn't paused");
     assert_eq!((chosen.server.id.as_str(), chosen.permit_quotas), ("s0@2", None));
     assert_eq!(chosen.load.running, 0);
-    // Late update_sent of the former instance change nothing.
+    // Late reports on the former instance change nothing.
     placement.record_ending(MODEL, "s0@1", Ending::Broken, 50);
     assert_eq!(placement.choose(&request(&prompt(1, 4), &[], &[], 60)).expect("a server").permit_quotas, None);
     let mut owner = Owner::default();
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Servers, routes and tables that the tests and the benchmark of placement share.
-// Each of them uses a part of it.
+//! Servers, routes and tables shared by the tests and benchmarks of placement.
+// Each of them uses only a part of this module.
 #![allow(dead_code)]
 
 use placement::{Placement, Snapshot};
@@ -10,7 +10,7 @@
 
 pub const MODEL: &str = "model";
 
-/// An engine of 64 places in this hall, warm and taking work.
+/// A warm engine with 64 slots in this hall that accepts work.
 pub fn server(index: usize, hall: &str) -> Server {
     Server {
         id: format!("s{index}"),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A route to the engines, whose answers bear pauses of `gap`.
+/// A route to the engines, whose answers have this gap limit.
 pub fn route(gap: Option<Duration>) -> Route {
     Route {
         name: "quick".to_owned(),
@@ -42,14 +42,14 @@
     }
 }
 
-/// The service of engines of so many places whose events hold `stride` tokens.
+/// The service of engines with this many slots, whose events hold `stride` tokens.
 pub fn service(slots: u32, stride: u32, cold: Option<ColdStart>) -> Service {
     let engine =
         Engine { slots, memory_tokens: 500_000, token_bytes: 18_432, link_mbps: 100_000.0, tokens_per_event: stride };
     Service { name: MODEL.to_owned(), max_connections: 100, engine: Some(engine), cold_start: cold }
 }
 
-/// Puts servers in force, these halls being evacuated.
+/// Publishes servers and evacuated halls to a placement.
 pub fn update(placement: &mut Placement, table: &Table, servers: Vec<Server>, evacuated: &[&str], now: u64) {
     let mut directory = Directory::default();
     directory.apply(servers.into_iter().map(Change::Present).collect(), Position::new(0, 1));
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -1,4 +1,4 @@
-//! Choices in a pool of thousands of servers, of which each request looks at few.
+//! Tests of choices in a pool of more than a thousand servers, of which each request considers a sample.
 
 mod common;
 
@@ -10,10 +10,10 @@
 
 const SERVERS: usize = 1_200;
 
-/// Parts whose homes are looked for.
+/// Number of parts whose homes are determined.
 const PARTS: u64 = 600;
 
-/// The one hall that is in a region of its own, and how many servers it has.
+/// The only hall in a region of its own, and the number of its servers.
 const REMOTE_HALL: &str = "far";
 const REMOTE_SERVERS: usize = 3;
 
@@ -32,7 +32,7 @@
     placement
 }
 
-/// The server that a request is sent to whose prompt shares a part, and the first that would be queried for it.
+/// Returns the server chosen for a request whose prompt shares a part, and the first server to query for it.
 fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&AllowedRegions>) -> (String, String) {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
     let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
@@ -54,13 +54,14 @@
     (chosen.server.id.clone(), planned[0].id.clone())
 }
 
-/// Homes of some parts.
+/// Returns the homes of [`PARTS`] parts.
 fn homes(placement: &mut Placement) -> Vec<String> {
     (0..PARTS).map(|part| choose(placement, part, 100_000 + part, None).1).collect()
 }
 
-/// Each request weighed all servers: 9 ms of a core where there are 6,000, which a small box has 75 ms for, and 26 ms where there are
-/// 12,000. Now it weighs as many as there are in a small pool, and boxes must agree on them without a word.
+/// Weighing all servers for each request takes 9 ms of a core with 6,000 servers, where a small box has 75 ms, and 26
+/// ms with 12,000. A sample bounds the time to that of a small pool, but boxes must agree on the sample without
+/// communication.
 #[test]
 fn homes_of_parts_agree_between_boxes_are_spread_evenly_and_rarely_move() {
     let mut one = placement(servers());
@@ -68,11 +69,11 @@
     assert_eq!(known, homes(&mut placement(servers().into_iter().rev().collect())));
     let mut counts: HashMap<&str, usize> = HashMap::new();
     known.iter().for_each(|home| *counts.entry(home).or_default() += 1);
-    // Nine tenths of as many as drawing evenly would name.
+    // Nine tenths of the expected number of homes under an even random choice.
     let expected = SERVERS as f64 * (1.0 - (-(PARTS as f64) / SERVERS as f64).exp());
     assert!(counts.len() as f64 > 0.9 * expected, "{} homes", counts.len());
     assert!(counts.values().all(|count| *count <= 7), "{counts:?}");
-    // Three in a hundred servers go.
+    // Three in a hundred servers are removed.
     let left: Vec<Server> = servers().into_iter().enumerate().filter(|(i, _)| i % 33 != 0).map(|(_, s)| s).collect();
     let gone: HashSet<String> =
         servers().into_iter().enumerate().filter(|(i, _)| i % 33 == 0).map(|(_, s)| s.id).collect();
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -1,4 +1,4 @@
-//! Servers that name limits under the load of a whole fleet, and what becomes of odd limits.
+//! Tests of server limits under the load of a whole fleet, and of unusual limits.
 
 mod common;
 
@@ -20,13 +20,13 @@
 /// Parts that prompts share.
 const SHARED: u64 = 12;
 
-/// Longest way of a message between boxes, of a request to its server or of its answer.
+/// Longest transit time of a message between boxes, of a request to its server or of its answer.
 const MAX_TRANSIT_MS: u64 = 60;
 
-/// How long a server capacity to answer, at most.
+/// Longest time that a server takes to answer.
 const MAX_ANSWER_MS: u64 = 800;
 
-/// The platform's bound: in any so long a span, from so long after a limit was first named on.
+/// The platform's bound applies to any window of this length that begins this long after a limit was first named.
 const WINDOW_MS: u64 = 4_000;
 const GRACE_MS: u64 = 3_000;
 
@@ -64,7 +64,7 @@
     }
 }
 
-/// A prompt of a shared part and one of its own.
+/// A prompt of a shared part and a part of its own.
 fn prompt(shared: u64, own: u64) -> Prompt {
     let parts = vec![Part { id: shared, tokens: 600 }, Part { id: own, tokens: 100 }];
     Prompt { model: "m".to_owned(), tokens: 700, max_out_tokens: 60, out_tokens_hint: None, parts }
@@ -74,49 +74,50 @@
     SocketAddr::from(([10, 1, (from / 200) as u8, (from % 200) as u8], 80))
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Message {
-    /// A request that a box sent at that time, to a server.
+    /// A request that a box sent to a server at time `sent`.
     Request { from: usize, sent: u64, server: usize, number: u64 },
-    /// Its answer, with what it says.
+    /// The answer, with the limit that it names.
     Answer { to: usize, sent: u64, server: usize, number: u64, limit: Limit },
-    /// Another box's limit_update.
+    /// An update from another box.
     Update { to: usize, limit_update: LimitUpdate },
 }
 
-/// Who says that a request may be sent to a server that names a limit.
+/// How limits are enforced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Enforcement {
-    /// One box, for each request.
+    /// One box grants permits for each request.
     Permits,
-    /// Each box for itself: its share of the limit.
+    /// Each box applies its own share of the limit.
     Shares,
 }
 
-/// Boxes before servers, in virtual time.
+/// A simulation of boxes in front of servers, in virtual time.
 struct Fleet {
     enforcement: Enforcement,
     boxes: Vec<Placement>,
     owner: Owner,
-    /// When a box may send next to a server, by its share.
+    /// When a box may next send to a server, by its share.
     shares: BTreeMap<(usize, usize), u64>,
     rng: ChaCha8Rng,
     /// Parts that prompts share.
     shared: u64,
     now: u64,
     numbers: u64,
-    /// By the time at which they are there.
+    /// Message numbers by arrival time.
     messages: BinaryHeap<Reverse<(u64, u64)>>,
     bodies: BTreeMap<u64, Message>,
-    /// What servers say.
+    /// Limits that servers name in their answers.
     limits: Vec<Limit>,
-    /// When requests outcomes to each server.
+    /// Arrival times of requests at each server.
     arrived: Vec<Vec<u64>>,
     refused: usize,
-    /// Changes of limits that were updates_sent to all boxes.
+    /// Changes of limits that were broadcast to all boxes.
     updates_sent: usize,
-    /// The part of the requests that is more urgent than the others, and what outcomes of them and of the others: sent, refused.
+    /// Share of requests that are urgent, and counts of sent and refused requests: those of urgent ones first, then
+    /// those of all others.
     urgent: f64,
     outcomes: [(usize, usize); 2],
 }
@@ -164,7 +165,7 @@
             Enforcement::Shares => {
                 let quota = quotas.limit.expect("a limit");
                 let each = quota.window * self.boxes.len() as u64 / u64::from(quota.max_requests);
-                // Boxes begin at different moments, so that they don't all send at once.
+                // Boxes begin at different times, so that they don't all send at once.
                 let (now, phase) = (self.now, self.rng.random_range(0..=each));
                 let next = self.shares.entry((from, server)).or_insert(now + phase);
                 if self.now < *next {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// What owners say of the likeliest servers.
+    /// Returns the statuses of the most likely servers from their owner.
     fn statuses(&mut self, from: usize, prompt: &Prompt) -> Vec<(String, ServerStatus)> {
         let planned = self.boxes[from]
             .servers_to_query(&PlacementRequest { prompt: Some(prompt), ..request(&[], self.now) }, SERVERS);
@@ -191,7 +192,7 @@
         statuses
     }
 
-    /// One request at one box, as the program sends it.
+    /// Sends one request from one box, as the router does.
     fn request(&mut self, from: usize) {
         let prompt = prompt(self.rng.random_range(0..self.shared), self.rng.random());
         let statuses = self.statuses(from, &prompt);
@@ -236,7 +237,7 @@
             Message::Request { from, sent, server, number } => {
                 self.arrived[server].push(self.now);
                 let delay = self.rng.random_range(0..=MAX_ANSWER_MS);
-                // It says so when it answers.
+                // The limit is the one at the time of the answer.
                 let limit = self.limits[server];
                 self.send(delay, Message::Answer { to: from, sent, server, number, limit });
             }
@@ -257,7 +258,7 @@
         }
     }
 
-    /// `rate` requests a second over all boxes, for so many milliseconds.
+    /// Sends `rate` requests per second from all boxes together, for `time` milliseconds.
     fn run(&mut self, time: u64, rate: f64) {
         let until = self.now + time;
         while self.now < until {
@@ -277,7 +278,7 @@
         }
     }
 
-    /// The most requests that a server received within the window between these times.
+    /// Returns the most requests that a server received within one window between these times.
     fn most(&self, server: usize, from: u64, until: u64) -> usize {
         let times: Vec<u64> = self.arrived[server].iter().copied().filter(|at| (from..until).contains(at)).collect();
         let within = |first: usize| times[first..].iter().take_while(|at| **at < times[first] + WINDOW_MS).count();
@@ -335,14 +336,14 @@
 fn a_server_that_lifts_its_limit_gets_its_share_back_at_once_without_a_burst() {
     for (seed, boxes) in [(1, 4), (2, 40), (3, 300)] {
         let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
-        // Nothing is read twice, so that no other server keeps what this one had.
+        // No part is shared, so that no other server caches the parts that this one had.
         fleet.shared = u64::MAX;
         fleet.run(4_000, 300.0);
         let share = fleet.received(0, 1_000, 4_000) / 3.0;
         fleet.limits[0] = Limit::PerS(2.0);
         fleet.run(6_000, 300.0);
         fleet.limits[0] = Limit::None;
-        // A request that is sent within half a second says so after its answer.
+        // Any request that is sent within half a second shows the change in its answer.
         fleet.run(4_000, 300.0);
         for from in [12_000, 13_000] {
             let received = fleet.received(0, from, from + 1_000);
@@ -381,7 +382,8 @@
     }
 }
 
-/// The part of eight urgent requests a second that is sent where servers take twelve, and how many others of so many a second are.
+/// Eight urgent requests and `others` less urgent ones per second, where the servers take twelve. Returns the share
+/// of urgent requests that were sent, and the number of others that were.
 fn urgent_beside(seed: u64, boxes: usize, others: f64) -> (f64, usize) {
     let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
     fleet.limits = vec![Limit::PerS(2.0); SERVERS];
@@ -404,7 +406,7 @@
         );
         assert!(beside >= alone - 0.1, "{boxes} boxes: {beside} of the urgent ones, {alone} without others");
         assert!(less_urgent > 40, "{boxes} boxes: {less_urgent} others in 40 s");
-        // Where urgent ones alone are more than the servers take, the others still get some.
+        // If urgent requests alone exceed the limits, the others still get a share.
         let mut fleet = Fleet::new(seed, Enforcement::Permits, boxes);
         fleet.limits = vec![Limit::PerS(2.0); SERVERS];
         fleet.urgent = 0.8;
@@ -417,7 +419,7 @@
     }
 }
 
-/// Reports how the ways compare; `--nocapture` shows it.
+/// Compares permits with shares; `--nocapture` shows the figures.
 #[test]
 fn permits_use_limits_better_than_shares() {
     let mut used = [0.0, 0.0];
@@ -460,7 +462,7 @@
     assert_eq!(quota(2.1), Some(Quota { max_requests: 2, window: 953 }));
     assert_eq!(quota(0.3), Some(Quota { max_requests: 1, window: 3_334 }));
     assert_eq!(quota(1.0 / 60.0), Some(Quota { max_requests: 1, window: 60_000 }));
-    // Nothing a second: one now and then, since only an answer says that it capacity more retry_ms.
+    // A limit of zero still allows a request now and then, since only an answer can show that the limit has risen.
     for per_s in [0.0, -0.0, 1e-9, f64::MIN_POSITIVE] {
         assert_eq!(quota(per_s), Some(Quota { max_requests: 1, window: 60_000 }), "{per_s}");
     }
@@ -478,7 +480,7 @@
     assert!(!limit(&mut placement, None, 1, 10), "nothing new");
     assert!(limit(&mut placement, Some(2.0), 1, 10));
     assert!(!limit(&mut placement, Some(2.0), 11, 12), "it is new once");
-    // A request that was sent before the limit was known: its answer may be older than the limit_update.
+    // The answer to a request that was sent before the limit was known may be older than the limit.
     assert!(!limit(&mut placement, None, 9, 20));
     assert!(!limit(&mut placement, Some(5.0), 9, 20));
     assert!(limit(&mut placement, Some(1.0), 9, 20), "a stricter one counts");
@@ -508,7 +510,7 @@
     assert_ne!(one.notices_digest(), other.notices_digest());
     assert!(other.on_limit_update(&limit_update, 900) && !other.on_limit_update(&limit_update, 901));
     assert_eq!(one.notices_digest(), other.notices_digest());
-    // A life that is no longer listed is nothing to tell of, and is known if it comes back.
+    // The limit of an instance that is no longer listed is not exchanged, but it is known if the instance reappears.
     update(&mut one, &table(None), servers(1), &[], 1_000);
     assert!(one.limit_updates().is_empty());
     update(&mut one, &table(None), servers(2), &[], 2_000);
@@ -524,7 +526,7 @@
     placement.on_limit_update(&named(1.0), 0);
     let both = quotas(&mut placement, 10).expect("it is both");
     assert!(both.cold.is_some() && both.limit.is_some());
-    // Cold servers get as many as they bear, but no more than the limit.
+    // A cold server with a limit gets no more than either quota allows.
     let mut owner = Owner::default();
     let mut permit = |quotas: Quotas, now: u64| {
         let permit = PermitRequest { number: 0, server: "s0".to_owned(), quotas, urgency: 0 };
@@ -557,7 +559,7 @@
         Refusal::Limited { retry_ms: 600 }
     );
     assert!(placement.choose(&request(&[], 700)).is_ok());
-    // Another limit is another matter.
+    // Denials under a former limit don't apply to a new one.
     placement.on_limit_update(&LimitUpdate { version: 2, ..named(5.0) }, 200);
     assert!(placement.choose(&request(&[], 210)).is_ok());
 }
--- a/crates/placement/tests/notices.rs
+++ b/crates/placement/tests/notices.rs
@@ -1,4 +1,4 @@
-//! What servers said of themselves holds for every way in which a server is chosen.
+//! Tests that notices of servers apply to every way in which a server may be used.
 
 mod common;
 
@@ -20,7 +20,7 @@
 fn placement(count: usize) -> Placement {
     let mut placement = Placement::new("hall", RetryBudget::new(0.2, 50.0, 10_000));
     update(&mut placement, &table(None), servers(count), &[], 0);
-    // It has read the part that all prompts share.
+    // This server has read the part that all prompts share.
     placement.choose(&request(None, &[], 0)).expect("a server");
     placement.record_cached(MODEL, "s1", &prompt(0));
     placement
@@ -47,10 +47,10 @@
     }
 }
 
-/// What came of choices of each kind.
+/// Servers used by choices of each kind.
 #[derive(Default)]
 struct Uses {
-    /// Ids of servers that were chosen, or whose owners are asked.
+    /// Ids of servers that were chosen, or whose owners are queried.
     used: BTreeSet<String>,
     /// Addresses of servers that others fetch from.
     fetched: BTreeSet<SocketAddr>,
@@ -64,14 +64,15 @@
     }
 }
 
-/// Requests with and without a prompt, with and without their owners' word, now.
+/// Places requests with and without a prompt, and with and without statuses from the owners.
 fn uses(placement: &mut Placement, now: u64) -> Uses {
     let mut uses = Uses::default();
     for own in 2..40 {
         let prompt = prompt(own);
         uses.record(placement.choose(&request(Some(&prompt), &[], now)));
         let planned = placement.servers_to_query(&request(Some(&prompt), &[], now), 9);
-        // All but one have much to do, so that the one without the shared part is chosen now and then.
+        // The server that caches the shared part is busy, so that another one is chosen now and then and fetches the
+        // part.
         let status = |id: &str| if id == "s1" { busy() } else { ServerStatus::default() };
         let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), status(&server.id))).collect();
         uses.record(placement.choose(&request(Some(&prompt), &statuses, now)));
@@ -81,7 +82,7 @@
     uses
 }
 
-/// What the owner of a server with all places taken says, which has read the shared part.
+/// Status of a server with all slots taken that has read the shared part.
 fn busy() -> ServerStatus {
     ServerStatus {
         load: Load { running: 64, ..Load::default() },
@@ -115,16 +116,16 @@
     let mut placement = placement(2);
     placement.record_leaving("s1", Some(false), 10);
     let closed = |placement: &mut Placement, now| !uses(placement, now).used.contains("s1");
-    // Its entry is written again as it was, lapses, and comes back from an old copy.
+    // Its entry is written again as it was, expires, and reappears from an old copy.
     for (now, count) in [(100, 2), (200, 1), (300, 2), (60_000, 1), (120_000, 2)] {
         update(&mut placement, &table(None), servers(count), &[], now);
         assert!(closed(&mut placement, now), "after {now} ms");
     }
-    // What its entry said counts as well.
+    // A draining entry counts as well.
     let mut entry = placement_with_draining_entry();
     update(&mut entry, &table(None), servers(2), &[], 20);
     assert!(closed(&mut entry, 20));
-    // A later life under its name is another server.
+    // A later instance under its name is another server.
     let later = Server { id: "s1@7".to_owned(), ..server(1, "hall") };
     update(&mut placement, &table(None), vec![server(0, "hall"), later], &[], 130_000);
     assert!(uses(&mut placement, 130_000).used.contains("s1@7"));
@@ -171,7 +172,7 @@
     placement.record_back_off("s1", 3_000);
     let refusal = placement.choose(&request(None, &[], 1_000)).expect_err("all back off");
     assert_eq!(refusal, Refusal::BackingOff { retry_ms: 2_000 });
-    // One that failed lately doesn't get what a backing_off one would have got; it is the last resort of nobody else.
+    // A server that failed recently and backs off is not used as a last resort either.
     for now in [1_000, 1_001] {
         placement.record_ending(MODEL, "s1", Ending::Broken, now);
     }
@@ -219,7 +220,7 @@
     assert!(!uses(&mut placement, 10).used.contains("s1"));
     assert!(uses(&mut placement, 10).used.contains("s2"), "it has written its entry");
     assert!(uses(&mut placement, 4_000).used.contains("s1"), "its entry has not gone");
-    // Where there is no other, it is better than none.
+    // Without any other server, it is better than none.
     placement.mark_unconfirmed(&["s1".to_owned(), "s2".to_owned()], 9_000);
     placement.record_leaving("s0", Some(false), 5_000);
     let used = uses(&mut placement, 5_000).used;
--- a/crates/placement/tests/owner.rs
+++ b/crates/placement/tests/owner.rs
@@ -1,4 +1,4 @@
-//! What the owner of a server knows.
+//! Tests of the state that the owner of a server keeps.
 
 use placement::{Ending, Load, Owner, Part, Prefill, SendReport, SendUpdate, ServerStatus, StatusQuery, Work};
 use std::net::SocketAddr;
@@ -108,7 +108,7 @@
     assert_eq!((status(&mut owner, 2).load.running, status(&mut owner, 2).cached_tokens), (0, 0));
 }
 
-/// A request of 200 tokens to generate whose answer bears pauses of so many milliseconds.
+/// Work of a request with 200 tokens to generate and this gap limit in milliseconds.
 fn work(unread: u32, gap_ms: u32) -> Work {
     Work { prefill: Prefill::tail(unread, unread, 6_000), held: 0, out: 200, urgency: 0, gap_ms, long: false }
 }
@@ -142,8 +142,8 @@
     assert!(begun == 10_000 && (4_000..7_000).contains(&half) && long_after > 0, "{begun} {half} {long_after}");
 }
 
-/// Lets an owner see `requests` prompts of 20,000 tokens read by an engine that takes `read_ms` for a thousand tokens
-/// and pauses so long between events beside that; each is followed by an answer.
+/// Reports `requests` prompts of 20,000 tokens to an owner, read by an engine that takes `read_ms` per thousand
+/// tokens and stalls for `pause_ms` during prefill; each is accompanied by an answer.
 fn observe(owner: &mut Owner, requests: u64, read_ms: u64, pause_ms: u32) {
     let mut now = 0;
     for number in 0..requests {
--- a/crates/placement/tests/quarantine.rs
+++ b/crates/placement/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held suspect_after servers ended under them, and that innocent ones are not.
+//! Tests that requests are held after servers terminated under them, and that innocent ones are not.
 
 use placement::{Change, Fingerprint, Quarantine, SuspectRecord, Termination, Verdict};
 use rand::seq::SliceRandom;
@@ -13,12 +13,13 @@
     quarantine.verdict(request, false, now) != Verdict::Free
 }
 
-/// A server's end at `now`, of a request that was sent there at `sent`.
+/// Termination of a server at `now`, to which the request was sent at `sent`.
 fn end(server: &str, sent: u64, now: u64) -> Termination {
     Termination { server: server.to_owned(), sent: now.saturating_sub(sent), ago: 0 }
 }
 
-/// One under which servers ended at these times, each sent the request this long before.
+/// A quarantine with a request under which servers terminated at these times, each of which ran it for `running`
+/// before.
 fn suspect_after(running: u64, ends: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (number, at) in ends.iter().enumerate() {
@@ -51,7 +52,7 @@
     let Change::Lifted(record) = here.record_survival(CRASHING, 3_100) else { panic!("it was held") };
     assert!(matches!(there.on_record(&record, 160), Change::Lifted(_)));
     assert!(!held(&there, CRASHING, 170));
-    // What ended before is records late, and no longer counts.
+    // Terminations from before that are reported late, and no longer count.
     there.on_record(&suspect_after(10, &[1_000, 2_000, 3_000]).record(CRASHING, 3_000).expect("a suspect"), 200);
     assert!(!held(&there, CRASHING, 210));
     assert_eq!(here.record_survival(CRASHING, 3_200), Change::Unchanged, "it is no longer a suspect");
@@ -78,7 +79,7 @@
             let mut other = Quarantine::default();
             records.shuffle(&mut rng);
             for (at, record) in records.iter().chain(&records[..10]) {
-                // Heard late, and said to be as old as it is.
+                // The record is received late, and states its age at that time.
                 let late = |ago: u64| ago + end - at;
                 let ends = record
                     .ends
@@ -94,22 +95,23 @@
     }
 }
 
-/// What became of a day's requests.
+/// Counts of a simulated day.
 #[derive(Debug, Default)]
 struct Day {
     /// Requests that came once, and those of them that were held at some time.
     single: usize,
     single_held: usize,
-    /// Arrivals of the one that comes all the time, and those that were refused.
+    /// Arrivals of the request that runs everywhere, and those of them that were refused.
     popular: usize,
     popular_refused: usize,
-    /// Servers that ended under the crashing one.
+    /// Servers that terminated under the crashing request.
     ends: usize,
 }
 
-/// Six requests a tenth of a second for 40 servers, which end them within about a second. Some come again when their server
-/// ends; a third of the arrivals are of one that runs everywhere. One request ends each server that runs it. Halls of
-/// ten servers are lost and come back, at last all together, and single servers end.
+/// Simulates six requests per tenth of a second for 40 servers, which complete them within about a second. Some
+/// requests are repeated when their server terminates; a third of the arrivals are of one request that runs
+/// everywhere. One request terminates each server that runs it. Halls of ten servers are lost and come back, at last
+/// all together, and single servers terminate.
 fn day(seed: u64) -> Day {
     const POPULAR: Fingerprint = Fingerprint(2);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -133,7 +135,7 @@
                 day.popular_refused += usize::from(popular);
                 continue;
             }
-            // Within the tenth of a second before.
+            // Sent within the preceding tenth of a second.
             running[at].push((request, now.saturating_sub(rng.random_range(1..100))));
         }
         if now % 500 == 0 && !held(&quarantine, CRASHING, now) {
@@ -184,7 +186,7 @@
 
 #[test]
 fn an_answer_disproves_a_termination_on_all_boxes() {
-    // A box that is cut off takes what it can't reach for ended.
+    // A box that is cut off takes servers that it can't reach for terminated.
     let mut cut_off = suspect_after(10, &[1_000, 1_100, 1_200]);
     let record = cut_off.record(CRASHING, 1_200).expect("a suspect");
     let mut reachable = Quarantine::default();
@@ -194,7 +196,7 @@
     let mut misled = Quarantine::default();
     misled.on_record(&record, 1_210);
     assert!(held(&misled, CRASHING, 1_210));
-    // It hears of it when the cut is over, and says so to who records it.
+    // A box that reaches the servers receives the record later, and returns evidence against it.
     let later = cut_off.record(CRASHING, 3_000).expect("a suspect");
     assert_eq!(reachable.on_record(&later, 3_000), Change::Unchanged);
     let evidence = reachable.evidence_against(&later, 3_000);
--- a/crates/placement/tests/retry_budget.rs
+++ b/crates/placement/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Second sends of all boxes together stay within the bound.
+//! Tests that the second sends of all boxes together stay within the bound.
 
 use placement::RetryBudget;
 use rand::{Rng, SeedableRng};
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -1,5 +1,5 @@
-//! Engines split between long prompts and the rest, under the load that asks for it: long prompts come faster than they
-//! are read, and quick answers beside them bear no long pause.
+//! Tests of the split of engines between long prompts and all others under the load that requires it: long prompts
+//! arrive at a high rate, and quick answers beside them have a short gap limit.
 
 mod common;
 
@@ -17,17 +17,17 @@
 /// Engines of the pool.
 const ENGINES: usize = 20;
 
-/// Pause that a quick answer bears.
+/// Gap limit of quick answers.
 const GAP_MS: u64 = 500;
 
-/// Tokens that an engine reads in a millisecond.
+/// Tokens that an engine prefills per millisecond.
 const TOKENS_PER_MS: f64 = 35.0;
 
-/// How long a quick answer and a long one run after their first event.
+/// Duration of a quick answer and of a long one after their first event.
 const QUICK_MS: u64 = 1_400;
 const LONG_MS: u64 = 3_000;
 
-/// Length of a run, and when counting begins: engines are known by then.
+/// Length of a run, and when counting begins: engine speeds are known by then.
 const END_MS: u64 = 20_000;
 const COUNT_FROM_MS: u64 = 4_000;
 
@@ -46,11 +46,11 @@
     first: u64,
     end: u64,
     read: bool,
-    /// The longest that the engine read without an end beside it.
+    /// The longest continuous prefill beside it.
     stall_ms: u64,
 }
 
-/// An engine that reads one prompt after the other, and holds up answers while it does.
+/// An engine that prefills one prompt after the other, and stalls answers while it does.
 #[derive(Default)]
 struct EngineModel {
     busy_since: u64,
@@ -80,11 +80,11 @@
     engines: BTreeMap<String, EngineModel>,
     rng: ChaCha8Rng,
     number: u64,
-    /// Quick answers that ended, and those of them that were held up for too long.
+    /// Quick answers that ended, and those of them that were stalled for too long.
     quick: (u32, u32),
-    /// Long prompts whose first event came, and the sum of their waits.
+    /// Long prompts whose first event came, and the total of their waits.
     long: (u64, u64),
-    /// Engines that long prompts were update to in the counted time.
+    /// Engines that long prompts were sent to in the counted time.
     long_engines: HashSet<String>,
 }
 
@@ -105,7 +105,7 @@
         }
     }
 
-    /// So many long and quick prompts come each second.
+    /// Sends long and quick prompts at these rates.
     fn run(mut self, long_per_s: f64, quick_per_s: f64) -> Self {
         for now in 0..END_MS {
             self.advance(now);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Tells the owner of first events and ends.
+    /// Reports first events and ends to the owner.
     fn advance(&mut self, now: u64) {
         for (id, engine) in &mut self.engines {
             for answer in &mut engine.answers {
@@ -203,8 +203,9 @@
     }
 }
 
-/// Engines at six tenths of what they can read, and three quick answers beside each: split, fewer than a third as many of
-/// these are held up for too long as where nobody knows that they bear no long pause.
+/// With engines at six tenths of their prefill rate and three quick answers beside each, the split must reduce the
+/// share of quick answers that are stalled for too long to less than a third of that without a split, where no gap
+/// limit is known.
 #[test]
 fn quick_answers_meet_little_prefill_while_long_prompts_keep_the_engines_busy() {
     let split = World::new(Some(Duration::from_millis(GAP_MS))).run(90.0, 40.0);
@@ -219,7 +220,7 @@
     assert!(split.long_wait_ms() < 1_500, "long prompts wait {} ms, 2,000 are in time", split.long_wait_ms());
 }
 
-/// With hardly a quick answer, long prompts get all engines.
+/// With hardly any quick answers, long prompts get all engines.
 #[test]
 fn long_prompts_use_all_engines_when_nothing_else_runs() {
     let alone = World::new(Some(Duration::from_millis(GAP_MS))).run(90.0, 0.0);
--- a/crates/placement/tests/update.rs
+++ b/crates/placement/tests/update.rs
@@ -1,4 +1,4 @@
-//! What is in force changes by a few servers at a time.
+//! Tests of incremental updates of the published state.
 
 mod common;
 
@@ -20,7 +20,8 @@
     Table::new(1, vec![route(Some(Duration::from_millis(500)))], vec![service(64, 8, None)])
 }
 
-/// A server of a name, in its hall; the number of its instance and its service may change. A instance that leaves never does anything else.
+/// A server with one of a fixed set of names, in its hall; its instance and its service vary. An instance that is
+/// leaving stays so.
 fn entry(rng: &mut ChaCha8Rng, leaving: &mut HashSet<String>) -> Server {
     let index = rng.random_range(0..SERVERS);
     let instance = rng.random_range(0..2);
@@ -46,7 +47,7 @@
     }
 }
 
-/// The servers that would be asked, and the one that is chosen.
+/// Returns the servers to query and the chosen server, for ten requests.
 fn choices(placement: &mut Placement, now: u64) -> Vec<(Vec<String>, Option<String>)> {
     let choose = |number: u64| {
         let parts = vec![Part { id: number, tokens: 13_000 }, Part { id: 10_000 + number, tokens: 3_000 }];
@@ -72,8 +73,9 @@
     (0..10).map(choose).collect()
 }
 
-/// One server's change cost a box 14 ms of a core where there were 6,000: a tenth of a second of what a small box has, three times a
-/// second while servers are replaced. Now only what differs is looked at, and what comes of it must be the same.
+/// Processing a full list for the change of one server takes 14 ms of a core with 6,000 servers: a tenth of a second
+/// on a small box, three times per second while servers are replaced. An update therefore looks only at the
+/// differences, and must give the same result.
 #[test]
 fn incremental_updates_give_the_same_choices_as_a_fresh_start() {
     let table = table();
@@ -120,13 +122,13 @@
     put(&mut placement, Change::Present(instance.clone()), 5);
     assert_eq!((placement.limit_updates().len(), placement.leaving()), known);
     assert!(!placement.may_send(MODEL, &instance.id, true, 6));
-    // What its entry says itself need not be limit_update.
+    // A notice that the entry shows itself is not exchanged.
     put(&mut placement, Change::Present(Server { draining: true, ..instance.clone() }), 7);
     assert_eq!(placement.leaving(), Vec::<String>::new());
 }
 
-/// A box may hear of a limit after the entry of its instance has gone. Told to others from then on without an end, it makes the digests of two boxes
-/// differ for good, so that they exchange all that they know each second.
+/// A box may receive a limit after the entry of its instance has gone. If it passed the limit on indefinitely, the
+/// digests of two boxes would differ permanently, and they would exchange all their notices each second.
 #[test]
 fn the_limit_of_an_unlisted_instance_is_not_exchanged() {
     let (table, evacuations) = (table(), Evacuations::default());
