--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -1,9 +1,9 @@
 //! The control thread: runs the decisions, and carries out what they want.
 
+mod actions;
 mod actor;
-mod carry;
-mod reading;
-mod telling;
+mod platform_sync;
+mod reports;
 
 use crate::control_handle::SharedSnapshot;
 use crate::status::{Explanation, PeerRow, RefusedRow, RouteRow, ShardRow, Status, UpstreamRow};
@@ -28,39 +28,39 @@
 use wire::{Key, Link, Listener};
 
 /// How often the decisions are told the time.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How often servers are asked for their load.
-const GAUGE_MS: u64 = 500;
+const LOAD_POLL_INTERVAL_MS: u64 = 500;
 
 /// How often a watcher reads the membership list.
-const LISTING_MS: u64 = 1_000;
+const MEMBER_READ_INTERVAL_MS: u64 = 1_000;
 
 /// A box without the watch reads the platform itself this often, give or take a half.
-const DIRECT_MS: u64 = 30_000;
+const UNWATCHED_READ_INTERVAL_MS: u64 = 30_000;
 
 /// After trouble the platform is left alone for this long, doubling to the longest, give or take a half.
-const TROUBLE_MS: u64 = 250;
-const TROUBLE_MOST_MS: u64 = 4_000;
+const MIN_BACKOFF_MS: u64 = 250;
+const MAX_BACKOFF_MS: u64 = 4_000;
 
 /// Calls to the platform that a box may make: in the long run a second, and at once.
-const CALLS_PER_SECOND: f64 = 4.0;
-const CALLS_AT_ONCE: f64 = 400.0;
+const PLATFORM_CALLS_PER_S: f64 = 4.0;
+const PLATFORM_CALL_BURST: f64 = 400.0;
 
 /// A box that starts or wakes waits this long for its peers' releases, in milliseconds.
-const SETTLE_MS: u64 = 600;
+const PEER_RELEASE_WAIT_MS: u64 = 600;
 
 /// Age of a key, made for a request, when it reaches its keeper, in milliseconds.
-const SKEW_MARGIN_MS: u64 = 200;
+const KEY_AGE_MARGIN_MS: u64 = 200;
 
 /// A box that starts or wakes waits this long for boxes of its hall that neither answer nor are found dead.
-const SETTLE_MOST_MS: u64 = 5_000;
+const MAX_PEER_CONTACT_WAIT_MS: u64 = 5_000;
 
 /// Customers with a metric label of their own.
-const SERIES_MOST: usize = 100;
+const MAX_CUSTOMER_LABELS: usize = 100;
 
 /// Living boxes that are told of a new release at once.
-const TOLD_AT_ONCE: usize = 3;
+const RELEASE_FANOUT: usize = 3;
 
 // ----------------------------------------------------------------------------
 // Messages to the control thread
@@ -78,7 +78,7 @@
 /// A link to another box broke.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct Broke(BoxId);
+struct ConnectionLost(BoxId);
 
 /// A planned stop begins.
 #[derive(Message)]
@@ -88,12 +88,12 @@
 /// Operators ask for the box's state.
 #[derive(Message)]
 #[rtype(result = "Box<Status>")]
-pub struct AskStatus;
+pub struct GetStatus;
 
 /// Operators ask what would happen to a request.
 #[derive(Message)]
 #[rtype(result = "Result<Explanation, String>")]
-pub struct AskExplanation {
+pub struct GetExplanation {
     /// The customer's name.
     pub customer: String,
     /// The class, or the customer's default.
@@ -106,21 +106,21 @@
 
 /// What the platform is being asked.
 #[derive(Debug, Default)]
-struct Platform {
+struct PlatformState {
     /// A manifest is being read or watched for.
-    busy: bool,
+    reading_manifest: bool,
     /// This box is one that holds the watch.
     watcher: bool,
     /// The list is being read.
-    listing: bool,
+    reading_members: bool,
     /// Parts are being fetched.
-    fetching: bool,
+    fetching_parts: bool,
     /// The manifest's revision at the service.
     revision: u64,
     /// Not before this time.
     not_before: Time,
-    list_at: Time,
-    trouble_ms: u64,
+    next_member_read: Time,
+    backoff_ms: u64,
 }
 
 /// The control thread's state.
@@ -130,38 +130,38 @@
     snapshot: SharedSnapshot,
     running: Arc<AtomicUsize>,
     source: Rc<dyn Source>,
-    gauge: Rc<dyn LoadProbe>,
+    load_probe: Rc<dyn LoadProbe>,
     broker: Broker,
-    probe: FailureDetector,
-    spread: ReleaseSync,
+    detector: FailureDetector,
+    releases: ReleaseSync,
     key: Key,
     /// Links to other boxes, each with the address that it was made for.
     links: HashMap<BoxId, (SocketAddr, Link<Envelope>)>,
     listener: Option<Listener<Envelope>>,
     /// Traffic's wishes that wait for an answer, by the broker's number.
-    wishes: HashMap<u64, (u64, oneshot::Sender<Result<LeaseGrant, Refusal>>)>,
+    pending: HashMap<u64, (u64, oneshot::Sender<Result<LeaseGrant, Refusal>>)>,
     /// The broker's number by traffic's, for wishes and for leases.
-    numbers: HashMap<u64, u64>,
+    lease_ids: HashMap<u64, u64>,
     /// How to tell traffic that a lease is recalled, by the broker's number.
     recalls: HashMap<u64, oneshot::Sender<()>>,
-    visits: HashMap<u64, CustomerId>,
+    admitted: HashMap<u64, CustomerId>,
     claims: HashMap<u64, (u64, oneshot::Sender<Verdict>)>,
     /// The broker's number by traffic's, for claims.
-    claim_numbers: HashMap<u64, u64>,
-    platform: Platform,
-    allowance: CallBudget,
-    gauged: Time,
-    ticked: Time,
-    started: Time,
+    claim_ids: HashMap<u64, u64>,
+    platform: PlatformState,
+    call_budget: CallBudget,
+    last_load_poll: Time,
+    last_tick: Time,
+    started_at: Time,
     /// When this box started or last woke from a pause.
-    began: Time,
-    settled: bool,
-    heard_peer: bool,
+    resumed_at: Time,
+    is_current: bool,
+    received_from_peer: bool,
     /// The newest release that a peer named since `began`.
-    best_heard: Option<ReleaseId>,
+    newest_seen: Option<ReleaseId>,
     was_ready: bool,
     sent_messages: u64,
-    broken: u64,
+    violations: u64,
 }
 
 /// What [`Control`] is made from; may cross threads.
@@ -185,14 +185,14 @@
 impl Control {
     /// Makes the control state and begins to listen for other boxes. To be called on its own thread.
     #[must_use]
-    pub fn start_here(parts: Parts, context: &mut Context<Self>) -> Self {
+    pub fn start_in_context(parts: Parts, context: &mut Context<Self>) -> Self {
         let Parts { settings, clock, snapshot, running, boxes } = parts;
         let now = Time(clock.now());
         let me = settings.me.clone();
         let seconds = unix().as_secs();
         // Numbers of an earlier life of this box are lower, at up to 4,096 a second.
         let first = (seconds % (1 << 20)) << 12;
-        let probe = FailureDetector::new(me.clone(), &settings.peers, seconds as u32, ProbeTiming::default(), now);
+        let detector = FailureDetector::new(me.clone(), &settings.peers, seconds as u32, ProbeTiming::default(), now);
         let key = Key::new(&settings.link.key);
         let address = context.address();
         let handler = Rc::new(move |from: &str, envelope| address.do_send(Inbound(BoxId::of(from), envelope)));
@@ -203,34 +203,34 @@
         Self {
             broker: Broker::new(me.id(), &me.hall, settings.way, first, now),
             source: Rc::new(feed::HttpSource::new(settings.config, settings.members)),
-            gauge: Rc::new(upstream::HttpClient::default()),
-            allowance: CallBudget::new(CALLS_PER_SECOND, CALLS_AT_ONCE, now),
+            load_probe: Rc::new(upstream::HttpClient::default()),
+            call_budget: CallBudget::new(PLATFORM_CALLS_PER_S, PLATFORM_CALL_BURST, now),
             settings,
             clock,
             snapshot,
             running,
-            probe,
-            spread: ReleaseSync::default(),
+            detector,
+            releases: ReleaseSync::default(),
             key,
             links: HashMap::new(),
             listener: Some(listener),
-            wishes: HashMap::new(),
-            numbers: HashMap::new(),
+            pending: HashMap::new(),
+            lease_ids: HashMap::new(),
             recalls: HashMap::new(),
-            visits: HashMap::new(),
+            admitted: HashMap::new(),
             claims: HashMap::new(),
-            claim_numbers: HashMap::new(),
-            platform: Platform { trouble_ms: TROUBLE_MS, ..Platform::default() },
-            gauged: now,
-            ticked: now,
-            started: now,
-            began: now,
-            settled: false,
-            heard_peer: false,
-            best_heard: None,
+            claim_ids: HashMap::new(),
+            platform: PlatformState { backoff_ms: MIN_BACKOFF_MS, ..PlatformState::default() },
+            last_load_poll: now,
+            last_tick: now,
+            started_at: now,
+            resumed_at: now,
+            is_current: false,
+            received_from_peer: false,
+            newest_seen: None,
             was_ready: false,
             sent_messages: 0,
-            broken: 0,
+            violations: 0,
         }
     }
 
@@ -243,9 +243,9 @@
         change(Arc::make_mut(&mut guard));
     }
 
-    fn note(&mut self, event: Event, detail: &str) {
+    fn log_event(&mut self, event: Event, detail: &str) {
         if event.number() >= Event::LeaseCountBroken.number() {
-            self.broken += 1;
+            self.violations += 1;
         }
         telemetry::emit(event, format_args!("{detail}"));
     }
@@ -255,93 +255,98 @@
 
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.now();
-        if now.since(self.ticked) >= policy::PAUSE_THRESHOLD_MS {
+        if now.since(self.last_tick) >= policy::PAUSE_THRESHOLD_MS {
             // What others did meanwhile is unknown: listen before taking calls again.
-            self.began = now;
-            self.settled = false;
-            self.heard_peer = false;
-            self.best_heard = None;
+            self.resumed_at = now;
+            self.is_current = false;
+            self.received_from_peer = false;
+            self.newest_seen = None;
         }
-        self.ticked = now;
+        self.last_tick = now;
         let actions = self.broker.tick(now);
-        self.do_policy(actions, context);
-        let actions = self.probe.tick(self.spread.order(), now);
-        self.do_fleet(actions, context);
-        self.spread.tick(now);
-        self.settle(now);
-        self.ask_platform(context);
-        if now.since(self.gauged) >= GAUGE_MS {
-            self.gauged = now;
-            self.gauge_servers(context);
+        self.run_policy_actions(actions, context);
+        let actions = self.detector.tick(self.releases.order(), now);
+        self.run_fleet_actions(actions, context);
+        self.releases.tick(now);
+        self.update_readiness(now);
+        self.poll_platform(context);
+        if now.since(self.last_load_poll) >= LOAD_POLL_INTERVAL_MS {
+            self.last_load_poll = now;
+            self.poll_server_load(context);
         }
     }
 
     /// Takes calls once a release is here that isn't older than that of any peer that was heard.
-    fn settle(&mut self, now: Time) {
-        let waited = now.since(self.began);
-        let asked = !self.probe.has_uncontacted_peers() || waited >= SETTLE_MOST_MS;
-        let newest = self.spread.order() >= self.best_heard;
-        let refused = self.best_heard.is_some_and(|best| self.spread.has_refused(best));
+    fn update_readiness(&mut self, now: Time) {
+        let waited = now.since(self.resumed_at);
+        let asked = !self.detector.has_uncontacted_peers() || waited >= MAX_PEER_CONTACT_WAIT_MS;
+        let newest = self.releases.order() >= self.newest_seen;
+        let refused = self.newest_seen.is_some_and(|best| self.releases.has_refused(best));
         // Until then this box can't prove of any request key that it is new.
-        let remembers = now.since(self.started) >= policy::MAX_CLOCK_SKEW_MS + SKEW_MARGIN_MS;
-        let current = self.spread.order().is_some() && (newest || refused);
-        if !self.settled && remembers && current && asked && (self.heard_peer || waited >= SETTLE_MS) {
-            self.settled = true;
+        let remembers = now.since(self.started_at) >= policy::MAX_CLOCK_SKEW_MS + KEY_AGE_MARGIN_MS;
+        let current = self.releases.order().is_some() && (newest || refused);
+        if !self.is_current
+            && remembers
+            && current
+            && asked
+            && (self.received_from_peer || waited >= PEER_RELEASE_WAIT_MS)
+        {
+            self.is_current = true;
         }
-        let ready = self.settled;
+        let ready = self.is_current;
         if ready != self.was_ready {
             self.was_ready = ready;
             self.update_snapshot(|snapshot| snapshot.ready = ready);
             if ready {
-                let number = self.spread.order().map_or(0, |o| o.number);
+                let number = self.releases.order().map_or(0, |o| o.number);
                 telemetry::emit(Event::BoxReady, format_args!("name={} release={number}", self.settings.me.name));
             }
         }
     }
 
-    fn gauge_servers(&mut self, context: &mut Context<Self>) {
+    fn poll_server_load(&mut self, context: &mut Context<Self>) {
         let layout = Rc::clone(self.broker.layout());
         for id in self.broker.polled_servers() {
             let Some(upstream) = layout.server(id) else { continue };
             if upstream.kind != catalog::UpstreamKind::Engine {
                 continue;
             }
-            let (gauge, address) = (Rc::clone(&self.gauge), upstream.address);
+            let (gauge, address) = (Rc::clone(&self.load_probe), upstream.address);
             let ask = async move { gauge.load(address).await };
             context.spawn(ask.into_actor(self).map(move |load, this, context| {
                 if let Ok(load) = load {
-                    this.take_load(id, load, context);
+                    this.on_load(id, load, context);
                 }
             }));
         }
     }
 
-    fn take_load(&mut self, id: ServerId, load: Load, context: &mut Context<Self>) {
+    fn on_load(&mut self, id: ServerId, load: Load, context: &mut Context<Self>) {
         let actions = self.broker.on_load_report(id, load, self.now());
-        self.do_policy(actions, context);
+        self.run_policy_actions(actions, context);
     }
 
     // ------------------------------------------------------------------------
     // Other boxes
 
-    fn hear_order(&mut self, from: BoxId, order: Option<ReleaseId>, context: &mut Context<Self>) {
-        self.heard_peer = true;
-        self.best_heard = self.best_heard.max(order);
-        let actions = self.spread.on_release(from, order, self.now());
-        self.do_fleet(actions, context);
+    fn on_peer_release(&mut self, from: BoxId, order: Option<ReleaseId>, context: &mut Context<Self>) {
+        self.received_from_peer = true;
+        self.newest_seen = self.newest_seen.max(order);
+        let actions = self.releases.on_release(from, order, self.now());
+        self.run_fleet_actions(actions, context);
     }
 
-    fn take_fleet(&mut self, from: BoxId, message: &fleet::Message, context: &mut Context<Self>) {
+    fn on_fleet_message(&mut self, from: BoxId, message: &fleet::Message, context: &mut Context<Self>) {
         let now = self.now();
-        let actions = self.probe.on_message(from, message, self.spread.order(), now);
-        self.do_fleet(actions, context);
+        let actions = self.detector.on_message(from, message, self.releases.order(), now);
+        self.run_fleet_actions(actions, context);
         match message {
             fleet::Message::Ping { order, .. } | fleet::Message::Ack { order, .. } => {
-                self.hear_order(from, *order, context);
+                self.on_peer_release(from, *order, context);
             }
             _ => {
-                let actions = self.spread.on_message(from, message, now);
-                self.do_fleet(actions, context);
+                let actions = self.releases.on_message(from, message, now);
+                self.run_fleet_actions(actions, context);
             }
         }
     }
--- a/crates/cleatshelf/src/control/carry.rs
+++ b/crates/cleatshelf/src/control/actions.rs
@@ -4,11 +4,11 @@
 
 impl Control {
     pub(super) fn send(&mut self, to: BoxId, envelope: &Envelope, context: &mut Context<Self>) {
-        let Some(peer) = self.probe.peer(to) else { return };
+        let Some(peer) = self.detector.peer(to) else { return };
         let (key, me) = (&self.key, &self.settings.me.name);
         let open = || {
             let control = context.address();
-            let broke = Box::new(move || control.do_send(Broke(to)));
+            let broke = Box::new(move || control.do_send(ConnectionLost(to)));
             (peer.address, Link::open(key, me, &peer.name, peer.address, broke))
         };
         let link = self.links.entry(to).or_insert_with(open);
@@ -19,26 +19,26 @@
         self.sent_messages += 1;
     }
 
-    pub(super) fn do_policy(&mut self, actions: Vec<Action>, context: &mut Context<Self>) {
+    pub(super) fn run_policy_actions(&mut self, actions: Vec<Action>, context: &mut Context<Self>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(to, &Envelope::Policy(message), context),
-                Action::Granted { id, server, expires, .. } => self.granted(id, server, expires, context),
-                Action::Refused(id, refusal) => self.refused(id, refusal),
+                Action::Granted { id, server, expires, .. } => self.on_granted(id, server, expires, context),
+                Action::Refused(id, refusal) => self.on_refused(id, refusal),
                 Action::Recalled(id) => {
                     if let Some(recall) = self.recalls.remove(&id) {
                         // Traffic may have ended the request in this very moment; then nothing is left to recall.
                         let _ = recall.send(());
                     }
                 }
-                Action::Claimed(id, verdict) => self.claimed(id, verdict, context),
-                Action::Log(event, detail) => self.note(event, &detail),
+                Action::Claimed(id, verdict) => self.on_claimed(id, verdict, context),
+                Action::Log(event, detail) => self.log_event(event, &detail),
             }
         }
     }
 
-    fn granted(&mut self, id: u64, server: ServerId, expires: Time, context: &mut Context<Self>) {
-        let Some((number, reply)) = self.wishes.remove(&id) else { return };
+    fn on_granted(&mut self, id: u64, server: ServerId, expires: Time, context: &mut Context<Self>) {
+        let Some((number, reply)) = self.pending.remove(&id) else { return };
         let Some(upstream) = self.broker.layout().server(server).cloned() else {
             // Another release knows this server, ours doesn't yet: come back in a moment.
             let refusal = Refusal { reason: policy::Reason::NoServer, retry_ms: 1_000 };
@@ -55,9 +55,9 @@
         }
     }
 
-    pub(super) fn refused(&mut self, id: u64, refusal: Refusal) {
-        if let Some((number, reply)) = self.wishes.remove(&id) {
-            self.numbers.remove(&number);
+    pub(super) fn on_refused(&mut self, id: u64, refusal: Refusal) {
+        if let Some((number, reply)) = self.pending.remove(&id) {
+            self.lease_ids.remove(&number);
             let why = format!("{:?}", refusal.reason);
             metrics::counter!("cleatshelf_refusals_total", "reason" => why).increment(1);
             let _ = reply.send(Err(refusal));
@@ -66,24 +66,24 @@
 
     /// Gives back or abandons what traffic knows by `number`.
     pub(super) fn end_lease(&mut self, number: u64, report: Option<policy::Report>, context: &mut Context<Self>) {
-        let Some(id) = self.numbers.remove(&number) else { return };
-        self.wishes.remove(&id);
+        let Some(id) = self.lease_ids.remove(&number) else { return };
+        self.pending.remove(&id);
         self.recalls.remove(&id);
         let now = self.now();
         let actions = match report {
             Some(report) => self.broker.return_lease(id, report, now),
             None => self.broker.abandon(id, now),
         };
-        self.do_policy(actions, context);
+        self.run_policy_actions(actions, context);
     }
 
-    fn claimed(&mut self, id: u64, verdict: Verdict, context: &mut Context<Self>) {
+    fn on_claimed(&mut self, id: u64, verdict: Verdict, context: &mut Context<Self>) {
         let Some((number, reply)) = self.claims.remove(&id) else { return };
         if verdict == Verdict::Repeat {
             telemetry::emit(Event::RepeatRefused, format_args!("claim={id}"));
         }
         if verdict != Verdict::Fresh {
-            self.claim_numbers.remove(&number);
+            self.claim_ids.remove(&number);
         }
         if reply.send(verdict).is_err() && verdict == Verdict::Fresh {
             self.end_claim(number, false, context);
@@ -91,48 +91,51 @@
     }
 
     pub(super) fn end_claim(&mut self, number: u64, ran: bool, context: &mut Context<Self>) {
-        if let Some(id) = self.claim_numbers.remove(&number) {
+        if let Some(id) = self.claim_ids.remove(&number) {
             let actions = self.broker.finish_claim(id, ran, self.now());
-            self.do_policy(actions, context);
+            self.run_policy_actions(actions, context);
         }
     }
 
-    pub(super) fn do_fleet(&mut self, actions: Vec<fleet::Action>, context: &mut Context<Self>) {
+    pub(super) fn run_fleet_actions(&mut self, actions: Vec<fleet::Action>, context: &mut Context<Self>) {
         for action in actions {
             match action {
                 fleet::Action::Send(to, message) => self.send(to, &Envelope::Fleet(message), context),
                 fleet::Action::ViewChanged => {
-                    self.settle_watch();
-                    let actions =
-                        self.broker.set_boxes(self.probe.eligible_boxes(), self.probe.leaving_boxes(), self.now());
-                    self.do_policy(actions, context);
+                    self.update_watch_role();
+                    let actions = self.broker.set_boxes(
+                        self.detector.eligible_boxes(),
+                        self.detector.leaving_boxes(),
+                        self.now(),
+                    );
+                    self.run_policy_actions(actions, context);
                 }
                 fleet::Action::Upstream(server, leaving) => {
                     let actions = self.broker.set_upstream_leaving(server, leaving, self.now());
-                    self.do_policy(actions, context);
+                    self.run_policy_actions(actions, context);
                 }
-                fleet::Action::Gossip(change) => self.probe.gossip(change),
+                fleet::Action::Gossip(change) => self.detector.gossip(change),
                 fleet::Action::RefusedElsewhere(order, reason) => {
-                    let actions = self.spread.on_refused_elsewhere(order, &reason);
-                    self.do_fleet(actions, context);
+                    let actions = self.releases.on_refused_elsewhere(order, &reason);
+                    self.run_fleet_actions(actions, context);
                 }
-                fleet::Action::Adopt(release, catalog) => self.adopt(&release, *catalog, context),
-                fleet::Action::Fetch(digests) => self.fetch(digests, context),
-                fleet::Action::Log(event, detail) => self.note(event, &detail),
+                fleet::Action::Adopt(release, catalog) => self.adopt_release(&release, *catalog, context),
+                fleet::Action::Fetch(digests) => self.fetch_parts(digests, context),
+                fleet::Action::Log(event, detail) => self.log_event(event, &detail),
             }
         }
     }
 
-    fn adopt(&mut self, release: &catalog::Release, catalog: catalog::Catalog, context: &mut Context<Self>) {
+    fn adopt_release(&mut self, release: &catalog::Release, catalog: catalog::Catalog, context: &mut Context<Self>) {
         let number = release.manifest.number;
         let was = self.snapshot.read().map_or(0, |s| s.release);
         if number < was {
-            self.note(Event::ReleaseOrderBroken, &format!("from={was} to={number}"));
+            self.log_event(Event::ReleaseOrderBroken, &format!("from={was} to={number}"));
             return;
         }
         metrics::gauge!("cleatshelf_release_number").set(number as f64);
         let layout = Rc::new(Layout::from_catalog(&catalog));
-        let mut series = LabelLimiter::new(SERIES_MOST);
+        let mut series = LabelLimiter::new(MAX_CUSTOMER_LABELS);
         let labels = catalog.customers.iter().map(|c| series.label(&c.name)).collect();
         self.update_snapshot(|snapshot| {
             snapshot.catalog = catalog;
@@ -140,9 +143,9 @@
             snapshot.release = number;
         });
         let actions = self.broker.set_layout(layout, self.now());
-        self.do_policy(actions, context);
-        let order = self.spread.order();
-        for to in self.probe.random_alive(TOLD_AT_ONCE) {
+        self.run_policy_actions(actions, context);
+        let order = self.releases.order();
+        for to in self.detector.random_alive(RELEASE_FANOUT) {
             // An answer's form carries the release without asking for anything back.
             let message = fleet::Message::Ack { number: 0, order, changes: Vec::new() };
             self.send(to, &Envelope::Fleet(message), context);
--- a/crates/cleatshelf/src/control/actor.rs
+++ b/crates/cleatshelf/src/control/actor.rs
@@ -6,10 +6,10 @@
     type Context = Context<Self>;
 
     fn started(&mut self, context: &mut Self::Context) {
-        context.run_interval(TICK, Self::tick);
-        self.settle_watch();
-        let actions = self.broker.set_boxes(self.probe.eligible_boxes(), self.probe.leaving_boxes(), self.now());
-        self.do_policy(actions, context);
+        context.run_interval(TICK_INTERVAL, Self::tick);
+        self.update_watch_role();
+        let actions = self.broker.set_boxes(self.detector.eligible_boxes(), self.detector.leaving_boxes(), self.now());
+        self.run_policy_actions(actions, context);
     }
 }
 
@@ -22,29 +22,29 @@
             ControlRequest::Admit { number, customer, reply } => {
                 let entered = self.broker.admit_request(customer, now);
                 if entered {
-                    self.visits.insert(number, customer);
+                    self.admitted.insert(number, customer);
                 }
                 // If the caller is gone, its `Finish` follows.
                 let _ = reply.send(entered);
             }
             ControlRequest::Finish { number, tokens } => {
-                if let Some(customer) = self.visits.remove(&number) {
+                if let Some(customer) = self.admitted.remove(&number) {
                     self.broker.finish_request(customer, tokens, now);
                 }
             }
             ControlRequest::Acquire { number, acquire, reply } => {
                 let (id, actions) = self.broker.acquire(acquire, now);
-                self.wishes.insert(id, (number, reply));
-                self.numbers.insert(number, id);
-                self.do_policy(actions, context);
+                self.pending.insert(id, (number, reply));
+                self.lease_ids.insert(number, id);
+                self.run_policy_actions(actions, context);
             }
             ControlRequest::Abandon(number) => self.end_lease(number, None, context),
             ControlRequest::ReturnLease(number, report) => self.end_lease(number, Some(report), context),
             ControlRequest::Claim { number, key, age_ms, reply } => {
                 let (id, actions) = self.broker.claim(key, age_ms, now);
                 self.claims.insert(id, (number, reply));
-                self.claim_numbers.insert(number, id);
-                self.do_policy(actions, context);
+                self.claim_ids.insert(number, id);
+                self.run_policy_actions(actions, context);
             }
             ControlRequest::EndClaim(number, ran) => self.end_claim(number, ran, context),
         }
@@ -56,21 +56,21 @@
 
     fn handle(&mut self, Inbound(from, envelope): Inbound, context: &mut Self::Context) {
         match envelope {
-            Envelope::Fleet(message) => self.take_fleet(from, &message, context),
+            Envelope::Fleet(message) => self.on_fleet_message(from, &message, context),
             Envelope::Policy(message) => {
                 let actions = self.broker.receive(from, message, self.now());
-                self.do_policy(actions, context);
+                self.run_policy_actions(actions, context);
             }
         }
     }
 }
 
-impl Handler<Broke> for Control {
+impl Handler<ConnectionLost> for Control {
     type Result = ();
 
-    fn handle(&mut self, Broke(id): Broke, context: &mut Self::Context) {
-        let actions = self.probe.on_connection_lost(id, self.now());
-        self.do_fleet(actions, context);
+    fn handle(&mut self, ConnectionLost(id): ConnectionLost, context: &mut Self::Context) {
+        let actions = self.detector.on_connection_lost(id, self.now());
+        self.run_fleet_actions(actions, context);
     }
 }
 
@@ -81,23 +81,23 @@
         let running = self.running.load(Ordering::Relaxed);
         telemetry::emit(Event::StopBegun, format_args!("running={running}"));
         self.update_snapshot(|snapshot| snapshot.stopping = true);
-        let actions = self.probe.leave();
-        self.do_fleet(actions, context);
+        let actions = self.detector.leave();
+        self.run_fleet_actions(actions, context);
     }
 }
 
-impl Handler<AskStatus> for Control {
-    type Result = actix::MessageResult<AskStatus>;
+impl Handler<GetStatus> for Control {
+    type Result = actix::MessageResult<GetStatus>;
 
-    fn handle(&mut self, _: AskStatus, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: GetStatus, _: &mut Self::Context) -> Self::Result {
         actix::MessageResult(Box::new(self.status()))
     }
 }
 
-impl Handler<AskExplanation> for Control {
+impl Handler<GetExplanation> for Control {
     type Result = Result<Explanation, String>;
 
-    fn handle(&mut self, ask: AskExplanation, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, ask: GetExplanation, _: &mut Self::Context) -> Self::Result {
         self.explain(&ask)
     }
 }
--- a/crates/cleatshelf/src/control/telling.rs
+++ b/crates/cleatshelf/src/control/reports.rs
@@ -4,7 +4,7 @@
 
 impl Control {
     pub(super) fn status(&self) -> Status {
-        let order = self.spread.order();
+        let order = self.releases.order();
         let snapshot = self.snapshot.read().map(|s| (s.ready, s.stopping)).unwrap_or_default();
         Status {
             name: self.settings.me.name.clone(),
@@ -13,18 +13,18 @@
             stopping: snapshot.1,
             release: order.map_or(0, |o| o.number),
             digest: order.map_or_else(String::new, |o| o.digest.to_string()),
-            refused: self.spread.refused().map(refused_row).collect(),
-            peers: self.probe.members().map(peer_row).collect(),
+            refused: self.releases.refused().map(refused_row).collect(),
+            peers: self.detector.members().map(peer_row).collect(),
             shards: self.broker.owned_shards().map(|shard| self.shard_row(shard)).collect(),
             held: self.broker.lease_count(),
             pending: self.broker.pending_count(),
             running: self.running.load(Ordering::Relaxed),
             watcher: self.is_watcher(),
-            platform_calls: self.allowance.calls_made,
+            platform_calls: self.call_budget.calls_made,
             sent_bytes: self.links.values().map(|(_, link)| link.bytes_sent()).sum(),
             received_bytes: self.listener.as_ref().map_or(0, Listener::bytes_received),
             sent_messages: self.sent_messages,
-            broken: self.broken,
+            broken: self.violations,
         }
     }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(super) fn explain(&self, ask: &AskExplanation) -> Result<Explanation, String> {
+    pub(super) fn explain(&self, ask: &GetExplanation) -> Result<Explanation, String> {
         let snapshot = self.snapshot.read().map(|s| Arc::clone(&s)).map_err(|e| e.to_string())?;
         let customers = &snapshot.catalog.customers;
         let customer = customers.iter().find(|c| c.name == ask.customer);
@@ -79,7 +79,7 @@
         for hall in halls {
             for shard in layout.shards_in(hall, serves) {
                 let owner = self.broker.shard_owner(*shard);
-                let name = |id| self.probe.peer(id).map_or(&self.settings.me.name, |p| &p.name).clone();
+                let name = |id| self.detector.peer(id).map_or(&self.settings.me.name, |p| &p.name).clone();
                 let own = self.broker.owned_shards().find(|s| s.id == *shard);
                 rows.push(RouteRow {
                     shard: shard.to_string(),
--- a/crates/cleatshelf/src/operators.rs
+++ b/crates/cleatshelf/src/operators.rs
@@ -1,6 +1,6 @@
 //! The HTTP interface for operators: status, explanations and metrics.
 
-use crate::control::{AskExplanation, AskStatus};
+use crate::control::{GetExplanation, GetStatus};
 use crate::Control;
 use actix::Addr;
 use actix_web::web::{self, Data, Query, ServiceConfig};
@@ -35,7 +35,7 @@
 }
 
 async fn status(shared: Data<Operators>) -> HttpResponse {
-    match shared.control.send(AskStatus).await {
+    match shared.control.send(GetStatus).await {
         Ok(status) => HttpResponse::Ok().json(status),
         Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
     }
@@ -43,7 +43,7 @@
 
 async fn explain(shared: Data<Operators>, query: Query<ExplainQuery>) -> HttpResponse {
     let ExplainQuery { customer, class, serves } = query.into_inner();
-    match shared.control.send(AskExplanation { customer, class, serves }).await {
+    match shared.control.send(GetExplanation { customer, class, serves }).await {
         Ok(Ok(explanation)) => HttpResponse::Ok().json(explanation),
         Ok(Err(reason)) => HttpResponse::NotFound().json(json!({"reason": reason})),
         Err(error) => HttpResponse::InternalServerError().body(error.to_string()),
--- a/crates/cleatshelf/src/serve.rs
+++ b/crates/cleatshelf/src/serve.rs
@@ -63,7 +63,7 @@
     };
     let arbiter = Arbiter::new();
     let control = Control::start_in_arbiter(&arbiter.handle(), |context: &mut Context<Control>| {
-        Control::start_here(parts, context)
+        Control::start_in_context(parts, context)
     });
     let handle = Arc::new(ActorControlHandle { control: control.clone(), snapshot, clock });
     let callers = serve_callers(&settings, handle, Arc::clone(&running))?;
