--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: runs the decisions, and carries out what they want.
+//! The control thread: drives the decision logic with time and messages, and carries out its actions.
 
 mod actions;
 mod actor;
@@ -27,55 +27,56 @@
 use upstream::LoadProbe;
 use wire::{Key, Link, Listener};
 
-/// How often the decisions are told the time.
+/// Interval of the timer that drives the decision logic.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often servers are asked for their load.
+/// Interval at which servers are polled for their load.
 const LOAD_POLL_INTERVAL_MS: u64 = 500;
 
-/// How often a watcher reads the membership list.
+/// Interval at which a watcher reads the membership list.
 const MEMBER_READ_INTERVAL_MS: u64 = 1_000;
 
-/// A box without the watch reads the platform itself this often, give or take a half.
+/// Interval at which a box that does not watch reads the platform itself, with 50 % jitter.
 const UNWATCHED_READ_INTERVAL_MS: u64 = 30_000;
 
-/// After trouble the platform is left alone for this long, doubling to the longest, give or take a half.
+/// Back-off after a failed platform call, doubling from the minimum to the maximum, with 50 % jitter.
 const MIN_BACKOFF_MS: u64 = 250;
 const MAX_BACKOFF_MS: u64 = 4_000;
 
-/// Calls to the platform that a box may make: in the long run a second, and at once.
+/// Limit on calls of one box to the platform: long-term rate and burst.
 const PLATFORM_CALLS_PER_S: f64 = 4.0;
 const PLATFORM_CALL_BURST: f64 = 400.0;
 
-/// A box that starts or wakes waits this long for its peers' releases, in milliseconds.
+/// Time that a box waits for its peers' releases after a start or a pause.
 const PEER_RELEASE_WAIT_MS: u64 = 600;
 
-/// Age of a key, made for a request, when it reaches its keeper, in milliseconds.
+/// Allowance for the age of a request's key when it reaches its key owner.
 const KEY_AGE_MARGIN_MS: u64 = 200;
 
-/// A box that starts or wakes waits this long for boxes of its hall that neither answer nor are found dead.
+/// Maximum time that a box waits, after a start or a pause, for boxes of its hall that neither respond nor are found
+/// dead.
 const MAX_PEER_CONTACT_WAIT_MS: u64 = 5_000;
 
-/// Customers with a metric label of their own.
+/// Maximum number of customers with a metric label of their own.
 const MAX_CUSTOMER_LABELS: usize = 100;
 
-/// Living boxes that are told of a new release at once.
+/// Number of live boxes to which a new release is announced immediately.
 const RELEASE_FANOUT: usize = 3;
 
 // ----------------------------------------------------------------------------
 // Messages to the control thread
 
-/// From a traffic thread.
+/// A request from a traffic thread.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub struct Traffic(pub ControlRequest);
 
-/// From another box.
+/// A message from another box.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct Inbound(BoxId, Envelope);
 
-/// A link to another box broke.
+/// The connection to another box was lost.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct ConnectionLost(BoxId);
@@ -85,12 +86,12 @@
 #[rtype(result = "()")]
 pub struct Stop;
 
-/// Operators ask for the box's state.
+/// Requests the status of the box.
 #[derive(Message)]
 #[rtype(result = "Box<Status>")]
 pub struct GetStatus;
 
-/// Operators ask what would happen to a request.
+/// Requests an explanation of how a request would be handled.
 #[derive(Message)]
 #[rtype(result = "Result<Explanation, String>")]
 pub struct GetExplanation {
@@ -104,22 +105,24 @@
 
 // ----------------------------------------------------------------------------
 
-/// What the platform is being asked.
+/// The state of the calls to the platform.
 #[derive(Debug, Default)]
 struct PlatformState {
-    /// A manifest is being read or watched for.
+    /// True while a manifest is being read or watched.
     reading_manifest: bool,
-    /// This box is one that holds the watch.
+    /// True if this box is a watcher.
     watcher: bool,
-    /// The list is being read.
+    /// True while the membership list is being read.
     reading_members: bool,
-    /// Parts are being fetched.
+    /// True while parts are being fetched.
     fetching_parts: bool,
-    /// The manifest's revision at the service.
+    /// The manifest's revision at the configuration service.
     revision: u64,
-    /// Not before this time.
+    /// Earliest time of the next call.
     not_before: Time,
+    /// Earliest time of the next read of the membership list.
     next_member_read: Time,
+    /// Back-off after the next failure.
     backoff_ms: u64,
 }
 
@@ -135,63 +138,63 @@
     detector: FailureDetector,
     releases: ReleaseSync,
     key: Key,
-    /// Links to other boxes, each with the address that it was made for.
+    /// Links to other boxes, each with the address to which it was opened.
     links: HashMap<BoxId, (SocketAddr, Link<Envelope>)>,
     listener: Option<Listener<Envelope>>,
-    /// Traffic's wishes that wait for an answer, by the broker's number.
+    /// Pending lease requests by the broker's number: the traffic thread's number and where to send the result.
     pending: HashMap<u64, (u64, oneshot::Sender<Result<LeaseGrant, Refusal>>)>,
-    /// The broker's number by traffic's, for wishes and for leases.
+    /// The broker's number by the traffic thread's, for pending requests and for leases.
     lease_ids: HashMap<u64, u64>,
-    /// How to tell traffic that a lease is recalled, by the broker's number.
+    /// Senders that signal a recalled lease to its traffic thread, by the broker's number.
     recalls: HashMap<u64, oneshot::Sender<()>>,
     admitted: HashMap<u64, CustomerId>,
     claims: HashMap<u64, (u64, oneshot::Sender<Verdict>)>,
-    /// The broker's number by traffic's, for claims.
+    /// The broker's number by the traffic thread's, for claims.
     claim_ids: HashMap<u64, u64>,
     platform: PlatformState,
     call_budget: CallBudget,
     last_load_poll: Time,
     last_tick: Time,
     started_at: Time,
-    /// When this box started or last woke from a pause.
+    /// When this box started or last resumed from a pause.
     resumed_at: Time,
     is_current: bool,
     received_from_peer: bool,
-    /// The newest release that a peer named since `began`.
+    /// The newest release that a peer announced since `resumed_at`.
     newest_seen: Option<ReleaseId>,
     was_ready: bool,
     sent_messages: u64,
     violations: u64,
 }
 
-/// What [`Control`] is made from; may cross threads.
+/// The parts from which [`Control`] is constructed; can be sent to another thread.
 pub struct Parts {
     /// The box's settings.
     pub settings: Arc<Settings>,
-    /// The clock that counts through a freeze.
+    /// A clock that also advances while the process is suspended.
     pub clock: Arc<dyn Clock>,
-    /// What traffic threads see.
+    /// The state in force, read by the traffic threads.
     pub snapshot: SharedSnapshot,
-    /// Requests now in this box.
+    /// Number of requests now in this box.
     pub running: Arc<AtomicUsize>,
     /// The bound socket for other boxes.
     pub boxes: std::net::TcpListener,
 }
 
-fn unix() -> Duration {
+fn unix_time() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
 impl Control {
-    /// Makes the control state and begins to listen for other boxes. To be called on its own thread.
+    /// Creates the control state and starts listening for other boxes. Must be called on the control thread.
     #[must_use]
     pub fn start_in_context(parts: Parts, context: &mut Context<Self>) -> Self {
         let Parts { settings, clock, snapshot, running, boxes } = parts;
         let now = Time(clock.now());
         let me = settings.me.clone();
-        let seconds = unix().as_secs();
-        // Numbers of an earlier life of this box are lower, at up to 4,096 a second.
-        let first = (seconds % (1 << 20)) << 12;
+        let seconds = unix_time().as_secs();
+        // Numbers of an earlier process of this box are lower as long as it used at most 4,096 per second.
+        let first_number = (seconds % (1 << 20)) << 12;
         let detector = FailureDetector::new(me.clone(), &settings.peers, seconds as u32, ProbeTiming::default(), now);
         let key = Key::new(&settings.link.key);
         let address = context.address();
@@ -201,7 +204,7 @@
             actix_rt::spawn(listener.clone().run(socket));
         }
         Self {
-            broker: Broker::new(me.id(), &me.hall, settings.way, first, now),
+            broker: Broker::new(me.id(), &me.hall, settings.way, first_number, now),
             source: Rc::new(feed::HttpSource::new(settings.config, settings.members)),
             load_probe: Rc::new(upstream::HttpClient::default()),
             call_budget: CallBudget::new(PLATFORM_CALLS_PER_S, PLATFORM_CALL_BURST, now),
@@ -256,7 +259,7 @@
     fn tick(&mut self, context: &mut Context<Self>) {
         let now = self.now();
         if now.since(self.last_tick) >= policy::PAUSE_THRESHOLD_MS {
-            // What others did meanwhile is unknown: listen before taking calls again.
+            // The peers' state may have changed during the pause: wait for them before accepting requests again.
             self.resumed_at = now;
             self.is_current = false;
             self.received_from_peer = false;
@@ -276,19 +279,19 @@
         }
     }
 
-    /// Takes calls once a release is here that isn't older than that of any peer that was heard.
+    /// Makes the box ready once its release is not older than that of any peer that it has received from.
     fn update_readiness(&mut self, now: Time) {
         let waited = now.since(self.resumed_at);
-        let asked = !self.detector.has_uncontacted_peers() || waited >= MAX_PEER_CONTACT_WAIT_MS;
+        let contacted = !self.detector.has_uncontacted_peers() || waited >= MAX_PEER_CONTACT_WAIT_MS;
         let newest = self.releases.order() >= self.newest_seen;
-        let refused = self.newest_seen.is_some_and(|best| self.releases.has_refused(best));
-        // Until then this box can't prove of any request key that it is new.
-        let remembers = now.since(self.started_at) >= policy::MAX_CLOCK_SKEW_MS + KEY_AGE_MARGIN_MS;
-        let current = self.releases.order().is_some() && (newest || refused);
+        let refused = self.newest_seen.is_some_and(|newest| self.releases.has_refused(newest));
+        // Until then this box can't tell whether a request key is new.
+        let can_check_keys = now.since(self.started_at) >= policy::MAX_CLOCK_SKEW_MS + KEY_AGE_MARGIN_MS;
+        let has_release = self.releases.order().is_some() && (newest || refused);
         if !self.is_current
-            && remembers
-            && current
-            && asked
+            && can_check_keys
+            && has_release
+            && contacted
             && (self.received_from_peer || waited >= PEER_RELEASE_WAIT_MS)
         {
             self.is_current = true;
--- a/crates/cleatshelf/src/control/actions.rs
+++ b/crates/cleatshelf/src/control/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions want.
+//! Carries out the actions of the decision logic.
 
 use super::*;
 
@@ -8,8 +8,8 @@
         let (key, me) = (&self.key, &self.settings.me.name);
         let open = || {
             let control = context.address();
-            let broke = Box::new(move || control.do_send(ConnectionLost(to)));
-            (peer.address, Link::open(key, me, &peer.name, peer.address, broke))
+            let on_lost = Box::new(move || control.do_send(ConnectionLost(to)));
+            (peer.address, Link::open(key, me, &peer.name, peer.address, on_lost))
         };
         let link = self.links.entry(to).or_insert_with(open);
         if link.0 != peer.address {
@@ -27,7 +27,7 @@
                 Action::Refused(id, refusal) => self.on_refused(id, refusal),
                 Action::Recalled(id) => {
                     if let Some(recall) = self.recalls.remove(&id) {
-                        // Traffic may have ended the request in this very moment; then nothing is left to recall.
+                        // An error means that the request has just ended, so there is nothing left to recall.
                         let _ = recall.send(());
                     }
                 }
@@ -40,7 +40,7 @@
     fn on_granted(&mut self, id: u64, server: ServerId, expires: Time, context: &mut Context<Self>) {
         let Some((number, reply)) = self.pending.remove(&id) else { return };
         let Some(upstream) = self.broker.layout().server(server).cloned() else {
-            // Another release knows this server, ours doesn't yet: come back in a moment.
+            // The server is known to a newer release that this box doesn't have yet: the caller should retry soon.
             let refusal = Refusal { reason: policy::Reason::NoServer, retry_ms: 1_000 };
             let _ = reply.send(Err(refusal));
             self.end_lease(number, None, context);
@@ -48,9 +48,9 @@
         };
         let (recall, recalled) = oneshot::channel();
         self.recalls.insert(id, recall);
-        let offer = LeaseGrant { server: upstream, permit: Permit::new(expires), recalled };
-        if reply.send(Ok(offer)).is_err() {
-            // The caller went away; traffic's word for that is on its way and finds nothing.
+        let grant = LeaseGrant { server: upstream, permit: Permit::new(expires), recalled };
+        if reply.send(Ok(grant)).is_err() {
+            // The caller has gone away; the traffic thread's `Abandon` is on its way and will find no lease.
             self.end_lease(number, None, context);
         }
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Gives back or abandons what traffic knows by `number`.
+    /// Returns or abandons the lease that the traffic thread knows by `number`.
     pub(super) fn end_lease(&mut self, number: u64, report: Option<policy::Report>, context: &mut Context<Self>) {
         let Some(id) = self.lease_ids.remove(&number) else { return };
         self.pending.remove(&id);
@@ -128,15 +128,15 @@
 
     fn adopt_release(&mut self, release: &catalog::Release, catalog: catalog::Catalog, context: &mut Context<Self>) {
         let number = release.manifest.number;
-        let was = self.snapshot.read().map_or(0, |s| s.release);
-        if number < was {
-            self.log_event(Event::ReleaseOrderBroken, &format!("from={was} to={number}"));
+        let current = self.snapshot.read().map_or(0, |s| s.release);
+        if number < current {
+            self.log_event(Event::ReleaseOrderBroken, &format!("from={current} to={number}"));
             return;
         }
         metrics::gauge!("cleatshelf_release_number").set(number as f64);
         let layout = Rc::new(Layout::from_catalog(&catalog));
-        let mut series = LabelLimiter::new(MAX_CUSTOMER_LABELS);
-        let labels = catalog.customers.iter().map(|c| series.label(&c.name)).collect();
+        let mut limiter = LabelLimiter::new(MAX_CUSTOMER_LABELS);
+        let labels = catalog.customers.iter().map(|c| limiter.label(&c.name)).collect();
         self.update_snapshot(|snapshot| {
             snapshot.catalog = catalog;
             snapshot.labels = labels;
@@ -146,7 +146,7 @@
         self.run_policy_actions(actions, context);
         let order = self.releases.order();
         for to in self.detector.random_alive(RELEASE_FANOUT) {
-            // An answer's form carries the release without asking for anything back.
+            // An `Ack` carries the release without requesting a reply.
             let message = fleet::Message::Ack { number: 0, order, changes: Vec::new() };
             self.send(to, &Envelope::Fleet(message), context);
         }
--- a/crates/cleatshelf/src/control/actor.rs
+++ b/crates/cleatshelf/src/control/actor.rs
@@ -1,4 +1,4 @@
-//! What the control thread does with each message that comes to it.
+//! Message handlers of the control actor.
 
 use super::*;
 
@@ -20,12 +20,12 @@
         let now = self.now();
         match request {
             ControlRequest::Admit { number, customer, reply } => {
-                let entered = self.broker.admit_request(customer, now);
-                if entered {
+                let admitted = self.broker.admit_request(customer, now);
+                if admitted {
                     self.admitted.insert(number, customer);
                 }
-                // If the caller is gone, its `Finish` follows.
-                let _ = reply.send(entered);
+                // If the caller has gone away, its `Finish` follows.
+                let _ = reply.send(admitted);
             }
             ControlRequest::Finish { number, tokens } => {
                 if let Some(customer) = self.admitted.remove(&number) {
@@ -97,7 +97,7 @@
 impl Handler<GetExplanation> for Control {
     type Result = Result<Explanation, String>;
 
-    fn handle(&mut self, ask: GetExplanation, _: &mut Self::Context) -> Self::Result {
-        self.explain(&ask)
+    fn handle(&mut self, query: GetExplanation, _: &mut Self::Context) -> Self::Result {
+        self.explain(&query)
     }
 }
--- a/crates/cleatshelf/src/control/platform_sync.rs
+++ b/crates/cleatshelf/src/control/platform_sync.rs
@@ -1,4 +1,4 @@
-//! Reads the platform: manifest, parts, membership list.
+//! Reads the manifest, the parts and the membership list from the platform.
 
 use super::*;
 
@@ -11,9 +11,9 @@
 
     pub(super) fn poll_platform(&mut self, context: &mut Context<Self>) {
         let now = self.now();
-        let young = now.since(self.resumed_at) < PEER_RELEASE_WAIT_MS / 2 && !self.settings.peers.is_empty();
-        if young && self.releases.order().is_none() {
-            // Peers may have the whole release at hand; the platform would have to be asked part by part.
+        let just_started = now.since(self.resumed_at) < PEER_RELEASE_WAIT_MS / 2 && !self.settings.peers.is_empty();
+        if just_started && self.releases.order().is_none() {
+            // Peers may send the whole release at once, whereas the platform needs a call for each part.
             return;
         }
         if now < self.platform.not_before {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The boxes changed, and with them perhaps who holds the watch.
+    /// Updates the watch role after a change of the known boxes.
     pub(super) fn update_watch_role(&mut self) {
         let watcher = self.is_watcher();
         if watcher == self.platform.watcher {
@@ -38,7 +38,7 @@
         self.platform.watcher = watcher;
         telemetry::emit(Event::WatchRole, format_args!("watcher={watcher}"));
         if watcher {
-            // A box without the watch reads seldom; whoever takes the watch over reads at once.
+            // A box that doesn't watch reads rarely; a new watcher reads immediately.
             self.platform.not_before = Time(0);
         }
     }
@@ -69,8 +69,8 @@
                 self.on_platform_success();
                 value
             }
-            Err(trouble) => {
-                self.on_platform_error(&trouble);
+            Err(error) => {
+                self.on_platform_error(&error);
                 return;
             }
         };
@@ -80,7 +80,7 @@
             self.platform.not_before = now.after(jitter(MAX_BACKOFF_MS / 8));
         }
         let Some(value) = value else { return };
-        // A replica behind the others may show an older revision; watching from it would spin.
+        // A lagging replica may return an older revision; watching from that one would return at once, in a loop.
         self.platform.revision = self.platform.revision.max(value.revision);
         if let Ok(text) = std::str::from_utf8(&value.bytes) {
             let actions = self.releases.on_manifest_offered(text, now);
@@ -95,13 +95,13 @@
         self.platform.backoff_ms = MIN_BACKOFF_MS;
     }
 
-    fn on_platform_error(&mut self, trouble: &SourceError) {
+    fn on_platform_error(&mut self, error: &SourceError) {
         if self.platform.backoff_ms == MIN_BACKOFF_MS {
-            telemetry::emit(Event::PlatformUnreachable, format_args!("why=\"{trouble}\""));
+            telemetry::emit(Event::PlatformUnreachable, format_args!("why=\"{error}\""));
         }
         self.platform.not_before = self.now().after(jitter(self.platform.backoff_ms));
         self.platform.backoff_ms = (self.platform.backoff_ms * 2).min(MAX_BACKOFF_MS);
-        // What was watched may be gone; read it anew.
+        // The watched revision may no longer exist, so the manifest is read again.
         self.platform.revision = 0;
     }
 
@@ -125,7 +125,7 @@
                 let actions = self.detector.on_member_list(&list.boxes, &list.upstreams, list.revision, now);
                 self.run_fleet_actions(actions, context);
             }
-            Err(trouble) => self.on_platform_error(&trouble),
+            Err(error) => self.on_platform_error(&error),
         }
     }
 
@@ -148,11 +148,11 @@
         };
         context.spawn(ask.into_actor(self).map(|parts, this, context| {
             this.platform.fetching_parts = false;
-            let some = !parts.is_empty();
+            let found_any = !parts.is_empty();
             let actions = this.releases.on_parts_fetched(&parts, this.now());
             this.run_fleet_actions(actions, context);
-            if !some {
-                // Parts aren't there (yet): read the manifest again in a while.
+            if !found_any {
+                // The parts aren't available (yet): read the manifest again later.
                 this.platform.revision = 0;
                 this.platform.not_before = this.now().after(jitter(MIN_BACKOFF_MS * 2));
             }
--- a/crates/cleatshelf/src/control/reports.rs
+++ b/crates/cleatshelf/src/control/reports.rs
@@ -1,4 +1,4 @@
-//! Tells operators what the box does.
+//! Status reports and explanations for operators.
 
 use super::*;
 
@@ -42,30 +42,32 @@
         }
     }
 
-    pub(super) fn explain(&self, ask: &GetExplanation) -> Result<Explanation, String> {
+    pub(super) fn explain(&self, query: &GetExplanation) -> Result<Explanation, String> {
         let snapshot = self.snapshot.read().map(|s| Arc::clone(&s)).map_err(|e| e.to_string())?;
         let customers = &snapshot.catalog.customers;
-        let customer = customers.iter().find(|c| c.name == ask.customer);
-        let customer = customer.ok_or_else(|| format!("there is no customer '{}'", ask.customer))?;
-        let name = ask.class.clone().unwrap_or_else(|| customer.default_class.clone());
-        let index = snapshot.catalog.class_index(&name).ok_or_else(|| format!("there is no class '{name}'"))?;
+        let customer = customers.iter().find(|c| c.name == query.customer);
+        let customer = customer.ok_or_else(|| format!("unknown customer '{}'", query.customer))?;
+        let name = query.class.clone().unwrap_or_else(|| customer.default_class.clone());
+        let index = snapshot.catalog.class_index(&name).ok_or_else(|| format!("unknown class '{name}'"))?;
         let class = &snapshot.catalog.classes[index];
         if !customer.classes.contains(&name) {
             return Err(format!(
-                "class '{name}' isn't allowed to customer '{}': refused as class_not_allowed",
-                ask.customer
+                "class '{name}' is not allowed for customer '{}': refused as class_not_allowed",
+                query.customer
             ));
         }
-        let route = self.route_rows(&ask.serves, ClassId::of(&name));
+        let route = self.route_rows(&query.serves, ClassId::of(&name));
         let verdict = match route.first() {
-            None => format!("refused as not_found: no upstream serves '{}'", ask.serves),
-            Some(row) => match row.wait_ms {
-                Some(wait) if wait > class.first_token_ms => {
-                    format!("refused as overloaded: {wait} ms of its own class and those above wait before it")
+            None => format!("refused as not_found: no upstream serves '{}'", query.serves),
+            Some(row) => {
+                match row.wait_ms {
+                    Some(wait) if wait > class.first_token_ms => {
+                        format!("refused as overloaded: requests of its class and higher classes ahead of it take {wait} ms")
+                    }
+                    Some(wait) => format!("queued at {}, expected wait {wait} ms", row.owner),
+                    None => format!("requested from {}; run this command there to see its queue", row.owner),
                 }
-                Some(wait) => format!("queued at {}, about {wait} ms before its turn", row.owner),
-                None => format!("asked of {}; run this command there to see its queue", row.owner),
-            },
+            }
         };
         let (rank, first_token_ms) = (class.rank, class.first_token_ms);
         Ok(Explanation { class: name, rank, first_token_ms, route, verdict })
--- a/crates/cleatshelf/src/router.rs
+++ b/crates/cleatshelf/src/router.rs
@@ -4,11 +4,11 @@
 //! force; its traffic threads run `relay`. The `serve` command runs a different kind of box, with the
 //! product's own interface and other files.
 
-mod advice;
+mod cluster_state;
 mod codec;
-mod follow;
-mod knowledge;
+mod follower;
 mod operators;
+mod owner_service;
 mod peering;
 mod reload;
 mod serve;
--- a/crates/cleatshelf/src/router/knowledge.rs
+++ b/crates/cleatshelf/src/router/cluster_state.rs
@@ -14,16 +14,16 @@
 
 /// How long a server stays in use whose entry went while the publisher was away. The platform has those back that live
 /// within about 2 s of its return; on the strictest of the users' sites a server that has left must get nothing after 2 s.
-const LAPSED_MOST: Millis = 1_500;
+const LAPSE_GRACE_MS: Millis = 1_500;
 
 /// How long an evacuation holds that the publisher, back from an older copy, doesn't have: operators write again what was lost as
 /// soon as the publisher takes it. Given up too early, an evacuated hall gets requests; too late, one that was given back stands
 /// idle.
-const HELD_MOST: Millis = 10_000;
+const EVACUATION_HOLD_TIMEOUT_MS: Millis = 10_000;
 
 /// How long a server isn't used while others are that only an older copy of the list brings back: its entry ends after three
 /// heartbeats that are missing, each 1.2 s on the users' deployments.
-const DOUBT: Millis = 4_000;
+const UNCONFIRMED_DELAY_MS: Millis = 4_000;
 
 /// Where news came from, for the log.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
 }
 
 /// What this box learned and others may not know yet.
-pub(super) enum News {
+pub(super) enum Update {
     Table,
     /// A first list of servers: heartbeats say that it is there.
     Directory,
@@ -47,12 +47,12 @@
 }
 
 /// The newest configuration and servers that reached this box.
-pub(super) struct Knowledge {
+pub(super) struct ClusterState {
     shared: Arc<Shared>,
     publisher: Rc<dyn Publisher>,
     state: RefCell<State>,
     /// Told whenever there is news.
-    pub(super) told: Notify,
+    pub(super) updated: Notify,
 }
 
 #[derive(Default)]
@@ -66,31 +66,31 @@
     excerpt: Option<(Digests, Rc<Vec<u8>>)>,
     evacuations: Evacuations,
     /// When some of them began to be held against the publisher's word; none while none are.
-    held: Option<Millis>,
+    held_since: Option<Millis>,
     /// Era of the publisher up to which nothing is held any more.
-    released: u64,
+    released_era: u64,
     /// When each of the lapsed servers was noticed.
-    lapsed: HashMap<String, Millis>,
+    lapsed_since: HashMap<String, Millis>,
     /// What others have not been told yet, in order.
-    news: Vec<News>,
+    updates: Vec<Update>,
     /// When the publisher or a peer last said something, even if nothing new.
-    heard: Option<Millis>,
+    last_contact: Option<Millis>,
 }
 
 impl State {
     /// Notes since when servers are lapsed.
-    fn note_lapses(&mut self, now: Millis) {
-        let lapsed = &self.directory.in_grace;
-        self.lapsed.retain(|id, _| lapsed.contains(id));
-        for id in lapsed {
-            self.lapsed.entry(id.clone()).or_insert(now);
+    fn record_lapses(&mut self, now: Millis) {
+        let in_grace = &self.directory.in_grace;
+        self.lapsed_since.retain(|id, _| in_grace.contains(id));
+        for id in in_grace {
+            self.lapsed_since.entry(id.clone()).or_insert(now);
         }
     }
 }
 
-impl Knowledge {
+impl ClusterState {
     pub(super) fn new(shared: Arc<Shared>, publisher: Rc<dyn Publisher>) -> Self {
-        Self { shared, publisher, state: RefCell::default(), told: Notify::new() }
+        Self { shared, publisher, state: RefCell::default(), updated: Notify::new() }
     }
 
     /// Takes a configuration; an older one than that in force is ignored. False when it can't be read, and the former
@@ -115,19 +115,19 @@
         state.table = Some((Arc::new(table), Rc::new(compress(bytes))));
         state.table_until = Position::NONE;
         self.put_in_force(&state);
-        self.tell(&mut state, News::Table);
+        self.queue_update(&mut state, Update::Table);
         true
     }
 
     /// The configuration in force was still the newest at this position of the publisher.
-    pub(super) fn table_stands(&self, position: Position) {
+    pub(super) fn confirm_table(&self, position: Position) {
         let mut state = self.state.borrow_mut();
         state.table_until = state.table_until.max(position);
     }
 
     /// Takes a configuration as another box packed it.
-    pub(super) fn offer_packed(&self, packed: &[u8]) {
-        match decompress(packed) {
+    pub(super) fn offer_compressed_table(&self, compressed: &[u8]) {
+        match decompress(compressed) {
             Ok(bytes) => drop(self.offer_table(&bytes, Origin::Peer)),
             Err(why) => telemetry::emit(Event::ReleaseRefused, format_args!("from=Peer why=\"{why}\"")),
         }
@@ -137,17 +137,17 @@
     /// held until the operator has written again.
     pub(super) fn offer_evacuations(&self, mut evacuations: Evacuations, origin: Origin) {
         let mut state = self.state.borrow_mut();
-        if evacuations.position.era <= state.released {
+        if evacuations.position.era <= state.released_era {
             // This box has waited long enough, whatever others do.
             evacuations.held.clear();
         }
         let former = state.evacuations.position;
         let changed = state.evacuations.merge(evacuations);
         if state.evacuations.position.restored_since(former) {
-            let held = list(state.evacuations.held.iter().cloned());
+            let held = join_names(state.evacuations.held.iter().cloned());
             let held = format!("held={held}");
-            let heard = state.heard;
-            self.log_restored(Subject::Orders, (former, heard), state.evacuations.position, &held);
+            let last_contact = state.last_contact;
+            self.log_restored(Subject::Orders, (former, last_contact), state.evacuations.position, &held);
         }
         self.evacuations_changed(&mut state, changed, origin);
     }
@@ -160,35 +160,35 @@
     }
 
     fn evacuations_changed(&self, state: &mut State, changed: bool, origin: Origin) {
-        let holds = !state.evacuations.held.is_empty();
-        state.held = if holds { state.held.or(Some(self.shared.now())) } else { None };
+        let has_held = !state.evacuations.held.is_empty();
+        state.held_since = if has_held { state.held_since.or(Some(self.shared.now())) } else { None };
         if !changed {
             return;
         }
         let position = state.evacuations.position;
-        let halls = list(state.evacuations.evacuated_halls().into_iter());
+        let halls = join_names(state.evacuations.evacuated_halls().into_iter());
         telemetry::emit(Event::HallsEvacuated, format_args!("position={position} halls={halls} from={origin:?}"));
         self.put_in_force(state);
         // The next heartbeat carries them, and is due at once.
-        self.told.notify_one();
+        self.updated.notify_one();
     }
 
     /// Gives up what is held against the publisher's word for too long.
-    fn release(&self) {
+    fn release_held_evacuations(&self) {
         let mut state = self.state.borrow_mut();
         let now = self.shared.now();
-        if state.held.is_none_or(|since| now < since + HELD_MOST) {
+        if state.held_since.is_none_or(|since| now < since + EVACUATION_HOLD_TIMEOUT_MS) {
             return;
         }
-        state.released = state.evacuations.position.era;
+        state.released_era = state.evacuations.position.era;
         let changed = state.evacuations.drop_held();
         self.evacuations_changed(&mut state, changed, Origin::Lapse);
     }
 
     /// Logs that the publisher came back from an older copy.
     fn log_restored(&self, subject: Subject, known: (Position, Option<Millis>), to: Position, kept: &str) {
-        let (from, heard) = known;
-        let age_ms = heard.map_or(0, |at| self.shared.now().saturating_sub(at));
+        let (from, last_contact) = known;
+        let age_ms = last_contact.map_or(0, |at| self.shared.now().saturating_sub(at));
         telemetry::emit(
             Event::StoreRestored,
             format_args!("subject={subject:?} from={from} to={to} heard_ms_ago={age_ms} {kept}"),
@@ -204,32 +204,32 @@
         }
         let restored = directory.position.restored_since(state.directory.position);
         // What this box has let go, or never had, doesn't come back for having lapsed.
-        let lapsed: Vec<String> = directory.in_grace.iter().cloned().collect();
-        for id in lapsed.iter().filter(|id| !state.directory.servers.contains_key(*id)) {
+        let in_grace: Vec<String> = directory.in_grace.iter().cloned().collect();
+        for id in in_grace.iter().filter(|id| !state.directory.servers.contains_key(*id)) {
             directory.expire(id);
         }
         if was_away || restored {
             directory.retain_missing(&state.directory);
         }
         if restored {
-            self.doubt(&directory, &state);
+            self.mark_unconfirmed(&directory, &state);
         }
         let changed = directory.servers != state.directory.servers;
         let former = std::mem::replace(&mut state.directory, directory);
         state.excerpt = None;
-        state.note_lapses(self.shared.now());
+        state.record_lapses(self.shared.now());
         if !changed && former.position.is_known() {
             return;
         }
         self.servers_changed(&state, origin);
         // Of another era others ask for all that differs.
-        let news = if restored || !former.position.is_known() {
-            News::Directory
+        let update = if restored || !former.position.is_known() {
+            Update::Directory
         } else {
             let (since, until) = (former.position, state.directory.position);
-            News::Changes { since, until, changes: state.directory.changes_since(&former) }
+            Update::Changes { since, until, changes: state.directory.changes_since(&former) }
         };
-        self.tell(&mut state, news);
+        self.queue_update(&mut state, update);
     }
 
     /// Takes some of the servers, to serve with until the whole list is known.
@@ -263,44 +263,48 @@
     }
 
     /// Lives that only an older copy of the list has may have ended: they wait until their entries have had the time to go.
-    fn doubt(&self, copy: &Directory, state: &State) {
+    fn mark_unconfirmed(&self, copy: &Directory, state: &State) {
         let former = &state.directory;
-        let doubted = copy.new_instances(former);
-        let kept = format!("lapsed={} doubted={}", list(copy.in_grace.iter().cloned()), list(doubted.iter().cloned()));
-        self.log_restored(Subject::Directory, (former.position, state.heard), copy.position, &kept);
-        self.shared.placement().mark_unconfirmed(&doubted, self.shared.now() + DOUBT);
+        let unconfirmed = copy.new_instances(former);
+        let kept = format!(
+            "lapsed={} doubted={}",
+            join_names(copy.in_grace.iter().cloned()),
+            join_names(unconfirmed.iter().cloned())
+        );
+        self.log_restored(Subject::Directory, (former.position, state.last_contact), copy.position, &kept);
+        self.shared.placement().mark_unconfirmed(&unconfirmed, self.shared.now() + UNCONFIRMED_DELAY_MS);
     }
 
     /// What the list of servers with these digests lacks of this box's, packed; none where this box's isn't newer.
     /// Many boxes that have just started ask the same, and get the same.
-    pub(super) fn excerpt(&self, theirs: &Digests) -> Option<Rc<Vec<u8>>> {
+    pub(super) fn excerpt(&self, digests: &Digests) -> Option<Rc<Vec<u8>>> {
         let mut state = self.state.borrow_mut();
-        if let Some((_, packed)) = state.excerpt.as_ref().filter(|(digests, _)| digests == theirs) {
-            return Some(Rc::clone(packed));
+        if let Some((_, compressed)) = state.excerpt.as_ref().filter(|(known, _)| known == digests) {
+            return Some(Rc::clone(compressed));
         }
-        let packed = Rc::new(encode(&state.directory.excerpt(theirs)?));
-        state.excerpt = Some((theirs.clone(), Rc::clone(&packed)));
-        Some(packed)
+        let compressed = Rc::new(encode(&state.directory.excerpt(digests)?));
+        state.excerpt = Some((digests.clone(), Rc::clone(&compressed)));
+        Some(compressed)
     }
 
     /// Takes what became of servers, as another box packed it.
-    pub(super) fn offer_packed_changes(&self, packed: &[u8], until: Position) {
-        match decode(packed) {
+    pub(super) fn offer_compressed_changes(&self, compressed: &[u8], until: Position) {
+        match decode(compressed) {
             Ok(changes) => self.offer_changes(changes, until, Origin::Peer),
             Err(why) => telemetry::emit(Event::ReleaseRefused, format_args!("from=Peer why=\"{why}\"")),
         }
     }
 
     /// Takes what this box's list of servers lacked, as another box packed it.
-    pub(super) fn offer_excerpt(&self, packed: &[u8]) {
-        match decode::<Excerpt>(packed) {
+    pub(super) fn offer_excerpt(&self, compressed: &[u8]) {
+        match decode::<Excerpt>(compressed) {
             Ok(excerpt) => {
                 let known = self.directory();
                 let known = if known.position.is_known() { known } else { Directory::default() };
-                let list = known.with_excerpt(excerpt);
+                let directory = known.with_excerpt(excerpt);
                 // Made for what this box has no more: the next heartbeat leads to another question.
-                let Some(list) = list else { return };
-                self.offer_directory(list, Origin::Peer, false);
+                let Some(directory) = directory else { return };
+                self.offer_directory(directory, Origin::Peer, false);
             }
             Err(why) => telemetry::emit(Event::ReleaseRefused, format_args!("from=Peer why=\"{why}\"")),
         }
@@ -314,19 +318,19 @@
             // On top of another era's list they would be another list.
             return;
         }
-        self.trust(&changes);
+        self.confirm_instances(&changes);
         let changes = state.directory.changes_to_forward(changes);
         let changed = state.directory.apply(changes.clone(), until);
         state.excerpt = None;
-        state.note_lapses(self.shared.now());
+        state.record_lapses(self.shared.now());
         if changed {
             self.servers_changed(&state, origin);
         }
-        self.tell(&mut state, News::Changes { since, until, changes });
+        self.queue_update(&mut state, Update::Changes { since, until, changes });
     }
 
     /// A server that writes its entry lives.
-    fn trust(&self, changes: &[Change]) {
+    fn confirm_instances(&self, changes: &[Change]) {
         let mut placement = self.shared.placement();
         for change in changes {
             if let Change::Present(server) = change {
@@ -337,30 +341,30 @@
 
     /// Takes servers for gone that lapsed and did not come back in time, and gives up what was held for too long.
     pub(super) fn expire(&self) {
-        self.release();
+        self.release_held_evacuations();
         let now = self.shared.now();
         let mut state = self.state.borrow_mut();
-        let over: Vec<String> =
-            state.lapsed.iter().filter(|(_, at)| now >= *at + LAPSED_MOST).map(|(id, _)| id.clone()).collect();
-        if over.is_empty() {
+        let expired: Vec<String> =
+            state.lapsed_since.iter().filter(|(_, at)| now >= *at + LAPSE_GRACE_MS).map(|(id, _)| id.clone()).collect();
+        if expired.is_empty() {
             return;
         }
-        for id in &over {
+        for id in &expired {
             state.directory.expire(id);
         }
         state.excerpt = None;
-        state.note_lapses(self.shared.now());
+        state.record_lapses(self.shared.now());
         self.servers_changed(&state, Origin::Lapse);
     }
 
-    fn tell(&self, state: &mut State, news: News) {
-        state.news.push(news);
-        self.told.notify_one();
+    fn queue_update(&self, state: &mut State, update: Update) {
+        state.updates.push(update);
+        self.updated.notify_one();
     }
 
     /// What others have not been told yet; afterwards it counts as told.
-    pub(super) fn take_news(&self) -> Vec<News> {
-        std::mem::take(&mut self.state.borrow_mut().news)
+    pub(super) fn take_updates(&self) -> Vec<Update> {
+        std::mem::take(&mut self.state.borrow_mut().updates)
     }
 
     fn servers_changed(&self, state: &State, origin: Origin) {
@@ -379,17 +383,17 @@
     }
 
     /// Notes that the publisher or a watcher was heard.
-    pub(super) fn heard(&self) {
-        self.state.borrow_mut().heard = Some(self.shared.now());
+    pub(super) fn record_contact(&self) {
+        self.state.borrow_mut().last_contact = Some(self.shared.now());
     }
 
     /// How long ago the publisher or a watcher was last heard; zero before.
     pub(super) fn age(&self) -> Duration {
-        self.state.borrow().heard.map_or(Duration::ZERO, |at| Duration::from_millis(self.shared.now() - at))
+        self.state.borrow().last_contact.map_or(Duration::ZERO, |at| Duration::from_millis(self.shared.now() - at))
     }
 
     /// How new this box's knowledge is.
-    pub(super) fn holding(&self) -> KnownVersions {
+    pub(super) fn known_versions(&self) -> KnownVersions {
         let state = self.state.borrow();
         let table = state.table.as_ref().map_or(0, |(table, _)| table.version);
         let evacuations = state.evacuations.clone();
@@ -400,12 +404,12 @@
     }
 
     /// The configuration in force as it was published, packed.
-    pub(super) fn packed(&self) -> Option<Rc<Vec<u8>>> {
+    pub(super) fn compressed_table(&self) -> Option<Rc<Vec<u8>>> {
         self.state.borrow().table.as_ref().map(|(_, bytes)| Rc::clone(bytes))
     }
 
     /// How many servers are known.
-    pub(super) fn servers(&self) -> usize {
+    pub(super) fn server_count(&self) -> usize {
         self.state.borrow().directory.servers.len()
     }
 
@@ -416,7 +420,7 @@
 }
 
 /// Names for the log, where a field holds no blanks.
-fn list(names: impl Iterator<Item = String>) -> String {
+fn join_names(names: impl Iterator<Item = String>) -> String {
     let names: Vec<String> = names.collect();
     if names.is_empty() {
         "-".to_owned()
--- a/crates/cleatshelf/src/router/operators.rs
+++ b/crates/cleatshelf/src/router/operators.rs
@@ -1,6 +1,6 @@
 //! The HTTP interface for operators: metrics, status and lifting of held requests.
 
-use super::knowledge::Knowledge;
+use super::cluster_state::ClusterState;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::service::service_fn;
@@ -21,7 +21,7 @@
 pub(super) struct Operators {
     pub(super) recorder: PrometheusRecorder,
     pub(super) shared: Arc<Shared>,
-    pub(super) knowledge: Rc<Knowledge>,
+    pub(super) cluster_state: Rc<ClusterState>,
     pub(super) logger: JsonLogger,
 }
 
@@ -71,12 +71,12 @@
     }
 
     fn metrics(&self) -> String {
-        let holding = self.knowledge.holding();
+        let holding = self.cluster_state.known_versions();
         metrics::gauge!("cleatshelf_configuration_version").set(holding.table as f64);
-        metrics::gauge!("cleatshelf_servers").set(self.knowledge.servers() as f64);
+        metrics::gauge!("cleatshelf_servers").set(self.cluster_state.server_count() as f64);
         metrics::gauge!("cleatshelf_servers_revision").set(holding.directory.revision as f64);
         metrics::gauge!("cleatshelf_store_era").set(holding.directory.era as f64);
-        metrics::gauge!("cleatshelf_view_age_seconds").set(self.knowledge.age().as_secs_f64());
+        metrics::gauge!("cleatshelf_view_age_seconds").set(self.cluster_state.age().as_secs_f64());
         metrics::gauge!("cleatshelf_requests_running").set(self.shared.running.load(Ordering::Relaxed) as f64);
         metrics::gauge!("cleatshelf_requests_held").set(self.shared.quarantine().held().count() as f64);
         metrics::gauge!("cleatshelf_log_lines_dropped").set(self.logger.dropped() as f64);
@@ -84,8 +84,8 @@
     }
 
     fn status(&self) -> String {
-        let holding = self.knowledge.holding();
-        let directory = self.knowledge.directory();
+        let holding = self.cluster_state.known_versions();
+        let directory = self.cluster_state.directory();
         let servers: Vec<_> = directory.servers.values().collect();
         let held: Vec<String> = self.shared.quarantine().held().map(|request| request.to_string()).collect();
         let resting = self.shared.placement().backing_off(self.shared.now());
@@ -97,7 +97,7 @@
             "stopping": self.shared.is_stopping(),
             "configuration": holding.table,
             "servers_position": holding.directory.to_string(),
-            "view_age_ms": self.knowledge.age().as_millis() as u64,
+            "view_age_ms": self.cluster_state.age().as_millis() as u64,
             "requests_held": held,
             "servers_leaving": self.shared.placement().leaving(),
             "servers_resting": resting,
--- a/crates/cleatshelf/src/router/peering.rs
+++ b/crates/cleatshelf/src/router/peering.rs
@@ -1,9 +1,9 @@
 //! Carries out what `peers` asks for: links to other boxes, and what they send.
 
-use super::advice::{self, Advice, To};
+use super::cluster_state::{ClusterState, Origin, Update};
 use super::codec::encode;
-use super::follow::Troubles;
-use super::knowledge::{Knowledge, News, Origin};
+use super::follower::PublisherHealth;
+use super::owner_service::{self, Destination, OwnerService};
 use peers::{Action, Message, Millis, Peers, WatchRole};
 use placement::{LimitUpdate, LivenessEvidence};
 use relay::Shared;
@@ -19,16 +19,17 @@
 use wire::{Key, Link, Listener};
 
 /// Pause between two looks at what is due.
-const TICK: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Pause between two looks at which servers are no longer listed: each looks at all of them.
-const FORGET_EVERY: Millis = 5_000;
+const CLEANUP_INTERVAL_MS: Millis = 5_000;
 
 /// What boxes send each other.
 #[derive(Serialize, Deserialize)]
 enum Envelope {
     Peers(Message),
-    Advice(advice::Message),
+    #[serde(rename = "Advice")]
+    Owners(owner_service::Message),
 }
 
 impl Envelope {
@@ -47,7 +48,7 @@
                 Message::Changes { .. } => "changes",
                 Message::Leave => "leave",
             },
-            Self::Advice(message) => message.kind(),
+            Self::Owners(message) => message.kind(),
         }
     }
 }
@@ -60,48 +61,48 @@
 /// The other boxes, as this one deals with them. Lives on the control thread.
 pub(super) struct Peering {
     shared: Arc<Shared>,
-    knowledge: Rc<Knowledge>,
-    troubles: Rc<Troubles>,
+    cluster_state: Rc<ClusterState>,
+    health: Rc<PublisherHealth>,
     me: SocketAddr,
     key: Key,
     peers: RefCell<Peers>,
     links: RefCell<HashMap<SocketAddr, Link<Envelope>>>,
-    watching: watch::Sender<WatchRole>,
-    advice: Arc<Advice>,
+    watch_role: watch::Sender<WatchRole>,
+    owner_service: Arc<OwnerService>,
     /// Which boxes, and whether they were settled, placement and advice were told of last.
-    taken: Cell<Option<(u64, bool)>>,
+    published_members: Cell<Option<(u64, bool)>>,
     /// When it was last looked at which servers are no longer listed.
-    forgot: Cell<Millis>,
+    last_cleanup: Cell<Millis>,
 }
 
 /// What a peering is made of.
-pub(super) struct Parts {
+pub(super) struct Dependencies {
     pub(super) shared: Arc<Shared>,
-    pub(super) knowledge: Rc<Knowledge>,
-    pub(super) troubles: Rc<Troubles>,
+    pub(super) cluster_state: Rc<ClusterState>,
+    pub(super) health: Rc<PublisherHealth>,
     pub(super) peers: Peers,
     /// Where this box listens for others; its name among them.
     pub(super) me: SocketAddr,
     pub(super) key: Key,
     /// Tells the followers what this box is to watch as.
-    pub(super) watching: watch::Sender<WatchRole>,
-    pub(super) advice: Arc<Advice>,
+    pub(super) watch_role: watch::Sender<WatchRole>,
+    pub(super) owner_service: Arc<OwnerService>,
 }
 
 impl Peering {
-    pub(super) fn new(parts: Parts) -> Rc<Self> {
+    pub(super) fn new(dependencies: Dependencies) -> Rc<Self> {
         Rc::new(Self {
-            shared: parts.shared,
-            knowledge: parts.knowledge,
-            troubles: parts.troubles,
-            me: parts.me,
-            key: parts.key,
-            peers: RefCell::new(parts.peers),
+            shared: dependencies.shared,
+            cluster_state: dependencies.cluster_state,
+            health: dependencies.health,
+            me: dependencies.me,
+            key: dependencies.key,
+            peers: RefCell::new(dependencies.peers),
             links: RefCell::default(),
-            watching: parts.watching,
-            advice: parts.advice,
-            taken: Cell::default(),
-            forgot: Cell::default(),
+            watch_role: dependencies.watch_role,
+            owner_service: dependencies.owner_service,
+            published_members: Cell::default(),
+            last_cleanup: Cell::default(),
         })
     }
 
@@ -117,26 +118,26 @@
             match envelope {
                 Envelope::Peers(message) => {
                     if matches!(message, Message::Heartbeat(_)) {
-                        this.knowledge.heard();
+                        this.cluster_state.record_contact();
                     }
                     let actions = this.peers.borrow_mut().handle(from, message, this.shared.now());
-                    this.carry_out(actions);
+                    this.run_actions(actions);
                 }
-                Envelope::Advice(advice::Message::Suspects { records, signs, asks }) => {
-                    let signs = this.shared.on_peer_suspects(&records, signs);
-                    if asks || !signs.is_empty() {
-                        this.send_suspects(from, signs, false);
+                Envelope::Owners(owner_service::Message::Suspects { records, evidence, wants_reply }) => {
+                    let evidence = this.shared.on_peer_suspects(&records, evidence);
+                    if wants_reply || !evidence.is_empty() {
+                        this.send_suspects(from, evidence, false);
                     }
                 }
-                Envelope::Advice(advice::Message::Notices { leaving, limits, asks }) => {
-                    this.hear_notices(from, &leaving, limits);
-                    if asks {
+                Envelope::Owners(owner_service::Message::Notices { leaving, limits, wants_reply }) => {
+                    this.on_notices(from, &leaving, limits);
+                    if wants_reply {
                         this.send_notices(from, false);
                     }
                 }
-                Envelope::Advice(message) => {
-                    if let Some(answer) = this.advice.handle(from, message) {
-                        this.send(from, &Envelope::Advice(answer));
+                Envelope::Owners(message) => {
+                    if let Some(reply) = this.owner_service.on_message(from, message) {
+                        this.send(from, &Envelope::Owners(reply));
                     }
                 }
             }
@@ -145,29 +146,35 @@
     }
 
     /// Sends what the traffic threads want owners to know.
-    pub(super) async fn carry_advice(self: Rc<Self>, mut sent: mpsc::Receiver<(To, advice::Message)>) {
-        while let Some((to, message)) = sent.recv().await {
+    pub(super) async fn forward_owner_messages(
+        self: Rc<Self>,
+        mut messages: mpsc::Receiver<(Destination, owner_service::Message)>,
+    ) {
+        while let Some((to, message)) = messages.recv().await {
             let boxes = match to {
-                To::One(to) => vec![to],
-                To::Each => self.peers.borrow().other_boxes().collect(),
-                To::All => self.peers.borrow().forward_targets(None, self.shared.now()),
+                Destination::One(to) => vec![to],
+                Destination::AllDirect => self.peers.borrow().other_boxes().collect(),
+                Destination::AllViaWatchers => self.peers.borrow().forward_targets(None, self.shared.now()),
             };
-            self.send_to(&boxes, &Envelope::Advice(message));
+            self.send_all(&boxes, &Envelope::Owners(message));
         }
     }
 
     /// Takes what another box heard of servers, and passes on what is new here.
-    fn hear_notices(&self, from: SocketAddr, leaving: &[String], limits: Vec<LimitUpdate>) {
+    fn on_notices(&self, from: SocketAddr, leaving: &[String], limits: Vec<LimitUpdate>) {
         let leaving = self.shared.on_peer_leaving(leaving);
         let limits = self.shared.on_peer_limits(limits);
         if leaving.is_empty() && limits.is_empty() {
             return;
         }
         let boxes = self.peers.borrow().forward_targets(Some(from), self.shared.now());
-        self.send_to(&boxes, &Envelope::Advice(advice::Message::Notices { leaving, limits, asks: false }));
+        self.send_all(
+            &boxes,
+            &Envelope::Owners(owner_service::Message::Notices { leaving, limits, wants_reply: false }),
+        );
     }
 
-    fn send_to(&self, boxes: &[SocketAddr], envelope: &Envelope) {
+    fn send_all(&self, boxes: &[SocketAddr], envelope: &Envelope) {
         boxes.iter().for_each(|to| self.send(*to, envelope));
     }
 
@@ -175,72 +182,75 @@
     pub(super) async fn run(self: Rc<Self>) {
         loop {
             self.tick();
-            actix_rt::time::sleep(TICK).await;
+            actix_rt::time::sleep(TICK_INTERVAL).await;
         }
     }
 
     fn tick(&self) {
-        self.knowledge.expire();
-        let news = self.knowledge.take_news();
-        self.forget_unlisted();
+        self.cluster_state.expire();
+        let updates = self.cluster_state.take_updates();
+        self.remove_unlisted_servers();
         let actions = {
             let mut peers = self.peers.borrow_mut();
-            peers.set_known_versions(self.knowledge.holding());
-            peers.set_publisher_reachable(self.troubles.none());
-            let mut actions: Vec<Action> = news.iter().flat_map(|news| spread(&peers, news)).collect();
+            peers.set_known_versions(self.cluster_state.known_versions());
+            peers.set_publisher_reachable(self.health.is_healthy());
+            let mut actions: Vec<Action> =
+                updates.iter().flat_map(|update| broadcast_actions(&peers, update)).collect();
             actions.extend(peers.tick(self.shared.now()));
             actions
         };
-        self.carry_out(actions);
-        let watch = self.peers.borrow().watch_role(self.shared.now());
-        self.watching.send_if_modified(|known| std::mem::replace(known, watch) != watch);
-        self.take_boxes();
+        self.run_actions(actions);
+        let role = self.peers.borrow().watch_role(self.shared.now());
+        self.watch_role.send_if_modified(|current| std::mem::replace(current, role) != role);
+        self.publish_members();
     }
 
     /// Forgets what is known of servers that are no longer listed, now and then.
-    fn forget_unlisted(&self) {
+    fn remove_unlisted_servers(&self) {
         let now = self.shared.now();
-        if now < self.forgot.get() + FORGET_EVERY || !self.knowledge.holding().directory.is_known() {
+        if now < self.last_cleanup.get() + CLEANUP_INTERVAL_MS
+            || !self.cluster_state.known_versions().directory.is_known()
+        {
             return;
         }
-        self.forgot.set(now);
-        let directory = self.knowledge.directory();
-        let lives = directory.instances();
-        self.advice.retain(&lives);
-        self.shared.quarantine().retain_servers(|id| lives.contains(id));
+        self.last_cleanup.set(now);
+        let directory = self.cluster_state.directory();
+        let instances = directory.instances();
+        self.owner_service.retain_servers(&instances);
+        self.shared.quarantine().retain_servers(|id| instances.contains(id));
     }
 
     /// Tells the hall of news at once.
-    pub(super) fn news(&self) {
+    pub(super) fn on_update(&self) {
         self.tick();
     }
 
     /// Tells the others that this box stops.
-    pub(super) fn leave(&self) {
+    pub(super) fn announce_leaving(&self) {
         let actions = self.peers.borrow().leave();
-        self.carry_out(actions);
+        self.run_actions(actions);
     }
 
     pub(super) fn set_seeds(&self, seeds: &[SocketAddr]) {
         self.peers.borrow_mut().set_seeds(seeds);
     }
 
-    fn carry_out(&self, actions: Vec<Action>) {
+    fn run_actions(&self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => self.send(to, &Envelope::Peers(message)),
                 Action::SendTable(to) => {
-                    if let Some(bytes) = self.knowledge.packed() {
+                    if let Some(bytes) = self.cluster_state.compressed_table() {
                         self.send(to, &Envelope::Peers(Message::Table(bytes.to_vec())));
                     }
                 }
                 Action::RequestDirectory(to) => {
-                    let digests = self.knowledge.digests();
+                    let digests = self.cluster_state.digests();
                     self.send(to, &Envelope::Peers(Message::Lacking(digests)));
                 }
                 Action::SendDirectory(to, digests) => {
-                    if let Some(packed) = self.knowledge.excerpt(&digests) {
-                        self.send(to, &Envelope::Peers(Message::Excerpt(packed.to_vec())));
+                    if let Some(compressed) = self.cluster_state.excerpt(&digests) {
+                        self.send(to, &Envelope::Peers(Message::Excerpt(compressed.to_vec())));
                     }
                 }
                 Action::SyncSuspects(to) => self.send_suspects(to, Vec::new(), true),
@@ -248,40 +258,40 @@
                 Action::SetWatching(watching) => {
                     telemetry::emit(Event::WatchRole, format_args!("watching={watching}"));
                 }
-                Action::Table(packed) => self.knowledge.offer_packed(&packed),
-                Action::TableUntil(position) => self.knowledge.table_stands(position),
-                Action::Evacuations(evacuations) => self.knowledge.offer_evacuations(evacuations, Origin::Peer),
-                Action::Excerpt(packed) => self.knowledge.offer_excerpt(&packed),
-                Action::Changes(packed, until) => self.knowledge.offer_packed_changes(&packed, until),
+                Action::Table(compressed) => self.cluster_state.offer_compressed_table(&compressed),
+                Action::TableUntil(position) => self.cluster_state.confirm_table(position),
+                Action::Evacuations(evacuations) => self.cluster_state.offer_evacuations(evacuations, Origin::Peer),
+                Action::Excerpt(compressed) => self.cluster_state.offer_excerpt(&compressed),
+                Action::Changes(compressed, until) => self.cluster_state.offer_compressed_changes(&compressed, until),
             }
         }
-        self.peers.borrow_mut().set_known_versions(self.knowledge.holding());
+        self.peers.borrow_mut().set_known_versions(self.cluster_state.known_versions());
     }
 
     /// Tells placement and advice of the boxes known, where others are known than before.
-    fn take_boxes(&self) {
+    fn publish_members(&self) {
         let peers = self.peers.borrow();
-        let now = (peers.generation(), peers.has_converged());
-        if self.taken.replace(Some(now)) == Some(now) {
+        let members = (peers.generation(), peers.has_converged());
+        if self.published_members.replace(Some(members)) == Some(members) {
             return;
         }
         self.shared.placement().set_box_count(peers.box_count());
-        self.advice.set_boxes(peers.members(), peers.has_converged());
+        self.owner_service.set_boxes(peers.members(), peers.has_converged());
     }
 
     /// Tells a box which requests are held, or were found innocent, and which servers live; `asks` for what that one knows.
-    fn send_suspects(&self, to: SocketAddr, signs: Vec<LivenessEvidence>, asks: bool) {
+    fn send_suspects(&self, to: SocketAddr, evidence: Vec<LivenessEvidence>, wants_reply: bool) {
         let records = self.shared.quarantine().records(self.shared.now());
-        self.send(to, &Envelope::Advice(advice::Message::Suspects { records, signs, asks }));
+        self.send(to, &Envelope::Owners(owner_service::Message::Suspects { records, evidence, wants_reply }));
     }
 
     /// Tells a box what servers said of themselves to all boxes; `asks` for what that one knows.
-    fn send_notices(&self, to: SocketAddr, asks: bool) {
+    fn send_notices(&self, to: SocketAddr, wants_reply: bool) {
         let (leaving, limits) = {
             let placement = self.shared.placement();
             (placement.leaving(), placement.limit_updates())
         };
-        self.send(to, &Envelope::Advice(advice::Message::Notices { leaving, limits, asks }));
+        self.send(to, &Envelope::Owners(owner_service::Message::Notices { leaving, limits, wants_reply }));
     }
 
     fn send(&self, to: SocketAddr, envelope: &Envelope) {
@@ -296,14 +306,14 @@
 }
 
 /// What a watcher tells its hall; others have nobody to tell, and compress nothing.
-fn spread(peers: &Peers, news: &News) -> Vec<Action> {
+fn broadcast_actions(peers: &Peers, update: &Update) -> Vec<Action> {
     if !peers.is_watching() {
         return Vec::new();
     }
-    match news {
-        News::Table => peers.broadcast_table(),
+    match update {
+        Update::Table => peers.broadcast_table(),
         // The next heartbeat says that it is there.
-        News::Directory => Vec::new(),
-        News::Changes { since, until, changes } => peers.broadcast_changes(*since, *until, &encode(changes)),
+        Update::Directory => Vec::new(),
+        Update::Changes { since, until, changes } => peers.broadcast_changes(*since, *until, &encode(changes)),
     }
 }
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -1,10 +1,10 @@
 //! Runs a router box: threads, listeners, signals, the planned stop.
 
-use super::advice::{Advice, Desk, Message, To};
-use super::follow::{Follower, Troubles};
-use super::knowledge::Knowledge;
+use super::cluster_state::ClusterState;
+use super::follower::{Follower, PublisherHealth};
 use super::operators::Operators;
-use super::peering::{Parts, Peering};
+use super::owner_service::{Destination, Message, OwnerClient, OwnerService};
+use super::peering::{Dependencies, Peering};
 use super::reload::Reloader;
 use super::Settings;
 use clock::Clock;
@@ -24,7 +24,7 @@
 use tokio::sync::{mpsc, watch};
 
 /// Descriptors that are left for servers, the platform, boxes and files; callers may take the rest.
-const FILES_KEPT: usize = 1_024;
+const RESERVED_FILES: usize = 1_024;
 
 /// How much earlier than the platform's kill a planned stop ends.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
@@ -45,35 +45,35 @@
         .with_allowance(settings.cold)
         .with_regions(settings.regions.clone())
         .with_seed(rand::random());
-    let (advice, sent) = Advice::new(settings.boxes, Arc::clone(&clock));
-    let desk = Desk(Arc::clone(&advice));
+    let (owner_service, messages) = OwnerService::new(settings.boxes, Arc::clone(&clock));
+    let peer_client = OwnerClient(Arc::clone(&owner_service));
     let shared = Shared::new(relay::Dependencies {
         header_codec: Box::new(platform::Headers),
-        peer_client: Box::new(desk),
+        peer_client: Box::new(peer_client),
         placement,
         secret: rank(0, &settings.link_key),
         clock,
     });
     let (stop, stopped) = watch::channel(false);
-    let (done, mut front_done) = watch::channel(false);
+    let (done, mut traffic_done) = watch::channel(false);
     let traffic = actix::Arbiter::new();
     start_traffic(&settings, &shared, &traffic, stopped, done)?;
-    let (peering, knowledge) = start_control(&settings, &shared, advice, sent)?;
-    let operators = Operators { recorder, shared: Arc::clone(&shared), knowledge, logger };
-    actix_rt::spawn(operators.run(tokio(bind(settings.operators)?)?));
+    let (peering, cluster_state) = start_control(&settings, &shared, owner_service, messages)?;
+    let operators = Operators { recorder, shared: Arc::clone(&shared), cluster_state, logger };
+    actix_rt::spawn(operators.run(into_tokio(bind(settings.operators)?)?));
     let hangup = Rc::new(tokio::sync::Notify::new());
-    let reload = Reloader { path, settings: settings.clone(), peering: Rc::clone(&peering) };
-    actix_rt::spawn(reload.run(Rc::clone(&hangup)));
+    let reloader = Reloader { path, settings: settings.clone(), peering: Rc::clone(&peering) };
+    actix_rt::spawn(reloader.run(Rc::clone(&hangup)));
     telemetry::emit(Event::BoxStarted, format_args!("name={} hall={}", settings.name, settings.hall));
     wait_for_stop(&hangup).await?;
     telemetry::emit(Event::StopBegun, format_args!("running={}", shared.running.load(Ordering::Relaxed)));
     shared.begin_stop();
-    peering.leave();
+    peering.announce_leaving();
     let began = Instant::now();
     // The front holds the other end until it is done.
     let _ = stop.send(true);
-    let most = settings.stop_timeout.saturating_sub(STOP_MARGIN);
-    let clean = tokio::time::timeout(most, front_done.wait_for(|done| *done)).await.is_ok();
+    let timeout = settings.stop_timeout.saturating_sub(STOP_MARGIN);
+    let clean = tokio::time::timeout(timeout, traffic_done.wait_for(|done| *done)).await.is_ok();
     let (event, cut) =
         if clean { (Event::StopClean, 0) } else { (Event::StopCut, shared.running.load(Ordering::Relaxed)) };
     telemetry::emit(event, format_args!("ms={} cut={cut}", began.elapsed().as_millis()));
@@ -90,16 +90,16 @@
 ) -> eyre::Result<()> {
     let callers = bind(settings.callers)?;
     let ready = bind(settings.ready)?;
-    let connections_most = settings.max_files.saturating_sub(FILES_KEPT).max(FILES_KEPT / 4);
+    let max_connections = settings.max_files.saturating_sub(RESERVED_FILES).max(RESERVED_FILES / 4);
     let shared = Arc::clone(shared);
     traffic.spawn_fn(move || {
-        let (Ok(callers), Ok(ready)) = (tokio(callers), tokio(ready)) else {
+        let (Ok(callers), Ok(ready)) = (into_tokio(callers), into_tokio(ready)) else {
             telemetry::emit(Event::StartFailed, format_args!("why=\"listeners\""));
             return;
         };
-        let balancer = ReadinessServer { shared: Arc::clone(&shared), path: platform::READY_PATH.to_owned() };
-        actix_rt::spawn(balancer.run(ready));
-        let front = Frontend::new(shared, connections_most);
+        let readiness = ReadinessServer { shared: Arc::clone(&shared), path: platform::READY_PATH.to_owned() };
+        actix_rt::spawn(readiness.run(ready));
+        let front = Frontend::new(shared, max_connections);
         actix_rt::spawn(async move {
             front.run(callers, stopped).await;
             // Nobody waits any more when the stop's time is over.
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-fn tokio(listener: TcpListener) -> std::io::Result<tokio::net::TcpListener> {
+fn into_tokio(listener: TcpListener) -> std::io::Result<tokio::net::TcpListener> {
     listener.set_nonblocking(true)?;
     tokio::net::TcpListener::from_std(listener)
 }
@@ -121,49 +121,49 @@
 fn start_control(
     settings: &Settings,
     shared: &Arc<Shared>,
-    advice: Arc<Advice>,
-    sent: mpsc::Receiver<(To, Message)>,
-) -> eyre::Result<(Rc<Peering>, Rc<Knowledge>)> {
+    owner_service: Arc<OwnerService>,
+    messages: mpsc::Receiver<(Destination, Message)>,
+) -> eyre::Result<(Rc<Peering>, Rc<ClusterState>)> {
     let publisher: Rc<dyn Publisher> = Rc::new(platform::Store::new(settings.publisher));
-    let knowledge = Rc::new(Knowledge::new(Arc::clone(shared), Rc::clone(&publisher)));
-    let troubles = Rc::new(Troubles::default());
-    let (watching, _) = watch::channel(WatchRole::Off);
+    let cluster_state = Rc::new(ClusterState::new(Arc::clone(shared), Rc::clone(&publisher)));
+    let health = Rc::new(PublisherHealth::default());
+    let (watch_role, _) = watch::channel(WatchRole::Off);
     for subject in [Subject::Orders, Subject::Directory] {
         let follower = Follower {
             publisher: Rc::clone(&publisher),
-            knowledge: Rc::clone(&knowledge),
+            cluster_state: Rc::clone(&cluster_state),
             subject,
-            watching: watching.subscribe(),
-            troubles: Rc::clone(&troubles),
+            watch_role: watch_role.subscribe(),
+            health: Rc::clone(&health),
         };
         actix_rt::spawn(follower.run());
     }
-    let listener = tokio(bind(settings.boxes)?)?;
+    let listener = into_tokio(bind(settings.boxes)?)?;
     let profile = Profile { hall: settings.hall.clone(), capacity: settings.capacity };
     let peers = Peers::new(settings.boxes, profile, &settings.seeds);
     let key = wire::Key::new(&settings.link_key);
-    let peering = Peering::new(Parts {
+    let peering = Peering::new(Dependencies {
         shared: Arc::clone(shared),
-        knowledge: Rc::clone(&knowledge),
-        troubles,
+        cluster_state: Rc::clone(&cluster_state),
+        health,
         peers,
         me: settings.boxes,
         key,
-        watching,
-        advice,
+        watch_role,
+        owner_service,
     });
     actix_rt::spawn(Rc::clone(&peering).listen(listener));
     actix_rt::spawn(Rc::clone(&peering).run());
-    actix_rt::spawn(Rc::clone(&peering).carry_advice(sent));
-    let told_by = Rc::clone(&knowledge);
-    let teller = Rc::clone(&peering);
+    actix_rt::spawn(Rc::clone(&peering).forward_owner_messages(messages));
+    let cluster_state_handle = Rc::clone(&cluster_state);
+    let notifier = Rc::clone(&peering);
     actix_rt::spawn(async move {
         loop {
-            knowledge.told.notified().await;
-            teller.news();
+            cluster_state.updated.notified().await;
+            notifier.on_update();
         }
     });
-    Ok((peering, told_by))
+    Ok((peering, cluster_state_handle))
 }
 
 async fn wait_for_stop(reload: &tokio::sync::Notify) -> eyre::Result<()> {
