--- a/crates/policy/tests/simulation/mod.rs
+++ b/crates/policy/tests/simulation/mod.rs
@@ -102,7 +102,7 @@
     pub now: Time,
     rng: ChaCha8Rng,
     layout: Rc<Layout>,
-    nodes: Vec<SimulatedBox>,
+    boxes: Vec<SimulatedBox>,
     in_flight: Vec<InFlight>,
     count: u64,
     requests: Vec<Request>,
@@ -144,7 +144,7 @@
         let mut sim = Self {
             now: Time(10_000),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            nodes: Vec::new(),
+            boxes: Vec::new(),
             in_flight: Vec::new(),
             count: 0,
             requests: Vec::new(),
@@ -163,7 +163,7 @@
         for index in 0..halls * boxes {
             let hall = format!("h{}", index / boxes);
             let id = BoxId::of(&format!("box{index}"));
-            sim.nodes.push(SimulatedBox {
+            sim.boxes.push(SimulatedBox {
                 id,
                 hall,
                 broker: None,
@@ -175,10 +175,10 @@
                 deferred: Vec::new(),
             });
         }
-        for index in 0..sim.nodes.len() {
+        for index in 0..sim.boxes.len() {
             sim.restart(index);
         }
-        for index in 0..sim.nodes.len() {
+        for index in 0..sim.boxes.len() {
             sim.set_true_view(index);
         }
         sim
@@ -189,18 +189,19 @@
     }
 
     fn restart(&mut self, index: usize) {
-        let node = &mut self.nodes[index];
-        node.incarnation += 1;
-        let mut broker = Broker::new(node.id, &node.hall, SchedulingMode::Owner, node.incarnation << 32, self.now);
+        let sim_box = &mut self.boxes[index];
+        sim_box.incarnation += 1;
+        let mut broker =
+            Broker::new(sim_box.id, &sim_box.hall, SchedulingMode::Owner, sim_box.incarnation << 32, self.now);
         let actions = broker.set_layout(Rc::clone(&self.layout), self.now);
-        node.broker = Some(broker);
+        sim_box.broker = Some(broker);
         self.apply(index, actions);
     }
 
     fn view(&self) -> BTreeMap<String, Vec<BoxId>> {
         let mut view: BTreeMap<String, Vec<BoxId>> = BTreeMap::new();
-        for node in self.nodes.iter().filter(|n| n.broker.is_some()) {
-            view.entry(node.hall.clone()).or_default().push(node.id);
+        for sim_box in self.boxes.iter().filter(|n| n.broker.is_some()) {
+            view.entry(sim_box.hall.clone()).or_default().push(sim_box.id);
         }
         view.values_mut().for_each(|ids| ids.sort_unstable());
         view
@@ -208,22 +209,22 @@
 
     fn set_view(&mut self, index: usize, view: BTreeMap<String, Vec<BoxId>>) {
         let now = self.now;
-        let Some(broker) = &mut self.nodes[index].broker else { return };
+        let Some(broker) = &mut self.boxes[index].broker else { return };
         let actions = broker.set_boxes(view, Vec::new(), now);
         self.apply(index, actions);
     }
 
     fn set_true_view(&mut self, index: usize) {
         let mut view = self.view();
-        let node = &self.nodes[index];
-        view.entry(node.hall.clone()).or_default();
+        let sim_box = &self.boxes[index];
+        view.entry(sim_box.hall.clone()).or_default();
         self.set_view(index, view);
     }
 
     /// Sets a view in which some other box of the hall is missing.
     fn set_incomplete_view(&mut self, index: usize) {
         let mut view = self.view();
-        let (me, hall) = (self.nodes[index].id, self.nodes[index].hall.clone());
+        let (me, hall) = (self.boxes[index].id, self.boxes[index].hall.clone());
         if let Some(ids) = view.get_mut(&hall) {
             let others: Vec<BoxId> = ids.iter().copied().filter(|id| *id != me).collect();
             if !others.is_empty() {
@@ -256,7 +257,7 @@
     /// messages were delayed or duplicated.
     fn check_expiry(&mut self, index: usize, action: &Action) {
         let Action::Granted { id, granter, expires, .. } = action else { return };
-        let me = self.nodes[index].id;
+        let me = self.boxes[index].id;
         let sent = self.grants.range((me, *id, *granter, 0)..=(me, *id, *granter, u32::MAX));
         let granted = if *granter == me { Some(self.now) } else { sent.map(|(_, at)| *at).max() };
         if granted.is_none_or(|granted| *expires > granted.after(LEASE_TTL_MS)) {
@@ -265,7 +266,7 @@
     }
 
     fn send(&mut self, index: usize, to: BoxId, message: &Message) {
-        let from = self.nodes[index].id;
+        let from = self.boxes[index].id;
         if let Message::Grant { id, waited, .. } = message {
             self.grants.entry((to, *id, from, *waited)).or_insert(self.now);
         }
@@ -283,13 +284,13 @@
 
     /// Does what the traffic threads would do with an answer. The threads of a paused box are paused as well.
     fn on_answer(&mut self, index: usize, action: Action) {
-        if self.now < self.nodes[index].paused_until {
-            self.nodes[index].deferred.push(action);
+        if self.now < self.boxes[index].paused_until {
+            self.boxes[index].deferred.push(action);
             return;
         }
         match action {
             Action::Granted { id, server, expires, granter, .. } => {
-                let Some(request) = self.nodes[index].pending.remove(&id) else {
+                let Some(request) = self.boxes[index].pending.remove(&id) else {
                     self.violations.push(format!("a second answer to request {id}"));
                     return;
                 };
@@ -297,7 +298,7 @@
                 self.start(index, id, (server, granter), expires, request);
             }
             Action::Refused(id, refusal) => {
-                let Some(request) = self.nodes[index].pending.remove(&id) else {
+                let Some(request) = self.boxes[index].pending.remove(&id) else {
                     self.violations.push(format!("a second answer to request {id}"));
                     return;
                 };
@@ -327,14 +328,14 @@
             *self.ran.entry(key).or_default() += 1;
         }
         let length = self.rng.random_range(100..3_000);
-        self.nodes[index].running.insert(id, Running { server, granter, ends: now.after(length), request });
+        self.boxes[index].running.insert(id, Running { server, granter, ends: now.after(length), request });
         self.measure_overlap(server, granter);
     }
 
     fn measure_overlap(&mut self, server: ServerId, granter: BoxId) {
-        let here = self.nodes.iter().flat_map(|n| n.running.values()).filter(|r| r.server == server);
+        let on_server = self.boxes.iter().flat_map(|n| n.running.values()).filter(|r| r.server == server);
         let (mut all, mut of_one) = (0u32, 0u32);
-        for running in here {
+        for running in on_server {
             all += 1;
             of_one += u32::from(running.granter == granter);
         }
@@ -349,20 +350,20 @@
 
     fn return_lease(&mut self, index: usize, id: u64, report: Report) {
         let now = self.now;
-        if let Some(broker) = &mut self.nodes[index].broker {
+        if let Some(broker) = &mut self.boxes[index].broker {
             let actions = broker.return_lease(id, report, now);
             self.apply(index, actions);
         }
     }
 
     fn on_recall(&mut self, index: usize, id: u64) {
-        let Some(running) = self.nodes[index].running.remove(&id) else { return };
+        let Some(running) = self.boxes[index].running.remove(&id) else { return };
         self.return_lease(index, id, Report { tokens: 3, ..Report::default() });
         self.acquire(index, running.request, Cause::Recall);
     }
 
     fn on_claim_result(&mut self, index: usize, id: u64, verdict: Verdict) {
-        let Some(request) = self.nodes[index].claims.remove(&id) else { return };
+        let Some(request) = self.boxes[index].claims.remove(&id) else { return };
         if verdict == Verdict::Fresh {
             self.acquire(index, request, Cause::First);
         } else {
@@ -375,8 +376,8 @@
 
     /// Submits a new request of `class` (0 is the urgent one) at a random running box.
     pub fn submit(&mut self, class: usize, key: Option<u64>) {
-        let alive: Vec<usize> = (0..self.nodes.len())
-            .filter(|i| self.nodes[*i].broker.is_some() && self.now >= self.nodes[*i].paused_until)
+        let alive: Vec<usize> = (0..self.boxes.len())
+            .filter(|i| self.boxes[*i].broker.is_some() && self.now >= self.boxes[*i].paused_until)
             .collect();
         if alive.is_empty() {
             return;
@@ -388,9 +389,9 @@
             None => self.acquire(index, request, Cause::First),
             Some(key) => {
                 let now = self.now;
-                let Some(broker) = &mut self.nodes[index].broker else { return };
+                let Some(broker) = &mut self.boxes[index].broker else { return };
                 let (id, actions) = broker.claim(key, Some(0), now);
-                self.nodes[index].claims.insert(id, request);
+                self.boxes[index].claims.insert(id, request);
                 self.apply(index, actions);
             }
         }
@@ -411,26 +412,26 @@
         };
         self.requests[request].attempts += 1;
         let now = self.now;
-        let Some(broker) = &mut self.nodes[index].broker else { return };
+        let Some(broker) = &mut self.boxes[index].broker else { return };
         let (id, actions) = broker.acquire(acquire, now);
-        self.nodes[index].pending.insert(id, request);
+        self.boxes[index].pending.insert(id, request);
         self.apply(index, actions);
     }
 
     fn crash(&mut self, index: usize) {
-        let node = &mut self.nodes[index];
-        node.broker = None;
-        let lost: Vec<usize> = node
+        let sim_box = &mut self.boxes[index];
+        sim_box.broker = None;
+        let lost: Vec<usize> = sim_box
             .pending
             .values()
-            .chain(node.claims.values())
-            .chain(node.running.values().map(|r| &r.request))
+            .chain(sim_box.claims.values())
+            .chain(sim_box.running.values().map(|r| &r.request))
             .copied()
             .collect();
-        node.pending.clear();
-        node.claims.clear();
-        node.running.clear();
-        node.deferred.clear();
+        sim_box.pending.clear();
+        sim_box.claims.clear();
+        sim_box.running.clear();
+        sim_box.deferred.clear();
         for request in lost {
             self.requests[request].lost = true;
         }
@@ -439,16 +440,16 @@
     // ------------------------------------------------------------------------
 
     fn inject_faults(&mut self) {
-        let index = self.rng.random_range(0..self.nodes.len());
+        let index = self.rng.random_range(0..self.boxes.len());
         if self.chance(self.faults.pauses) {
             let length = self.rng.random_range(200..6_000);
-            self.nodes[index].paused_until = self.now.after(length);
+            self.boxes[index].paused_until = self.now.after(length);
         }
-        let one_dead = self.nodes.iter().any(|n| n.broker.is_none());
+        let one_dead = self.boxes.iter().any(|n| n.broker.is_none());
         if self.chance(self.faults.crashes) {
-            if self.nodes[index].broker.is_none() {
+            if self.boxes[index].broker.is_none() {
                 self.restart(index);
-                (0..self.nodes.len()).for_each(|i| self.set_true_view(i));
+                (0..self.boxes.len()).for_each(|i| self.set_true_view(i));
             } else if !one_dead {
                 self.crash(index);
             }
@@ -466,15 +467,15 @@
     }
 
     fn abandon_one(&mut self, index: usize) {
-        let node = &self.nodes[index];
-        if self.now < node.paused_until || !node.deferred.is_empty() {
+        let sim_box = &self.boxes[index];
+        if self.now < sim_box.paused_until || !sim_box.deferred.is_empty() {
             // A paused box notices only when it wakes, after the answers that came before.
             return;
         }
-        let Some((id, request)) = self.nodes[index].pending.pop_first() else { return };
+        let Some((id, request)) = self.boxes[index].pending.pop_first() else { return };
         self.requests[request].lost = true;
         let now = self.now;
-        if let Some(broker) = &mut self.nodes[index].broker {
+        if let Some(broker) = &mut self.boxes[index].broker {
             let actions = broker.abandon(id, now);
             self.apply(index, actions);
         }
@@ -485,7 +486,7 @@
         self.now = self.now.after(STEP_MS);
         self.inject_faults();
         self.deliver();
-        for index in 0..self.nodes.len() {
+        for index in 0..self.boxes.len() {
             self.run_box(index);
         }
     }
@@ -496,14 +497,14 @@
         self.in_flight = later;
         due.sort_by_key(|f| (f.at, f.order));
         for flight in due {
-            let Some(index) = self.nodes.iter().position(|n| n.id == flight.to) else { continue };
-            if self.now < self.nodes[index].paused_until {
+            let Some(index) = self.boxes.iter().position(|n| n.id == flight.to) else { continue };
+            if self.now < self.boxes[index].paused_until {
                 // The message waits in the paused box's socket.
-                self.in_flight.push(InFlight { at: self.nodes[index].paused_until, ..flight });
+                self.in_flight.push(InFlight { at: self.boxes[index].paused_until, ..flight });
                 continue;
             }
             let now = self.now;
-            if let Some(broker) = &mut self.nodes[index].broker {
+            if let Some(broker) = &mut self.boxes[index].broker {
                 let actions = broker.receive(flight.from, flight.message, now);
                 self.apply(index, actions);
             }
@@ -512,22 +513,22 @@
 
     fn run_box(&mut self, index: usize) {
         let now = self.now;
-        if now < self.nodes[index].paused_until {
+        if now < self.boxes[index].paused_until {
             return;
         }
-        for action in std::mem::take(&mut self.nodes[index].deferred) {
+        for action in std::mem::take(&mut self.boxes[index].deferred) {
             self.on_answer(index, action);
         }
         let ended: Vec<u64> =
-            self.nodes[index].running.iter().filter(|(_, r)| r.ends <= now).map(|(id, _)| *id).collect();
+            self.boxes[index].running.iter().filter(|(_, r)| r.ends <= now).map(|(id, _)| *id).collect();
         for id in ended {
-            let Some(running) = self.nodes[index].running.remove(&id) else { continue };
+            let Some(running) = self.boxes[index].running.remove(&id) else { continue };
             let failed = self.chance(self.faults.failures);
             let report = Report { tokens: 50, first_ms: 40, between_tenths: 100, failed, unused: false };
             self.return_lease(index, id, report);
             *self.finished.entry(self.requests[running.request].class).or_default() += 1;
         }
-        if let Some(broker) = &mut self.nodes[index].broker {
+        if let Some(broker) = &mut self.boxes[index].broker {
             let actions = broker.tick(now);
             self.apply(index, actions);
         }
@@ -536,12 +537,12 @@
     /// Ends all faults: every box runs and sees all others.
     pub fn heal(&mut self) {
         self.faults = Faults { delay_ms: 5, ..Faults::default() };
-        for index in 0..self.nodes.len() {
-            if self.nodes[index].broker.is_none() {
+        for index in 0..self.boxes.len() {
+            if self.boxes[index].broker.is_none() {
                 self.restart(index);
             }
         }
-        (0..self.nodes.len()).for_each(|i| self.set_true_view(i));
+        (0..self.boxes.len()).for_each(|i| self.set_true_view(i));
     }
 
     /// Ends all faults, waits until everything must have settled, and checks that it has.
@@ -555,19 +556,19 @@
                 self.violations.push(format!("{request:?} was not answered exactly once per attempt"));
             }
         }
-        for node in &self.nodes {
-            let Some(broker) = &node.broker else { continue };
+        for sim_box in &self.boxes {
+            let Some(broker) = &sim_box.broker else { continue };
             if broker.lease_count() != 0 || broker.pending_count() != 0 {
                 self.violations.push(format!(
                     "{} holds {} and waits for {}",
-                    node.id,
+                    sim_box.id,
                     broker.lease_count(),
                     broker.pending_count()
                 ));
             }
             for shard in broker.owned_shards() {
                 if shard.lease_count() != 0 {
-                    self.violations.push(format!("{} still counts {} leases", node.id, shard.lease_count()));
+                    self.violations.push(format!("{} still counts {} leases", sim_box.id, shard.lease_count()));
                 }
             }
         }
