--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -268,7 +268,7 @@
         self.last_tick = now;
         let actions = self.broker.tick(now);
         self.run_policy_actions(actions, context);
-        let actions = self.detector.tick(self.releases.order(), now);
+        let actions = self.detector.tick(self.releases.release_id(), now);
         self.run_fleet_actions(actions, context);
         self.releases.tick(now);
         self.update_readiness(now);
@@ -283,11 +283,11 @@
     fn update_readiness(&mut self, now: Time) {
         let waited = now.since(self.resumed_at);
         let contacted = !self.detector.has_uncontacted_peers() || waited >= MAX_PEER_CONTACT_WAIT_MS;
-        let newest = self.releases.order() >= self.newest_seen;
+        let newest = self.releases.release_id() >= self.newest_seen;
         let refused = self.newest_seen.is_some_and(|newest| self.releases.has_refused(newest));
         // Until then this box can't tell whether a request key is new.
         let can_check_keys = now.since(self.started_at) >= policy::MAX_CLOCK_SKEW_MS + KEY_AGE_MARGIN_MS;
-        let has_release = self.releases.order().is_some() && (newest || refused);
+        let has_release = self.releases.release_id().is_some() && (newest || refused);
         if !self.is_current
             && can_check_keys
             && has_release
@@ -301,7 +301,7 @@
             self.was_ready = ready;
             self.update_snapshot(|snapshot| snapshot.ready = ready);
             if ready {
-                let number = self.releases.order().map_or(0, |o| o.number);
+                let number = self.releases.release_id().map_or(0, |o| o.number);
                 telemetry::emit(Event::BoxReady, format_args!("name={} release={number}", self.settings.me.name));
             }
         }
@@ -341,7 +341,7 @@
 
     fn on_fleet_message(&mut self, from: BoxId, message: &fleet::Message, context: &mut Context<Self>) {
         let now = self.now();
-        let actions = self.detector.on_message(from, message, self.releases.order(), now);
+        let actions = self.detector.on_message(from, message, self.releases.release_id(), now);
         self.run_fleet_actions(actions, context);
         match message {
             fleet::Message::Ping { order, .. } | fleet::Message::Ack { order, .. } => {
--- a/crates/cleatshelf/src/control/actions.rs
+++ b/crates/cleatshelf/src/control/actions.rs
@@ -144,7 +144,7 @@
         });
         let actions = self.broker.set_layout(layout, self.now());
         self.run_policy_actions(actions, context);
-        let order = self.releases.order();
+        let order = self.releases.release_id();
         for to in self.detector.random_alive(RELEASE_FANOUT) {
             // An `Ack` carries the release without requesting a reply.
             let message = fleet::Message::Ack { number: 0, order, changes: Vec::new() };
--- a/crates/cleatshelf/src/control/platform_sync.rs
+++ b/crates/cleatshelf/src/control/platform_sync.rs
@@ -12,7 +12,7 @@
     pub(super) fn poll_platform(&mut self, context: &mut Context<Self>) {
         let now = self.now();
         let just_started = now.since(self.resumed_at) < PEER_RELEASE_WAIT_MS / 2 && !self.settings.peers.is_empty();
-        if just_started && self.releases.order().is_none() {
+        if just_started && self.releases.release_id().is_none() {
             // Peers may send the whole release at once, whereas the platform needs a call for each part.
             return;
         }
--- a/crates/cleatshelf/src/control/reports.rs
+++ b/crates/cleatshelf/src/control/reports.rs
@@ -4,7 +4,7 @@
 
 impl Control {
     pub(super) fn status(&self) -> Status {
-        let order = self.releases.order();
+        let order = self.releases.release_id();
         let snapshot = self.snapshot.read().map(|s| (s.ready, s.stopping)).unwrap_or_default();
         Status {
             name: self.settings.me.name.clone(),
@@ -95,12 +95,8 @@
     }
 }
 
-fn refused_row(refused: &fleet::Refused) -> RefusedRow {
-    RefusedRow {
-        number: refused.order.number,
-        digest: refused.order.digest.to_string(),
-        reasons: refused.reasons.clone(),
-    }
+fn refused_row(refused: &fleet::RefusedRelease) -> RefusedRow {
+    RefusedRow { number: refused.id.number, digest: refused.id.digest.to_string(), reasons: refused.reasons.clone() }
 }
 
 fn peer_row(member: &fleet::Member) -> PeerRow {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -16,4 +16,4 @@
 pub use failure_detector::{FailureDetector, ProbeTiming};
 pub use member::{Member, Peer, State};
 pub use message::{Change, Delta, Message, MAX_REASON_CHARS};
-pub use release_sync::{watchers, Refused, ReleaseSync, WATCHERS_PER_HALL};
+pub use release_sync::{watchers, RefusedRelease, ReleaseSync, WATCHERS_PER_HALL};
--- a/crates/fleet/src/release_sync.rs
+++ b/crates/fleet/src/release_sync.rs
@@ -30,9 +30,9 @@
 
 /// A release that this box won't take, and why.
 #[derive(Clone, Debug)]
-pub struct Refused {
+pub struct RefusedRelease {
     /// Where it stands among others.
-    pub order: ReleaseId,
+    pub id: ReleaseId,
     /// Every fault, for the operator.
     pub reasons: Vec<String>,
 }
@@ -73,9 +73,9 @@
     pull: Option<Pull>,
     parsed: ParseCache,
     /// What this box found wrong itself. Keeps a release out.
-    refused: VecDeque<Refused>,
+    refused: VecDeque<RefusedRelease>,
     /// What others refused and this box wasn't offered. Only shown: acceptance is each box's own finding.
-    refused_elsewhere: VecDeque<Refused>,
+    refused_elsewhere: VecDeque<RefusedRelease>,
     out: Vec<Action>,
 }
 
@@ -88,26 +88,26 @@
 
     /// Where the release in force stands.
     #[must_use]
-    pub fn order(&self) -> Option<ReleaseId> {
+    pub fn release_id(&self) -> Option<ReleaseId> {
         self.history.back().map(|(order, _)| *order)
     }
 
     /// Releases that this box refused, and those that others were heard to refuse.
     ///
     /// What is in force here isn't among them, even if older boxes can't read it.
-    pub fn refused(&self) -> impl Iterator<Item = &Refused> {
-        let current = self.order();
-        self.refused.iter().chain(&self.refused_elsewhere).filter(move |r| Some(r.order) != current)
+    pub fn refused(&self) -> impl Iterator<Item = &RefusedRelease> {
+        let current = self.release_id();
+        self.refused.iter().chain(&self.refused_elsewhere).filter(move |r| Some(r.id) != current)
     }
 
     /// True when this box itself found a release wrong.
     #[must_use]
     pub fn has_refused(&self, order: ReleaseId) -> bool {
-        self.refused.iter().any(|r| r.order == order)
+        self.refused.iter().any(|r| r.id == order)
     }
 
     fn wants(&self, order: ReleaseId) -> bool {
-        let newer = self.order().is_none_or(|current| order > current);
+        let newer = self.release_id().is_none_or(|current| order > current);
         newer && !self.has_refused(order)
     }
 
@@ -120,7 +120,7 @@
             let busy = self.pull.as_ref().is_some_and(|p| now.since(p.since) < PULL_MS && p.order >= order);
             if !busy {
                 self.pull = Some(Pull::new(Source::Peer(from), order, now));
-                self.out.push(Action::Send(from, Message::Pull(self.order())));
+                self.out.push(Action::Send(from, Message::Pull(self.release_id())));
             }
         }
         std::mem::take(&mut self.out)
@@ -180,7 +180,7 @@
     /// The platform offered a manifest.
     pub fn on_manifest_offered(&mut self, text: &str, now: Time) -> Vec<Action> {
         let digest = Digest::of(text.as_bytes());
-        if self.refused.iter().any(|r| r.order.digest == digest) || self.order().is_some_and(|o| o.digest == digest) {
+        if self.refused.iter().any(|r| r.id.digest == digest) || self.release_id().is_some_and(|o| o.digest == digest) {
             return Vec::new();
         }
         match Manifest::parse(text) {
@@ -196,7 +196,7 @@
                 let order = ReleaseId { number: manifest.number, digest };
                 if self.wants(order) {
                     self.begin(Source::Platform, text, now);
-                } else if let Some(current) = self.order() {
+                } else if let Some(current) = self.release_id() {
                     let detail = format!("offered={} current={}", order.number, current.number);
                     self.out.push(Action::Log(Event::ReleaseStale, detail));
                 }
@@ -283,7 +283,7 @@
 
     fn adopt(&mut self, release: Release, catalog: catalog::Catalog) {
         let order = release.id();
-        if self.order().is_some_and(|current| order <= current) {
+        if self.release_id().is_some_and(|current| order <= current) {
             // `wants` was asked before the parts came; a newer release may have come in between.
             return;
         }
@@ -303,21 +303,21 @@
         let shown: Vec<&str> = reasons.iter().take(5).map(String::as_str).collect();
         let detail = format!("number={} digest={} reasons=[{}]", order.number, order.digest, shown.join("; "));
         self.out.push(Action::Log(Event::ReleaseRefused, detail));
-        self.refused_elsewhere.retain(|r| r.order != order);
-        remember(&mut self.refused, Refused { order, reasons });
+        self.refused_elsewhere.retain(|r| r.id != order);
+        remember(&mut self.refused, RefusedRelease { id: order, reasons });
         self.pull = None;
     }
 
     /// Another box refused a release. Shown and passed on once; this box still judges for itself.
     pub fn on_refused_elsewhere(&mut self, order: ReleaseId, reason: &str) -> Vec<Action> {
-        if self.refused.iter().chain(&self.refused_elsewhere).any(|r| r.order == order) {
+        if self.refused.iter().chain(&self.refused_elsewhere).any(|r| r.id == order) {
             return Vec::new();
         }
         let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
         let detail = format!("number={} digest={} told=true reasons=[{reason}]", order.number, order.digest);
         self.out.push(Action::Log(Event::ReleaseRefused, detail));
         self.out.push(Action::Gossip(Change::Refused { order, reason: reason.clone() }));
-        remember(&mut self.refused_elsewhere, Refused { order, reasons: vec![reason] });
+        remember(&mut self.refused_elsewhere, RefusedRelease { id: order, reasons: vec![reason] });
         std::mem::take(&mut self.out)
     }
 
@@ -330,7 +330,7 @@
 }
 
 /// Keeps the newest [`REFUSED_MOST`].
-fn remember(list: &mut VecDeque<Refused>, refused: Refused) {
+fn remember(list: &mut VecDeque<RefusedRelease>, refused: RefusedRelease) {
     list.push_back(refused);
     if list.len() > REFUSED_MOST {
         list.pop_front();
--- a/crates/fleet/tests/random.rs
+++ b/crates/fleet/tests/random.rs
@@ -41,7 +41,7 @@
         prop_assert!(world.wrongs.is_empty(), "{:?}", world.wrongs);
         let newest = world.published.iter().map(Release::id).max();
         for node in &world.nodes {
-            prop_assert_eq!(node.spread.order(), newest, "{} is behind", node.peer.name);
+            prop_assert_eq!(node.spread.release_id(), newest, "{} is behind", node.peer.name);
             let dead = node.probe.members().filter(|m| m.state != State::Alive).count();
             prop_assert_eq!(dead, 0, "{} takes {} living boxes as gone", node.peer.name, dead);
         }
--- a/crates/fleet/tests/refused.rs
+++ b/crates/fleet/tests/refused.rs
@@ -11,7 +11,7 @@
 const STEPS: u64 = 12_000 / STEP_MS;
 
 fn shows(spread: &ReleaseSync, number: u64) -> bool {
-    spread.refused().any(|refused| refused.order.number == number)
+    spread.refused().any(|refused| refused.id.number == number)
 }
 
 #[test]
@@ -30,12 +30,12 @@
     (0..STEPS).for_each(|_| world.step());
     for node in &world.nodes {
         assert!(shows(&node.spread, 2), "{} doesn't show it", node.peer.name);
-        assert_eq!(node.spread.order().map(|o| o.number), Some(1));
+        assert_eq!(node.spread.release_id().map(|o| o.number), Some(1));
     }
     // Hearsay of a refusal never keeps a good release out.
     world.published.push(release(3, 30));
     (0..STEPS).for_each(|_| world.step());
-    assert!(world.nodes.iter().all(|n| n.spread.order().map(|o| o.number) == Some(3)));
+    assert!(world.nodes.iter().all(|n| n.spread.release_id().map(|o| o.number) == Some(3)));
 }
 
 #[test]
@@ -48,7 +48,7 @@
             spread.on_parts_fetched(&parts, Time(1_000));
         }
     }
-    assert_eq!(spread.order(), Some(good.id()));
+    assert_eq!(spread.release_id(), Some(good.id()));
     let said = spread.on_refused_elsewhere(good.id(), "made by a newer cleatshelf");
     assert!(said.iter().any(|a| matches!(a, Action::Log(Event::ReleaseRefused, _))), "it is logged: {said:?}");
     assert!(!shows(&spread, 1));
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -135,7 +135,7 @@
 
     fn deliver(&mut self, i: usize, from: BoxId, message: &Message) {
         let now = self.now;
-        let before = self.nodes[i].spread.order();
+        let before = self.nodes[i].spread.release_id();
         let actions = self.nodes[i].probe.on_message(from, message, before, now);
         self.act(i, actions);
         let actions = match message {
@@ -149,7 +149,7 @@
     }
 
     fn check(&mut self, i: usize, before: Option<catalog::ReleaseId>) {
-        let after = self.nodes[i].spread.order();
+        let after = self.nodes[i].spread.release_id();
         if after < before {
             self.wrongs.push(format!("{} fell from {before:?} to {after:?}", self.nodes[i].peer.name));
         }
@@ -157,7 +157,7 @@
 
     fn tick(&mut self, i: usize) {
         let now = self.now;
-        let before = self.nodes[i].spread.order();
+        let before = self.nodes[i].spread.release_id();
         let actions = self.nodes[i].probe.tick(before, now);
         self.act(i, actions);
         self.nodes[i].spread.tick(now);
--- a/crates/lab/src/fleetlet.rs
+++ b/crates/lab/src/fleetlet.rs
@@ -134,7 +134,7 @@
                 Action::Fetch(digests) => self.fetch(from, &digests),
                 Action::Adopt(..) => {
                     self.in_force.entry(from).or_insert(self.now);
-                    let order = self.nodes[from].spread.order();
+                    let order = self.nodes[from].spread.release_id();
                     for to in self.nodes[from].probe.random_alive(3) {
                         self.send(from, to, Message::Ack { number: 0, order, changes: Vec::new() });
                     }
@@ -191,7 +191,7 @@
         if !self.nodes[i].alive {
             return;
         }
-        let order = self.nodes[i].spread.order();
+        let order = self.nodes[i].spread.release_id();
         let actions = self.nodes[i].probe.on_message(flight.from, &flight.message, order, now);
         self.act(i, actions);
         let actions = match &flight.message {
@@ -206,7 +206,7 @@
     fn tick(&mut self, i: usize) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let order = node.spread.order();
+        let order = node.spread.release_id();
         let mut actions = node.probe.tick(order, now);
         node.spread.tick(now);
         if let Some(release) = self.published.as_ref().filter(|r| node.platform && Some(r.id()) > order) {
@@ -291,7 +291,7 @@
     load(&mut from, &second, now);
     let mut got = Vec::new();
     let (a, b) = (BoxId(1), BoxId(2));
-    let mut asks = to.on_release(a, from.order(), now);
+    let mut asks = to.on_release(a, from.release_id(), now);
     while let Some(Action::Send(_, ask)) = asks.pop() {
         for answer in from.on_message(b, &ask, now) {
             let Action::Send(_, answer) = answer else { continue };
