--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -6,13 +6,13 @@
 use crate::urgency::{class_index, PerUrgency};
 use crate::{Millis, PlacementRequest};
 
-/// How long an urgency class counts as present after its last request.
+/// Time for which an urgency class counts as present after its last request.
 const PRESENCE_WINDOW: Millis = 2_000;
 
 /// Admission control for one service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Admission {
-    /// When a request of each urgency last arrived; `None` before the first.
+    /// Time of the last request of each urgency; `None` before the first.
     last_request: PerUrgency<Option<Millis>>,
 }
 
--- a/crates/placement/src/cold.rs
+++ b/crates/placement/src/cold.rs
@@ -1,4 +1,4 @@
-//! How long a server counts as cold, and the requests that it may get meanwhile.
+//! Cold servers: the time for which they count as cold, and the requests that they may get meanwhile.
 //!
 //! A server is cold for some seconds after a start, and may turn cold at other times. Its directory entry shows this
 //! seconds late. Two signs show it sooner: lost connections, after which the server may have restarted under its
--- a/crates/placement/src/completions.rs
+++ b/crates/placement/src/completions.rs
@@ -1,10 +1,10 @@
-//! How often slots at a server become free.
+//! Rate at which slots at a server become free.
 
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How far back completions count: long enough to see some completions of answers that take seconds, short enough to
-/// follow a burst.
+/// Time for which completions count: long enough to see some completions of answers that take seconds, short enough
+/// to follow a burst.
 const WINDOW: Millis = 2_000;
 
 /// Most completions kept. With more than this per window, slots become free faster than requests queue up.
--- a/crates/placement/src/member.rs
+++ b/crates/placement/src/member.rs
@@ -7,10 +7,10 @@
 use routing::{ColdStart, Evacuations, HallRegions, Server};
 use std::sync::Arc;
 
-/// How long the load reported by a server's owner is more accurate than this box's own load there.
+/// Time for which the load reported by a server's owner is more accurate than this box's own load there.
 const STATUS_TTL: Millis = 400;
 
-/// The same for its stall rate, which changes slowly.
+/// Time for which the reported stall rate counts, which changes slowly.
 const STALLS_TTL: Millis = 2_000;
 
 /// A server and its state.
--- a/crates/placement/src/notices.rs
+++ b/crates/placement/src/notices.rs
@@ -8,8 +8,8 @@
 use routing::{rank, Server};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How long notices are kept after the instance's entry has gone: longer than it may take for an expired entry, or
-/// one read from an old copy, to reappear.
+/// Time for which notices are kept after the instance's entry has gone: longer than it may take for an expired entry,
+/// or one read from an old copy, to reappear.
 const UNLISTED_TTL: Millis = 600_000;
 
 /// Notices by server instance.
@@ -35,7 +35,7 @@
     limit: Limit,
     /// Increases with each change, on whichever box; if two boxes change it at once, the stricter limit applies.
     version: u64,
-    /// When this box learned of it.
+    /// Time at which this box learned of it.
     since: Millis,
     /// Since when the instance is not listed; `None` while it is known to be listed.
     unlisted_at: Option<Millis>,
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -55,7 +55,7 @@
     pub paused: bool,
     /// Observed speed of the server.
     pub speed: Speed,
-    /// How many prefills per second there recently caused gaps too long for such an answer.
+    /// Prefills per second there that recently caused gaps too long for such an answer.
     pub stalls_per_s: f32,
     /// Average time in milliseconds until a running request ends; 0 without recent completions.
     #[serde(rename = "end_ms")]
@@ -64,7 +64,7 @@
     /// arrived than it can process.
     #[serde(rename = "long_reading")]
     pub long_prefill_ratio: f32,
-    /// The same for all other prompts.
+    /// Share of its time needed for the prefill of all other recent prompts.
     #[serde(rename = "short_reading")]
     pub short_prefill_ratio: f32,
     /// Requests that all boxes together sent there within about the last second.
@@ -132,7 +132,7 @@
     sent_at: Millis,
     /// Prefill pending before its first event, its own included.
     ahead: Prefill,
-    /// When the prompt was read; `None` before.
+    /// Time at which the prompt was read; `None` before.
     prefilled_at: Option<Millis>,
     /// The largest prefill pending beside its answer, and when it began.
     prefill_beside: (Prefill, Millis),
@@ -151,12 +151,12 @@
     completions: Completions,
     /// Prefill time in milliseconds of long prompts that were sent there.
     long_prefill: Rate,
-    /// The same for all other prompts.
+    /// Prefill time in milliseconds of all other prompts.
     short_prefill: Rate,
-    /// When a prompt was last read.
+    /// Time at which a prompt was last read.
     last_prefilled: Millis,
     arrivals: Arrivals,
-    /// When this box became its owner or was first queried; sends before that are unknown.
+    /// Time at which this box became its owner or was first queried; sends before that are unknown.
     since: Millis,
     /// Pending permit requests by urgency, if the server names a limit.
     fair_share: FairShare,
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -21,12 +21,12 @@
 /// Share of a server's memory that cached parts are expected to fill at most.
 const CACHE_RATIO: f64 = 0.8;
 
-/// How many home servers of a prompt's shared parts are always queried: the first, those that were homes before it
-/// came or take over when it goes, and those that get parts while these are full. What is read there is cached where
-/// the next box looks for it. Three gave worse results under bursts of long prompts.
+/// Number of home servers of a prompt's shared parts that are always queried: the first, those that were homes before
+/// it came or take over when it goes, and those that get parts while these are full. What is read there is cached
+/// where the next box looks for it. Three gave worse results under bursts of long prompts.
 const MAX_HOMES_QUERIED: usize = 6;
 
-/// How many servers of the other side of the split that rank before the first home are queried.
+/// Number of queried servers of the other side of the split that rank before the first home.
 const MAX_OTHER_SIDE_QUERIED: usize = 2;
 
 /// Number of servers whose owners keep the cache directory of a part.
@@ -48,7 +48,7 @@
 /// Interval between updates of the split of the engines.
 const SPLIT_INTERVAL: Millis = 200;
 
-/// How long a reported status counts for the demand behind the split.
+/// Time for which a reported status counts for the demand behind the split.
 const DEMAND_TTL: Millis = 4_000;
 
 /// Number of servers that may cache a shared part, and of other servers considered for a request. In a pool of more
--- a/crates/placement/src/quarantine.rs
+++ b/crates/placement/src/quarantine.rs
@@ -20,8 +20,8 @@
 /// servers terminates exactly as many (`placement/tests/quarantine.rs`).
 const TERMINATIONS_TO_HOLD: usize = 3;
 
-/// How long after an observed termination an answer of the server disproves it. Data sent before the termination may
-/// be read late, by a box that had no processor time for some tenths of a second.
+/// Time between an observed termination and an answer of the server that disproves it. Data sent before the
+/// termination may be read late, by a box that had no processor time for some tenths of a second.
 const DISPROOF_DELAY_MS: i64 = 1_000;
 
 /// Delay after which a held request is let through once, counted from when it was held. Short if servers terminated
@@ -30,13 +30,13 @@
 /// request that runs everywhere were refused, 3,713 with a delay of five seconds, and 5,377 without early trials.
 const EARLY_TRIAL_DELAY_MS: i64 = 1_000;
 
-/// The same delay if servers terminated one after the other, each after the request was sent there.
+/// Delay of the first trial if servers terminated one after the other, each after the request was sent there.
 const TRIAL_DELAY_MS: i64 = 120_000;
 
-/// The same delay for the second and last trial; each trial may terminate one more server.
+/// Delay of the second and last trial; each trial may terminate one more server.
 const LAST_TRIAL_DELAY_MS: i64 = 1_800_000;
 
-/// How long terminations count. After a day, servers have been repaired or replaced.
+/// Time for which terminations count. After a day, servers have been repaired or replaced.
 const SUSPECT_TTL_MS: i64 = 86_400_000;
 
 /// Interval between removals of expired suspects.
@@ -62,9 +62,9 @@
 pub struct Termination {
     /// Id of the server instance.
     pub server: String,
-    /// How long ago the request was sent there, in milliseconds.
+    /// Milliseconds since the request was sent there.
     pub sent: Millis,
-    /// How long ago the termination was observed, in milliseconds.
+    /// Milliseconds since the termination was observed.
     pub ago: Millis,
 }
 
@@ -73,13 +73,13 @@
 pub struct SuspectRecord {
     /// The request.
     pub request: Fingerprint,
-    /// How often it was cleared. Terminations from before the last time don't count.
+    /// Number of times it was cleared. Terminations from before the last time don't count.
     pub survivals: u32,
     /// Servers that terminated under it since.
     pub ends: Vec<Termination>,
-    /// How often it was let through although it was held.
+    /// Number of times it was let through although it was held.
     pub trials: u8,
-    /// How long ago the last of these changes happened, in milliseconds.
+    /// Milliseconds since the last of these changes.
     pub ago: Millis,
 }
 
@@ -88,7 +88,7 @@
 pub struct LivenessEvidence {
     /// Id of the server instance.
     pub server: String,
-    /// How long ago it answered, in milliseconds.
+    /// Milliseconds since it answered.
     pub ago: Millis,
 }
 
@@ -166,7 +166,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// When servers last answered, by instance id.
+    /// Time of the last answer, by instance id.
     last_answers: HashMap<String, i64>,
     /// Ids of servers whose termination some suspect names; may contain others.
     terminated_servers: HashSet<String>,
--- a/crates/placement/src/speed_estimator.rs
+++ b/crates/placement/src/speed_estimator.rs
@@ -9,7 +9,7 @@
 /// Cap on the observation counts: older observations hardly weigh in the fits.
 const MAX_SAMPLES: f32 = 40.0;
 
-/// How much longer than the longest expected gap a prefill must take for the gaps beside it to show the upper bound.
+/// Ratio of a prefill's duration to the longest expected gap from which on the gaps beside it show their upper bound.
 /// Selected by the size of the prefill and not by the observed gap, since short gaps would select themselves.
 const MIN_PREFILL_FACTOR: f64 = 1.3;
 
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -13,7 +13,7 @@
 /// Target for the share of time that engines for long prompts spend on prefill; above it, waits grow fast.
 const MAX_LONG_PREFILL_RATIO: f64 = 0.6;
 
-/// The same target for the other engines, whose answers should meet little prefill.
+/// Target for the share of time that the other engines spend on prefill, whose answers should meet little of it.
 const MAX_SHORT_PREFILL_RATIO: f64 = 0.2;
 
 /// A prompt is long if its prefill takes this share of the shortest gap limit in the pool: a few such prompts in a
--- a/crates/placement/src/stalls.rs
+++ b/crates/placement/src/stalls.rs
@@ -4,7 +4,7 @@
 use crate::Millis;
 use std::collections::VecDeque;
 
-/// How far back stalls count: about the duration of an answer. Recent stalls predict further ones.
+/// Time for which stalls count: about the duration of an answer. Recent stalls predict further ones.
 const WINDOW: Millis = 3_000;
 
 /// Most stalls kept. A window with more of them is as bad as one with this many.
--- a/crates/placement/src/urgency.rs
+++ b/crates/placement/src/urgency.rs
@@ -6,7 +6,7 @@
 use crate::permit::Quota;
 use crate::Millis;
 
-/// How long a class counts as present after its last request for a permit.
+/// Time for which a class counts as present after its last request for a permit.
 const PRESENCE_WINDOW: Millis = 2_000;
 
 /// A class that has waited this long for a permit gets one whichever other classes are present, so that none starves.
@@ -26,9 +26,9 @@
 /// The classes that request permits for one server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FairShare {
-    /// When each class last requested a permit; `None` before the first request.
+    /// Time of each class's last request for a permit; `None` before the first.
     last_requested: PerUrgency<Option<Millis>>,
-    /// Since when each class has been waiting for a permit; `None` if it isn't.
+    /// Start of each class's wait for a permit; `None` if it isn't waiting.
     waiting_since: PerUrgency<Option<Millis>>,
 }
 
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -85,7 +85,7 @@
     Update { to: usize, limit_update: LimitUpdate },
 }
 
-/// How limits are enforced.
+/// Ways to enforce limits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Enforcement {
     /// One box grants permits for each request.
@@ -99,7 +99,7 @@
     enforcement: Enforcement,
     boxes: Vec<Placement>,
     owner: Owner,
-    /// When a box may next send to a server, by its share.
+    /// Time at which a box may next send to a server, by its share.
     shares: BTreeMap<(usize, usize), u64>,
     rng: ChaCha8Rng,
     /// Parts that prompts share.
