--- a/crates/placement/src/admission.rs
+++ b/crates/placement/src/admission.rs
@@ -22,12 +22,12 @@
         self.last_request[class_index(urgency)] = Some(now);
     }
 
-    /// True when a request may be sent although it would wait `wait_ms` for a slot.
+    /// True if a request may be sent although it would wait `wait_ms` for a slot.
     ///
     /// Each more urgent class that is present reduces the wait allowed to a half, a third, and so on, so that less
     /// urgent classes are refused first.
     pub(crate) fn admits(&self, request: &PlacementRequest<'_>, wait_ms: f64) -> bool {
-        let present = |seen: &&Option<Millis>| seen.is_some_and(|at| request.now < at + PRESENCE_WINDOW);
+        let present = |last: &&Option<Millis>| last.is_some_and(|at| request.now < at + PRESENCE_WINDOW);
         let more_urgent = self.last_request[..class_index(request.urgency)].iter().filter(present).count();
         wait_ms <= request.target.as_secs_f64() * 1e3 / (1.0 + more_urgent as f64)
     }
--- a/crates/placement/src/cold.rs
+++ b/crates/placement/src/cold.rs
@@ -85,11 +85,11 @@
 impl Disconnect {
     /// Returns until when a server counts as cold that reported this at `at`; 0 if nothing suggests a restart.
     pub(crate) fn cold_until(self, cold: &ColdStart, at: Millis) -> Millis {
-        let time = cold.duration.as_millis() as Millis;
+        let duration = cold.duration.as_millis() as Millis;
         match self {
             Self::None => 0,
-            Self::Open => at + time,
-            Self::Over(ago) => (at + time).saturating_sub(ago.into()),
+            Self::Open => at + duration,
+            Self::Over(ago) => (at + duration).saturating_sub(ago.into()),
         }
     }
 }
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -6,7 +6,7 @@
 use crate::{CostEstimate, Load, PlacementRequest, Prefill, Prompt, Speed, Work};
 use routing::Engine;
 
-/// Cost of a first event exactly at its latency target while it is in time: sooner is better, all else being equal.
+/// Cost of a first event at its latency target that is still in time: sooner is better, all else being equal.
 const WAIT_WEIGHT: f64 = 0.3;
 
 /// Cost of prefilling a thousand shared tokens again, beyond its time. From the price sheets: 0.09 to 0.31 of an
@@ -142,19 +142,19 @@
 
     /// Returns the cost of choosing a server on the side of the split that is meant for other prompts.
     fn other_side_cost(&self, member: &Member) -> f64 {
-        let meant = if self.split.prefers_long(member.position) { self.longness } else { 1.0 - self.longness };
-        OTHER_SIDE_COST * (1.0 - meant)
+        let suitability = if self.split.prefers_long(member.position) { self.longness } else { 1.0 - self.longness };
+        OTHER_SIDE_COST * (1.0 - suitability)
     }
 
     /// Returns how long a request waits for a slot if all are taken by others of at least its urgency.
     fn slot_wait_ms(&self, member: &Member, load: &Load) -> f64 {
         let before = load.not_displaced_by(self.request.urgency);
-        let ends = f64::from(before.saturating_add(1).saturating_sub(member.server.slots));
+        let completions = f64::from(before.saturating_add(1).saturating_sub(member.server.slots));
         let interval_ms = self.request.status(&member.server.id).map_or(0.0, |status| status.completion_interval_ms);
         // Without recent completions, none is expected before the latency target.
         let interval_ms =
             if interval_ms > 0.0 { f64::from(interval_ms) } else { self.request.target.as_secs_f64() * 1e3 };
-        ends * interval_ms
+        completions * interval_ms
     }
 
     /// Returns the load that a request adds to a server that has `unread` of its tokens to read.
--- a/crates/placement/src/least_squares.rs
+++ b/crates/placement/src/least_squares.rs
@@ -47,13 +47,13 @@
         let features = features.map(|value| value / scale);
         let error = ((took_ms - expected) / scale).clamp(-MAX_ERROR_RATIO, MAX_ERROR_RATIO);
         let error = if error < 0.0 { error * shorter_weight } else { error };
-        let carried = self.covariance.map(|row| dot(&row, &features));
-        let denominator = FORGETTING_FACTOR * NOISE_VARIANCE + dot(&features, &carried);
-        let gain = carried.map(|value| value / denominator);
+        let projected = self.covariance.map(|row| dot(&row, &features));
+        let denominator = FORGETTING_FACTOR * NOISE_VARIANCE + dot(&features, &projected);
+        let gain = projected.map(|value| value / denominator);
         for ((weight, row), gain) in self.weights.iter_mut().zip(&mut self.covariance).zip(gain) {
             *weight += gain * error;
-            for (value, carried) in row.iter_mut().zip(carried) {
-                *value = (*value - gain * carried) / FORGETTING_FACTOR;
+            for (value, projected) in row.iter_mut().zip(projected) {
+                *value = (*value - gain * projected) / FORGETTING_FACTOR;
             }
         }
         self.bound_covariance();
--- a/crates/placement/src/order.rs
+++ b/crates/placement/src/order.rs
@@ -60,25 +60,25 @@
         }
     }
 
-    /// Returns the first `most` servers at or after hash `from`, wrapping around at the end of the ring, each with
+    /// Returns the first `max` servers at or after hash `from`, wrapping around at the end of the ring, each with
     /// its hash. Each server is returned for about the same share of all values of `from`, and most of the result
     /// stays the same when some servers come or go.
-    pub(crate) fn following(&self, from: u64, most: usize) -> impl Iterator<Item = (u64, &str)> {
+    pub(crate) fn following(&self, from: u64, max: usize) -> impl Iterator<Item = (u64, &str)> {
         let start = (from, String::new());
         let (before, after) = (self.ring.range(..start.clone()), self.ring.range(start..));
-        after.chain(before).take(most).map(|(hash, id)| (*hash, id.as_str()))
+        after.chain(before).take(max).map(|(hash, id)| (*hash, id.as_str()))
     }
 
     /// Reports the positions of servers whose position may have changed since the last call. Positions run from 0 to
     /// 1 and interleave the halls, so that a range of the order covers about the same share of each hall.
-    pub(crate) fn report_moved(&mut self, mut tell: impl FnMut(&str, f64)) {
+    pub(crate) fn report_moved(&mut self, mut report: impl FnMut(&str, f64)) {
         let moved = std::mem::take(&mut self.moved_halls);
         let count = self.halls.len() as f64;
         for (turn, (hall, servers)) in self.halls.iter().enumerate().filter(|(_, (hall, _))| moved.contains(*hall)) {
             let first = (turn as f64 + 0.5) / count;
             debug_assert!(!servers.is_empty(), "{hall} has servers");
             for (index, (_, id)) in servers.iter().enumerate() {
-                tell(id, (index as f64 + first) / servers.len() as f64);
+                report(id, (index as f64 + first) / servers.len() as f64);
             }
         }
     }
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -196,11 +196,11 @@
 
     /// Grants or denies a permit; a request with a permit counts as sent. The quotas apply to all boxes together, and
     /// so does this count.
-    pub fn on_permit_request(&mut self, permit: &PermitRequest, now: Millis) -> PermitReply {
-        let owned = self.owned(&permit.server, now);
-        let Quotas { cold, limit } = &permit.quotas;
+    pub fn on_permit_request(&mut self, request: &PermitRequest, now: Millis) -> PermitReply {
+        let owned = self.owned(&request.server, now);
+        let Quotas { cold, limit } = &request.quotas;
         let retry_at = limit.as_ref().map_or(now, |quota| {
-            let stretched = owned.fair_share.quota_for(permit.urgency, quota, now);
+            let stretched = owned.fair_share.quota_for(request.urgency, quota, now);
             // Permits that a former owner granted are unknown here: at first, they are assumed to fill the quota.
             owned.arrivals.free_at(&stretched, now).max(owned.since + quota.window)
         });
@@ -209,7 +209,7 @@
             return PermitReply::Denied { retry_ms: retry_at - now };
         }
         owned.arrivals.record(now);
-        owned.fair_share.record_granted(permit.urgency);
+        owned.fair_share.record_granted(request.urgency);
         PermitReply::Granted
     }
 
@@ -252,8 +252,8 @@
 impl OwnedServer {
     fn record_sent(&mut self, key: (SocketAddr, u64), parts: Vec<Part>, work: Work, memory: u64, now: Millis) {
         let ahead = self.remaining_prefill(now).plus(work.prefill);
-        let reading = if work.long { &mut self.long_prefill } else { &mut self.short_prefill };
-        reading.record(self.estimator.speed().prefill_ms(work.prefill), now);
+        let rate = if work.long { &mut self.long_prefill } else { &mut self.short_prefill };
+        rate.record(self.estimator.speed().prefill_ms(work.prefill), now);
         self.load.record_sent(work);
         self.cached.touch(&parts, memory, now);
         self.stalls.record(self.estimator.speed().expected_stall_ms(ahead), now);
@@ -274,9 +274,10 @@
     fn remaining_prefill(&self, now: Millis) -> Prefill {
         let unread = || self.leases.values().filter(|lease| lease.prefilled_at.is_none());
         let Some(first) = unread().min_by_key(|lease| lease.sent_at) else { return self.load.prefill };
-        let since = now.saturating_sub(first.sent_at.max(self.last_prefilled)) as f64;
-        let takes = self.estimator.speed().prefill_ms(first.work.prefill).max(1.0);
-        let left = self.load.prefill.minus(first.work.prefill.scaled((since / takes).min(MAX_PARTIAL_PREFILL_RATIO)));
+        let elapsed = now.saturating_sub(first.sent_at.max(self.last_prefilled)) as f64;
+        let expected_ms = self.estimator.speed().prefill_ms(first.work.prefill).max(1.0);
+        let left =
+            self.load.prefill.minus(first.work.prefill.scaled((elapsed / expected_ms).min(MAX_PARTIAL_PREFILL_RATIO)));
         Prefill { depth: unread().map(|lease| lease.work.prefill.depth).max().unwrap_or_default(), ..left }
     }
 
@@ -320,8 +321,8 @@
 
     /// Updates the speed estimate from a complete answer.
     fn update_estimator(&mut self, lease: &Lease, pause_ms: u32, now: Millis) {
-        let Some(read) = lease.prefilled_at else { return };
-        self.estimator.record_answer(lease.work.out, now.saturating_sub(read) as f64);
+        let Some(prefilled_at) = lease.prefilled_at else { return };
+        self.estimator.record_answer(lease.work.out, now.saturating_sub(prefilled_at) as f64);
         let (beside, since) = lease.prefill_beside;
         // An answer that ended before this prefill was done shows nothing about it.
         if now.saturating_sub(since) as f64 > self.estimator.speed().prefill_ms(beside) {
--- a/crates/placement/src/placement.rs
+++ b/crates/placement/src/placement.rs
@@ -92,8 +92,8 @@
     }
 
     /// Applies a new published state. The time taken depends on the differences to the former one.
-    pub fn update(&mut self, in_force: &Snapshot<'_>, now: Millis) {
-        let Snapshot { table, directory, evacuations } = in_force;
+    pub fn update(&mut self, snapshot: &Snapshot<'_>, now: Millis) {
+        let Snapshot { table, directory, evacuations } = snapshot;
         for name in table.services.keys() {
             self.pools.entry(name.clone()).or_insert_with(|| Pool::new(self.seed));
         }
@@ -265,7 +265,7 @@
     #[must_use]
     pub fn may_send(&self, service: &str, id: &str, permitted: bool, now: Millis) -> bool {
         let Some(pool) = self.pools.get(service) else { return true };
-        let open = pool.admission_state(id, now).is_some_and(|standing| !standing.is_blocked());
+        let open = pool.admission_state(id, now).is_some_and(|state| !state.is_blocked());
         open && (permitted || !pool.is_limited(id))
     }
 
@@ -349,7 +349,7 @@
         }
     }
 
-    /// Records a bad outcome of a send that has not been recorded with its end.
+    /// Records a failed send whose end has not been recorded as a failure.
     pub fn record_ending(&mut self, service: &str, id: &str, ending: Ending, now: Millis) {
         if let Some(pool) = self.pools.get_mut(service) {
             pool.record_ending(id, ending, now);
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -241,7 +241,7 @@
         if sample.servers.len() < self.members.len() {
             let drawn = self.order.following(routing::rank(own, "own"), MAX_OTHERS);
             let drawn = drawn.filter_map(|(_, id)| self.members.get(id));
-            let others: Vec<&Member> = drawn.filter(|member| !sample.keeps(member)).collect();
+            let others: Vec<&Member> = drawn.filter(|member| !sample.may_cache(member)).collect();
             sample.servers.extend(others);
         }
         sample
@@ -254,8 +254,8 @@
         sample: &Sample<'a>,
         eligible: &[&'a Member],
     ) -> CostModel<'a> {
-        let heard = self.with_status.iter().filter_map(|id| self.members.get(id));
-        let speed = Speed::mean(heard.filter_map(Member::speed), MAX_SPEED_SAMPLES);
+        let reported = self.with_status.iter().filter_map(|id| self.members.get(id));
+        let speed = Speed::mean(reported.filter_map(Member::speed), MAX_SPEED_SAMPLES);
         let longness = request.prompt.map_or(0.0, |prompt| {
             split::longness(
                 speed.prefill_ms(Prefill::tail(prompt.tokens, prompt.tokens, speed.chunk_tokens())),
@@ -263,7 +263,7 @@
             )
         });
         let long = split::is_long(longness);
-        let holders = || eligible.iter().copied().filter(|member| sample.keeps(member));
+        let holders = || eligible.iter().copied().filter(|member| sample.may_cache(member));
         let ranked = request.prompt.map_or_else(Vec::new, |prompt| homes(holders(), prompt));
         let side: Vec<&Member> =
             ranked.iter().copied().filter(|m| self.split.prefers_long(m.position) == long).collect();
@@ -285,7 +285,9 @@
     fn source<'a>(&'a self, request: &PlacementRequest<'_>, sample: &Sample<'a>) -> Option<Source<'a>> {
         let shared = request.prompt?.shared();
         let read = |m: &Member| {
-            m.cached.confirmed_prefix(shared).max(request.status(&m.server.id).map_or(0, |o| o.confirmed_tokens))
+            m.cached
+                .confirmed_prefix(shared)
+                .max(request.status(&m.server.id).map_or(0, |status| status.confirmed_tokens))
         };
         let sources = sample.servers.iter().copied().filter(|member| may_serve_fetch(member, request));
         let best = sources.max_by_key(|m| (read(m), self.rank(m)))?;
@@ -309,14 +311,14 @@
     /// it splits the engines, and two, so that the directory survives if one of them goes or a new server ranks
     /// first.
     fn cache_directories(&self, part: u64, now: Millis) -> Vec<&Member> {
-        let mut open = self.part_sample(part).servers;
-        open.retain(|member| !member.admission_state(now).is_closed());
+        let mut servers = self.part_sample(part).servers;
+        servers.retain(|member| !member.admission_state(now).is_closed());
         let rank = |member: &&Member| Reverse(routing::rank(part, &member.server.id));
-        if open.len() > CACHE_DIRECTORIES_PER_PART {
-            open.select_nth_unstable_by_key(CACHE_DIRECTORIES_PER_PART - 1, rank);
-            open.truncate(CACHE_DIRECTORIES_PER_PART);
+        if servers.len() > CACHE_DIRECTORIES_PER_PART {
+            servers.select_nth_unstable_by_key(CACHE_DIRECTORIES_PER_PART - 1, rank);
+            servers.truncate(CACHE_DIRECTORIES_PER_PART);
         }
-        open
+        servers
     }
 
     /// Returns the cache directories to notify of a choice: one that reads or fetches shared parts outside their
@@ -357,21 +359,21 @@
 
     /// Returns those of these servers that are eligible for a request.
     fn eligible_of<'a>(&self, sample: &[&'a Member], request: &PlacementRequest<'_>) -> Vec<&'a Member> {
-        let mut sound = Vec::with_capacity(sample.len());
-        let (mut doubted, mut paused) = (Vec::new(), Vec::new());
+        let mut healthy = Vec::with_capacity(sample.len());
+        let (mut unconfirmed, mut paused) = (Vec::new(), Vec::new());
         for member in sample.iter().copied().filter(|member| self.may_receive(member, request)) {
             match member.admission_state(request.now) {
-                AdmissionState::Open => sound.push(member),
+                AdmissionState::Open => healthy.push(member),
                 _ if self.is_full(member, request) => {}
-                AdmissionState::Cold | AdmissionState::Limited => sound.push(member),
-                AdmissionState::Unconfirmed => doubted.push(member),
+                AdmissionState::Cold | AdmissionState::Limited => healthy.push(member),
+                AdmissionState::Unconfirmed => unconfirmed.push(member),
                 AdmissionState::Paused => paused.push(member),
                 AdmissionState::BackingOff | AdmissionState::Evacuated | AdmissionState::Leaving => {}
             }
         }
-        match (sound.is_empty(), doubted.is_empty()) {
-            (false, _) => sound,
-            (true, false) => doubted,
+        match (healthy.is_empty(), unconfirmed.is_empty()) {
+            (false, _) => healthy,
+            (true, false) => unconfirmed,
             (true, true) => first_to_resume(&paused),
         }
     }
@@ -452,8 +454,8 @@
         {
             return Refusal::Limited { retry_ms };
         }
-        let resting = in_region.filter(|member| member.admission_state(request.now) == AdmissionState::BackingOff);
-        let first_back = resting.map(|member| member.back_off_until - request.now).min();
+        let backing_off = in_region.filter(|member| member.admission_state(request.now) == AdmissionState::BackingOff);
+        let first_back = backing_off.map(|member| member.back_off_until - request.now).min();
         first_back.map_or(Refusal::NoServer, |retry_ms| Refusal::BackingOff { retry_ms })
     }
 
@@ -468,9 +470,9 @@
         eligible: &[&'a Member],
         model: &CostModel<'a>,
     ) -> Vec<Candidate<'a>> {
-        let heard = |m: &&&'a Member| request.status(&m.server.id).is_some() && !self.is_at_cold_quota(m, request);
+        let has_status = |m: &&&'a Member| request.status(&m.server.id).is_some() && !self.is_at_cold_quota(m, request);
         let mut candidates: Vec<Candidate<'a>> =
-            eligible.iter().filter(heard).map(|member| model.candidate(member)).collect();
+            eligible.iter().filter(has_status).map(|member| model.candidate(member)).collect();
         if candidates.is_empty() {
             return eligible.iter().map(|member| model.candidate(member)).collect();
         }
@@ -485,13 +487,13 @@
 
     /// Records the effects of a choice: a half-open probe, and the parts that will be cached.
     fn record_choice(&mut self, choice: &Choice, request: &PlacementRequest<'_>) {
-        let max = self.cache_capacity();
+        let max_tokens = self.cache_capacity();
         let Some(member) = self.members.get_mut(&choice.server.id) else { return };
         if member.health.is_half_open(request.now) {
             member.health.begin_probe(request.now);
         }
         if let Some(prompt) = request.prompt {
-            member.cached.touch(&prompt.parts, max, request.now);
+            member.cached.touch(&prompt.parts, max_tokens, request.now);
         }
     }
 
--- a/crates/placement/src/quarantine.rs
+++ b/crates/placement/src/quarantine.rs
@@ -20,7 +20,7 @@
 /// servers terminates exactly as many (`placement/tests/quarantine.rs`).
 const TERMINATIONS_TO_HOLD: usize = 3;
 
-/// Time between an observed termination and an answer of the server that disproves it. Data sent before the
+/// Minimum time between an observed termination and an answer of the server that disproves it. Data sent before the
 /// termination may be read late, by a box that had no processor time for some tenths of a second.
 const DISPROOF_DELAY_MS: i64 = 1_000;
 
@@ -336,9 +336,9 @@
         }
         let weight = |suspect: &Suspect| (suspect.is_held(), suspect.ends.len(), suspect.changed);
         let mut weights: Vec<_> = self.suspects.values().map(weight).collect();
-        let (_, least, _) = weights.select_nth_unstable(EVICTION_BATCH);
-        let least = *least;
-        self.retain(|suspect| weight(suspect) > least);
+        let (_, threshold, _) = weights.select_nth_unstable(EVICTION_BATCH);
+        let threshold = *threshold;
+        self.retain(|suspect| weight(suspect) > threshold);
     }
 
     fn retain(&mut self, keep: impl Fn(&Suspect) -> bool) {
@@ -408,8 +408,8 @@
     /// Returns the index of the least significant termination: the last one that is not sequential, or else the last
     /// of all.
     fn least_significant(&self) -> usize {
-        let in_turn = self.sequential();
-        (0..self.ends.len()).rev().find(|index| !in_turn.contains(index)).unwrap_or(self.ends.len() - 1)
+        let sequential = self.sequential();
+        (0..self.ends.len()).rev().find(|index| !sequential.contains(index)).unwrap_or(self.ends.len() - 1)
     }
 
     /// Returns when it may be tried, counted from when it was held; `None` if it was tried often enough.
--- a/crates/placement/src/retry_budget.rs
+++ b/crates/placement/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Budget of second sends per service.
+//! Budget of retries (second sends) per service.
 
 use crate::Millis;
 use std::collections::VecDeque;
--- a/crates/placement/src/sample.rs
+++ b/crates/placement/src/sample.rs
@@ -19,7 +19,7 @@
     }
 
     /// True for a server that may cache what the request shares.
-    pub(crate) fn keeps(&self, member: &Member) -> bool {
+    pub(crate) fn may_cache(&self, member: &Member) -> bool {
         routing::rank(0, &member.server.id).wrapping_sub(self.from) <= self.span
     }
 }
--- a/crates/placement/src/split.rs
+++ b/crates/placement/src/split.rs
@@ -82,17 +82,17 @@
 /// If there is enough for both, each gets its part in proportion. Otherwise short prompts get what they need, up to
 /// half: prefill can wait in a queue, while an answer stalled by prefill is late.
 fn share(long: f64, short: f64) -> f64 {
-    let even = short / (long + short);
-    1.0 - even.max(short.min(MAX_SHORT_PRIORITY_RATIO))
+    let proportional = short / (long + short);
+    1.0 - proportional.max(short.min(MAX_SHORT_PRIORITY_RATIO))
 }
 
 /// Returns how much a prompt counts as long, from 0 to 1, given its prefill time and the shortest gap limit in the
 /// pool, both in milliseconds; 0 without a gap limit.
-pub(crate) fn longness(read_ms: f64, gap_ms: f64) -> f64 {
+pub(crate) fn longness(prefill_ms: f64, gap_ms: f64) -> f64 {
     if gap_ms <= 0.0 {
         return 0.0;
     }
-    (read_ms / (LONG_PREFILL_RATIO * gap_ms) - 0.5).clamp(0.0, 1.0)
+    (prefill_ms / (LONG_PREFILL_RATIO * gap_ms) - 0.5).clamp(0.0, 1.0)
 }
 
 /// True if a prompt counts as long.
--- a/crates/placement/src/urgency.rs
+++ b/crates/placement/src/urgency.rs
@@ -42,9 +42,9 @@
         if now >= since + STARVATION_TIMEOUT {
             return *quota;
         }
-        let present = |asked: &&Option<Millis>| asked.is_some_and(|at| now < at + PRESENCE_WINDOW);
-        let before = self.last_requested[..class].iter().filter(present).count() as Millis;
-        Quota { window: quota.window * (1 + before), ..*quota }
+        let present = |last: &&Option<Millis>| last.is_some_and(|at| now < at + PRESENCE_WINDOW);
+        let more_urgent = self.last_requested[..class].iter().filter(present).count() as Millis;
+        Quota { window: quota.window * (1 + more_urgent), ..*quota }
     }
 
     /// Records that a permit was granted.
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -210,9 +210,9 @@
 
 /// Status of a server with this many answers that have a gap limit of [`SHORT_GAP`], and with this stall length.
 fn with_gap_limits(answers: u32, stall_ms: f32) -> ServerStatus {
-    let paces = [(SHORT_GAP.as_millis() as u32, answers)].into_iter().filter(|(_, count)| *count > 0).collect();
+    let gap_limits = [(SHORT_GAP.as_millis() as u32, answers)].into_iter().filter(|(_, count)| *count > 0).collect();
     ServerStatus {
-        load: Load { running: answers, gap_limits: paces, ..Load::default() },
+        load: Load { running: answers, gap_limits, ..Load::default() },
         cached_tokens: 28_000,
         confirmed_tokens: 28_000,
         speed: speed(stall_ms),
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -141,13 +141,13 @@
         self.arrived.entry(id.clone()).or_default().push(arrives);
         if connected {
             let permitted = choice.permit_quotas.is_some();
-            let update_sent =
+            let sent_update =
                 SendUpdate::Sent { parts: prompt.parts, work: Work::default(), memory: 300_000, permitted };
             let from = SocketAddr::from(([10, 1, 0, index as u8], 80));
             let number = self.number();
-            self.owner.on_report(from, SendReport { number, server: id.clone(), update: update_sent }, now);
-            let over = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
-            self.owner.on_report(from, SendReport { number, server: id, update: over }, now);
+            self.owner.on_report(from, SendReport { number, server: id.clone(), update: sent_update }, now);
+            let ended = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
+            self.owner.on_report(from, SendReport { number, server: id, update: ended }, now);
         }
     }
 
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -156,7 +156,7 @@
         self.bodies.insert(number, message);
     }
 
-    fn may(&mut self, from: usize, server: usize, quotas: Quotas, urgency: u8) -> PermitReply {
+    fn request_permit(&mut self, from: usize, server: usize, quotas: Quotas, urgency: u8) -> PermitReply {
         match self.enforcement {
             Enforcement::Permits => {
                 let permit = PermitRequest { number: self.number(), server: format!("s{server}"), quotas, urgency };
@@ -213,15 +213,17 @@
             };
             let id = choice.server.id.clone();
             let server: usize = id[1..].parse().expect("a number");
-            let reply =
-                choice.permit_quotas.map_or(PermitReply::Granted, |quotas| self.may(from, server, quotas, urgency));
+            let reply = choice
+                .permit_quotas
+                .map_or(PermitReply::Granted, |quotas| self.request_permit(from, server, quotas, urgency));
             match reply {
                 PermitReply::Granted => {
                     self.outcomes[less_urgent].0 += 1;
                     let (sent, number) = (self.now, self.number());
                     let permitted = choice.permit_quotas.is_some();
-                    let news = SendUpdate::Sent { parts: prompt.parts, work: choice.work, memory: 300_000, permitted };
-                    self.owner.on_report(address(from), SendReport { number, server: id, update: news }, sent);
+                    let sent_update =
+                        SendUpdate::Sent { parts: prompt.parts, work: choice.work, memory: 300_000, permitted };
+                    self.owner.on_report(address(from), SendReport { number, server: id, update: sent_update }, sent);
                     return self.send(0, Message::Request { from, sent, server, number });
                 }
                 PermitReply::Denied { retry_ms } => {
@@ -232,7 +234,7 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn deliver(&mut self, message: Message) {
         match message {
             Message::Request { from, sent, server, number } => {
                 self.arrived[server].push(self.now);
@@ -243,12 +245,12 @@
             }
             Message::Answer { to, sent, server, number, limit } => {
                 let id = format!("s{server}");
-                let news = self.boxes[to].record_limit(&id, limit, sent, self.now);
-                let over = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
-                self.owner.on_report(address(to), SendReport { number, server: id, update: over }, self.now);
-                self.updates_sent += usize::from(news.is_some());
-                for other in (0..self.boxes.len()).filter(|other| *other != to && news.is_some()) {
-                    let limit_update = news.clone().expect("just looked");
+                let new_limit = self.boxes[to].record_limit(&id, limit, sent, self.now);
+                let ended = SendUpdate::Ended { ending: Ending::Good, pause_ms: 0 };
+                self.owner.on_report(address(to), SendReport { number, server: id, update: ended }, self.now);
+                self.updates_sent += usize::from(new_limit.is_some());
+                for other in (0..self.boxes.len()).filter(|other| *other != to && new_limit.is_some()) {
+                    let limit_update = new_limit.clone().expect("just looked");
                     self.send(0, Message::Update { to: other, limit_update });
                 }
             }
@@ -266,7 +268,7 @@
                 self.messages.pop();
                 assert!(at <= self.now);
                 let message = self.bodies.remove(&number).expect("it is on its way");
-                self.take(message);
+                self.deliver(message);
             }
             let mut due = rate / 1e3;
             while due > 0.0 && self.rng.random_bool(due.min(1.0)) {
@@ -279,7 +281,7 @@
     }
 
     /// Returns the most requests that a server received within one window between these times.
-    fn most(&self, server: usize, from: u64, until: u64) -> usize {
+    fn max_in_window(&self, server: usize, from: u64, until: u64) -> usize {
         let times: Vec<u64> = self.arrived[server].iter().copied().filter(|at| (from..until).contains(at)).collect();
         let within = |first: usize| times[first..].iter().take_while(|at| **at < times[first] + WINDOW_MS).count();
         (0..times.len()).map(within).max().unwrap_or_default()
@@ -302,7 +304,7 @@
             fleet.run(15_000, 300.0);
             for (server, per_s) in [(0, per_s), (1, 2.0 * per_s)] {
                 let what = format!("{boxes} boxes, server {server}, {per_s} a second");
-                let most = fleet.most(server, named + GRACE_MS, fleet.now) as f64;
+                let most = fleet.max_in_window(server, named + GRACE_MS, fleet.now) as f64;
                 assert!(most <= allowed(per_s), "{what}: {most} in four seconds");
                 let capacity = per_s * (fleet.now - named - GRACE_MS) as f64 / 1e3;
                 let received = fleet.received(server, named + GRACE_MS, fleet.now);
@@ -323,7 +325,7 @@
         fleet.run(12_000, 100.0);
         let mut received = 0.0;
         for server in 0..SERVERS {
-            assert!(fleet.most(server, GRACE_MS, fleet.now) as f64 <= allowed(3.0));
+            assert!(fleet.max_in_window(server, GRACE_MS, fleet.now) as f64 <= allowed(3.0));
             received += fleet.received(server, GRACE_MS, fleet.now);
         }
         let capacity = 3.0 * SERVERS as f64 * 12.0;
@@ -361,7 +363,7 @@
             fleet.limits[0] = Limit::PerS(per_s);
             fleet.run(100, 300.0);
         }
-        let most = fleet.most(0, GRACE_MS, fleet.now) as f64;
+        let most = fleet.max_in_window(0, GRACE_MS, fleet.now) as f64;
         assert!(most <= allowed(4.0), "seed {seed}: {most}");
     }
 }
@@ -430,7 +432,10 @@
                 fleet.limits = vec![Limit::PerS(per_s); SERVERS];
                 fleet.run(15_000, 100.0);
                 let received: f64 = (0..SERVERS).map(|server| fleet.received(server, GRACE_MS, fleet.now)).sum();
-                let most = (0..SERVERS).map(|server| fleet.most(server, GRACE_MS, fleet.now)).max().unwrap_or_default();
+                let most = (0..SERVERS)
+                    .map(|server| fleet.max_in_window(server, GRACE_MS, fleet.now))
+                    .max()
+                    .unwrap_or_default();
                 let capacity = per_s * SERVERS as f64 * 12.0;
                 println!(
                     "{enforcement:?}: {boxes} boxes, {per_s} a second: {:.2} of it used, {most} of {:.1} in four seconds",
