--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -173,7 +173,7 @@
 /// A problem is sent as an event and followed by an error that aborts the connection, so that the answer can't be taken
 /// for a complete one.
 async fn next_part(state: StreamState) -> Option<(Result<Bytes, std::io::Error>, StreamState)> {
-    let cut = || std::io::Error::other("answer truncated");
+    let truncated = || std::io::Error::other("answer truncated");
     let (first, mut parts) = state?;
     if let Some(first) = first {
         return Some((Ok(first), Some((None, parts))));
@@ -188,7 +188,7 @@
             parts.close();
             Some((Ok(Bytes::from(problem.event())), Some((None, parts))))
         }
-        None => Some((Err(cut()), None)),
+        None => Some((Err(truncated()), None)),
     }
 }
 
--- a/crates/gateway/src/guards.rs
+++ b/crates/gateway/src/guards.rs
@@ -83,8 +83,8 @@
         let mut pending = PendingAcquire { control: Arc::clone(control), number: next_number(), resolved: false };
         let (reply, answer) = oneshot::channel();
         control.submit(ControlRequest::Acquire { number: pending.number, acquire, reply });
-        let gone = Refusal { reason: Reason::NotReady, retry_ms: 1_000 };
-        let answer = answer.await.unwrap_or(Err(gone));
+        let unavailable = Refusal { reason: Reason::NotReady, retry_ms: 1_000 };
+        let answer = answer.await.unwrap_or(Err(unavailable));
         // From here on either the lease returns itself on drop, or there is nothing to cancel.
         pending.resolved = true;
         let LeaseGrant { server, permit, recalled } = answer?;
--- a/crates/gateway/src/hangup.rs
+++ b/crates/gateway/src/hangup.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Interval before the first socket check. It doubles with each check up to [`MAX_CHECK_INTERVAL`].
+/// Interval after the first socket check. It doubles with each further check up to [`MAX_CHECK_INTERVAL`].
 ///
 /// Each check costs a wake-up, and a long streamed answer detects the disconnection by its own writes.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -94,7 +94,7 @@
     pub code: Code,
     /// Human-readable message.
     pub message: String,
-    /// Whether the request ran.
+    /// Execution state of the request: it ran, did not run, or that is unknown.
     pub ran: Ran,
     /// Delay after which the caller may retry.
     pub retry_ms: Option<u32>,
--- a/crates/gateway/src/request_driver.rs
+++ b/crates/gateway/src/request_driver.rs
@@ -94,7 +94,7 @@
         };
         let Err((problem, metrics)) = result else { return };
         metrics.finish(problem.outcome());
-        ::metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
+        metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
         if problem.ran == Ran::Unknown && problem.code != Code::KeyUsed {
             let detail = format_args!("class={} code={}", self.caller.class.name, problem.code.as_str());
             telemetry::emit(Event::OutcomeUnknown, detail);
@@ -230,13 +230,13 @@
 
     async fn attempt(&mut self, mut lease: Lease, sent: Sent, delivery: &mut Delivery) -> Result<(), AttemptError> {
         lease.mark_used();
-        let began = Instant::now();
+        let started = Instant::now();
         let tokens = tokio::select! {
-            started = self.engine.start(lease.server.address, &self.call) => started,
+            result = self.engine.start(lease.server.address, &self.call) => result,
             Ok(()) = &mut lease.recalled => return Err(AttemptError::Recalled(sent)),
         };
         match tokens {
-            Ok(tokens) => self.forward_tokens(tokens, lease, sent, delivery, began).await,
+            Ok(tokens) => self.forward_tokens(tokens, lease, sent, delivery, started).await,
             Err(Failure::Unreached(_)) => {
                 lease.report.failed = true;
                 Err(AttemptError::Unreached(sent))
@@ -259,9 +259,9 @@
         mut lease: Lease,
         sent: Sent,
         delivery: &mut Delivery,
-        began: Instant,
+        started: Instant,
     ) -> Result<(), AttemptError> {
-        let mut timer = TokenTimer::new(began);
+        let mut timer = TokenTimer::new(started);
         loop {
             let event = tokio::select! {
                 event = tokens.next() => event,
@@ -309,22 +309,22 @@
 
 /// Returns the stage after a failed attempt, or the problem that ends the request.
 fn next_stage(error: AttemptError, failures: u32) -> Result<Stage, Option<Problem>> {
-    let spent = failures >= MAX_ATTEMPTS;
+    let exhausted = failures >= MAX_ATTEMPTS;
     match error {
         AttemptError::CallerGone => Err(None),
         AttemptError::Recalled(sent) => retry_stage(sent, "the request can't be resumed"),
         AttemptError::Unreached(sent) => {
             let stage = Stage::after_unreached(sent);
-            if spent {
+            if exhausted {
                 let message = "no upstream could be reached";
                 return Err(Some(Problem::after_send(Code::NoServer, message, stage.refuse()).with_retry_ms(1_000)));
             }
             Ok(stage)
         }
-        AttemptError::Broken(sent, why) if spent => Err(Some(upstream_failed(&why, sent.finish(false)))),
+        AttemptError::Broken(sent, why) if exhausted => Err(Some(upstream_failed(&why, sent.finish(false)))),
         AttemptError::Broken(sent, why) => retry_stage(sent, &why),
         AttemptError::Refused(sent, status, body) => {
-            if (500..600).contains(&status) && !spent {
+            if (500..600).contains(&status) && !exhausted {
                 return match sent.retry() {
                     Ok(resend) => Ok(Stage::Resend(resend)),
                     Err(sent) => Err(Some(upstream_refused(status, body, sent.finish(false)))),
@@ -344,7 +344,8 @@
 }
 
 fn upstream_refused(status: u16, body: Vec<u8>, ran: Ran) -> Problem {
-    let problem = Problem::after_send(Code::UpstreamRefused, format!("the upstream answered {status}"), ran);
+    let problem =
+        Problem::after_send(Code::UpstreamRefused, format!("the upstream answered with status {status}"), ran);
     Problem { upstream_answer: Some((status, body)), ..problem }
 }
 
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -32,7 +32,7 @@
     match result {
         Ok(answer) => forward_answer(&answer),
         Err(problem) => {
-            ::metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
+            metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
             problem.response()
         }
     }
@@ -66,8 +66,8 @@
     let body = body::read(payload, &app.limits).await?;
     let query = request.query_string();
     let target = if query.is_empty() { format!("/{rest}") } else { format!("/{rest}?{query}") };
-    let kept = request.headers().iter().filter(|(name, _)| !STRIPPED_HEADERS.contains(&name.as_str()));
-    let headers = kept.filter_map(|(n, v)| Some((n.as_str().to_owned(), v.to_str().ok()?.to_owned())));
+    let forwarded = request.headers().iter().filter(|(name, _)| !STRIPPED_HEADERS.contains(&name.as_str()));
+    let headers = forwarded.filter_map(|(n, v)| Some((n.as_str().to_owned(), v.to_str().ok()?.to_owned())));
     let service_request =
         PlainRequest { method, target, headers: headers.collect(), body, repeatable: caller.repeatable };
     let metrics = RequestMetrics::new(&caller.class.name, &caller.label);
@@ -123,10 +123,10 @@
             claim.ran = true;
         }
         lease.mark_used();
-        let began = Instant::now();
+        let started = Instant::now();
         match app.plain.call(lease.server.address, service_request).await {
             Ok(answer) => {
-                lease.report.first_ms = (began.elapsed().as_millis() as u32).max(1);
+                lease.report.first_ms = (started.elapsed().as_millis() as u32).max(1);
                 admission.tokens = 1;
                 return Ok(answer);
             }
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -164,7 +164,7 @@
     }
 
     pub(crate) fn log_choice(&self, choice: &Choice) {
-        let Choice { estimate: expected, work, load, .. } = choice;
+        let Choice { estimate, work, load, .. } = choice;
         let prompt = self.call.prompt.as_ref();
         telemetry::emit(
             Event::ServerChosen,
@@ -173,11 +173,11 @@
                  running={} ahead={} held={} prompt={} shared={} read_ms={:.1} pair_ms={:.2} stall_ms={:.0} stall_depth_ms={:.1}",
                 self.call.id,
                 choice.server.id,
-                expected.cost,
-                expected.wait_ms,
-                expected.stall_probability,
-                expected.others_late,
-                expected.long_share,
+                estimate.cost,
+                estimate.wait_ms,
+                estimate.stall_probability,
+                estimate.others_late,
+                estimate.long_share,
                 work.prefill.tokens,
                 choice.fetch.map_or_else(|| "-".to_owned(), |f| f.to_string()),
                 choice.candidates,
@@ -186,10 +186,10 @@
                 load.held,
                 prompt.map_or(0, |p| p.tokens),
                 prompt.map_or(0, Prompt::shared_tokens),
-                expected.speed.read_ms,
-                expected.speed.pair_ms,
-                expected.speed.stall_ms,
-                expected.speed.stall_depth_ms,
+                estimate.speed.read_ms,
+                estimate.speed.pair_ms,
+                estimate.speed.stall_ms,
+                estimate.speed.stall_depth_ms,
             ),
         );
     }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -194,9 +194,9 @@
     }
 
     fn forward_answer(&mut self, mut parts: http::response::Parts, bytes: Bytes) -> Response<Body> {
-        let promise = [408, 421, 429, 503];
-        if promise.contains(&parts.status.as_u16()) {
-            // These statuses tell the caller that the request did not run, which this server did not state.
+        let not_run_statuses = [408, 421, 429, 503];
+        if not_run_statuses.contains(&parts.status.as_u16()) {
+            // These statuses indicate to the caller that the request did not run, which this server did not state.
             return self.fail_unknown("the server failed");
         }
         strip_hop_by_hop(&mut parts.headers);
@@ -231,7 +231,7 @@
         slot.finish(ending);
         if matches!(ending, Ending::Unreached | Ending::Left) {
             self.unreached += 1;
-            return if self.unreached <= MAX_UNREACHED_SERVERS && self.time_left() {
+            return if self.unreached <= MAX_UNREACHED_SERVERS && self.has_time_left() {
                 NextStep::Retry
             } else {
                 NextStep::GiveUp
@@ -249,18 +249,18 @@
 
     /// Returns true if the route's attempts, the time and the shared retry budget permit another send.
     pub(crate) fn may_send_again(&mut self) -> bool {
-        if self.sends >= self.route.max_attempts || !self.time_left() {
+        if self.sends >= self.route.max_attempts || !self.has_time_left() {
             return false;
         }
         let now = self.shared.now();
-        let taken = self.shared.placement().take_retry(&self.service, now);
-        if !taken {
+        let granted = self.shared.placement().take_retry(&self.service, now);
+        if !granted {
             self.trail.push_str(" budget used up");
         }
-        taken
+        granted
     }
 
-    fn time_left(&self) -> bool {
+    fn has_time_left(&self) -> bool {
         self.left() > MIN_SEND_TIME
     }
 
--- a/crates/relay/src/owner_requests.rs
+++ b/crates/relay/src/owner_requests.rs
@@ -18,8 +18,8 @@
     /// Queries the owner of `server`. Returns `None` if no owner is reachable.
     pub(crate) fn request(shared: &Shared, server: &Arc<Server>, prompt: &Prompt, gap_ms: u32) -> Option<Self> {
         let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
-        let question = StatusQuery { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
-        let answer = shared.peer_client.request_status(server, question)?;
+        let query = StatusQuery { number, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms };
+        let answer = shared.peer_client.request_status(server, query)?;
         Some(Self { server: Arc::clone(server), answer })
     }
 
@@ -43,8 +43,8 @@
     until: Instant,
 ) -> PermitReply {
     let number = shared.numbers.fetch_add(1, Ordering::Relaxed);
-    let permit = PermitRequest { number, server: server.id.clone(), quotas, urgency };
+    let request = PermitRequest { number, server: server.id.clone(), quotas, urgency };
     let denied = PermitReply::Denied { retry_ms: 0 };
-    let Some(answer) = shared.peer_client.request_permit(server, permit) else { return denied };
+    let Some(answer) = shared.peer_client.request_permit(server, request) else { return denied };
     tokio::time::timeout_at(until, answer).await.ok().and_then(Result::ok).unwrap_or(denied)
 }
--- a/crates/relay/src/peer_client.rs
+++ b/crates/relay/src/peer_client.rs
@@ -10,11 +10,11 @@
 /// Sends messages to the owners of servers and to all boxes. Called on traffic threads; must not block.
 pub trait PeerClient: Send + Sync {
     /// Queries the status of `server` from its owner. Returns `None` if no owner is reachable.
-    fn request_status(&self, server: &Server, question: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>>;
+    fn request_status(&self, server: &Server, query: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>>;
 
     /// Requests a permit to send one request to the rate-limited `server`. Returns `None` if the only box that may
     /// grant it is unreachable.
-    fn request_permit(&self, server: &Server, permit: PermitRequest) -> Option<oneshot::Receiver<PermitReply>>;
+    fn request_permit(&self, server: &Server, request: PermitRequest) -> Option<oneshot::Receiver<PermitReply>>;
 
     /// Reports the progress of a request to the owner of `server`. All reports of one lease go to the same box.
     fn report(&self, server: &Server, report: SendReport);
@@ -26,10 +26,10 @@
     fn broadcast_suspects(&self, records: Vec<SuspectRecord>, evidence: Vec<LivenessEvidence>);
 
     /// Broadcasts that the server instance is leaving.
-    fn broadcast_leaving(&self, life: &str);
+    fn broadcast_leaving(&self, instance: &str);
 
     /// Broadcasts a server's rate limit.
-    fn broadcast_limit(&self, statement: &LimitUpdate);
+    fn broadcast_limit(&self, update: &LimitUpdate);
 
     /// Returns true on the one box that may probe a held request.
     fn ranks_first(&self, request: Fingerprint) -> bool;
--- a/crates/relay/src/server_hints.rs
+++ b/crates/relay/src/server_hints.rs
@@ -47,15 +47,15 @@
 
     /// Records server limits that another box reported. Returns those that were unknown to this box.
     #[must_use]
-    pub fn on_peer_limits(&self, statements: Vec<LimitUpdate>) -> Vec<LimitUpdate> {
-        let record = |statement: &LimitUpdate| {
-            let is_new = self.placement().on_limit_update(statement, self.now());
+    pub fn on_peer_limits(&self, updates: Vec<LimitUpdate>) -> Vec<LimitUpdate> {
+        let record = |update: &LimitUpdate| {
+            let is_new = self.placement().on_limit_update(update, self.now());
             if is_new {
-                log_limit(format_args!("from=Peer"), &statement.instance, statement.limit);
+                log_limit(format_args!("from=Peer"), &update.instance, update.limit);
             }
             is_new
         };
-        statements.into_iter().filter(record).collect()
+        updates.into_iter().filter(record).collect()
     }
 
     /// Records a server's rate limit and broadcasts it.
@@ -64,9 +64,9 @@
     /// the limit by itself, the server would receive the limit times the number of boxes.
     fn on_limit(&self, id: &str, server: &Server, limit: Limit, sent: Millis) {
         let update = self.placement().record_limit(&server.id, limit, sent, self.now());
-        if let Some(statement) = update {
+        if let Some(update) = update {
             log_limit(format_args!("id={id}"), &server.id, limit);
-            self.peer_client.broadcast_limit(&statement);
+            self.peer_client.broadcast_limit(&update);
         }
     }
 
--- a/crates/relay/src/stream_forwarder.rs
+++ b/crates/relay/src/stream_forwarder.rs
@@ -31,7 +31,7 @@
     last_event: Option<Instant>,
 }
 
-/// How reading one server's stream ended.
+/// The reason why reading one server's stream ended.
 enum StreamEnd {
     /// The stream is complete.
     Complete,
--- a/crates/relay/src/timing.rs
+++ b/crates/relay/src/timing.rs
@@ -18,6 +18,6 @@
         if self.first.is_some_and(|first| first > route.latency_target) {
             return Some("first");
         }
-        route.gap_target.is_some_and(|aim| self.pause > aim).then_some("pause")
+        route.gap_target.is_some_and(|target| self.pause > target).then_some("pause")
     }
 }
--- a/crates/relay/tests/liveness.rs
+++ b/crates/relay/tests/liveness.rs
@@ -11,7 +11,7 @@
     relay::enable_dead_peer_detection(&stream);
     let socket = SockRef::from(&stream);
     let user_timeout = socket.tcp_user_timeout().expect("an option").expect("a time");
-    assert!(socket.keepalive().expect("an option"), "also while it rests");
+    assert!(socket.keepalive().expect("an option"), "keep-alive must be enabled, so that idle connections are covered");
     let keepalive_time = socket.tcp_keepalive_time().expect("an option");
     assert!(user_timeout + keepalive_time <= Duration::from_secs(3), "{user_timeout:?} after {keepalive_time:?}");
 }
--- a/crates/wire/tests/silent_connection.rs
+++ b/crates/wire/tests/silent_connection.rs
@@ -28,13 +28,13 @@
     mut to: tokio::net::tcp::OwnedWriteHalf,
     silence: Rc<Cell<u32>>,
 ) {
-    let began = silence.get();
+    let started = silence.get();
     let mut bytes = [0; 4_096];
     while let Ok(count) = from.read(&mut bytes).await {
         if count == 0 {
             return;
         }
-        if silence.get() == began && to.write_all(&bytes[..count]).await.is_err() {
+        if silence.get() == started && to.write_all(&bytes[..count]).await.is_err() {
             return;
         }
     }
@@ -56,8 +56,8 @@
     let send_until_received = |first: u32| {
         let (link, received) = (&link, Rc::clone(&received));
         async move {
-            let began = Instant::now();
-            while began.elapsed() < RECOVERY_TIMEOUT {
+            let started = Instant::now();
+            while started.elapsed() < RECOVERY_TIMEOUT {
                 link.send(&first);
                 actix_rt::time::sleep(Duration::from_millis(50)).await;
                 if received.borrow().contains(&first) {
