--- a/crates/cleatshelf/src/control/reports.rs
+++ b/crates/cleatshelf/src/control/reports.rs
@@ -59,15 +59,13 @@
         let route = self.route_rows(&query.serves, ClassId::of(&name));
         let verdict = match route.first() {
             None => format!("refused as not_found: no upstream serves '{}'", query.serves),
-            Some(row) => {
-                match row.wait_ms {
-                    Some(wait) if wait > class.first_token_ms => {
-                        format!("refused as overloaded: requests of its class and higher classes ahead of it take {wait} ms")
-                    }
-                    Some(wait) => format!("queued at {}, expected wait {wait} ms", row.owner),
-                    None => format!("requested from {}; run this command there to see its queue", row.owner),
+            Some(row) => match row.wait_ms {
+                Some(wait) if wait > class.first_token_ms => {
+                    format!("refused as overloaded: requests of its and higher classes take {wait} ms before it")
                 }
-            }
+                Some(wait) => format!("queued at {}, expected wait {wait} ms", row.owner),
+                None => format!("requested from {}; run this command there to see its queue", row.owner),
+            },
         };
         let (rank, first_token_ms) = (class.rank, class.first_token_ms);
         Ok(Explanation { class: name, rank, first_token_ms, route, verdict })
--- a/crates/cleatshelf/src/router/cluster_state.rs
+++ b/crates/cleatshelf/src/router/cluster_state.rs
@@ -1,4 +1,4 @@
-//! What this box knows of the configuration and the servers, and where it got it from.
+//! The configuration and the servers as known to this box, with their sources.
 
 use super::codec::{compress, decode, decompress, encode};
 use peers::{KnownVersions, Millis};
@@ -12,32 +12,32 @@
 use telemetry::Event;
 use tokio::sync::Notify;
 
-/// How long a server stays in use whose entry went while the publisher was away. The platform has those back that live
-/// within about 2 s of its return; on the strictest of the users' sites a server that has left must get nothing after 2 s.
+/// Grace period of a server whose entry disappeared while the publisher was away. Live servers are listed again within
+/// about 2 s of the publisher's return; on the strictest site, a server that has left must receive nothing after 2 s.
 const LAPSE_GRACE_MS: Millis = 1_500;
 
-/// How long an evacuation holds that the publisher, back from an older copy, doesn't have: operators write again what was lost as
-/// soon as the publisher takes it. Given up too early, an evacuated hall gets requests; too late, one that was given back stands
-/// idle.
+/// Time that an evacuation is held after the publisher was restored from an older copy that lacks it. Operators write
+/// it again as soon as the publisher accepts writes. If it is dropped too early, an evacuated hall receives requests;
+/// if too late, a hall that is back in service stays idle.
 const EVACUATION_HOLD_TIMEOUT_MS: Millis = 10_000;
 
-/// How long a server isn't used while others are that only an older copy of the list brings back: its entry ends after three
-/// heartbeats that are missing, each 1.2 s on the users' deployments.
+/// Time that a server that only an older copy of the list contains is not used while others are available. The entry of
+/// a terminated server expires after three missed heartbeats of 1.2 s each.
 const UNCONFIRMED_DELAY_MS: Millis = 4_000;
 
-/// Where news came from, for the log.
+/// The source of an update, for the log.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Origin {
     Publisher,
     Peer,
-    /// Nobody: an entry that lapsed did not come back.
+    /// The end of a grace or hold period in this box.
     Lapse,
 }
 
-/// What this box learned and others may not know yet.
+/// An update that other boxes may not have yet.
 pub(super) enum Update {
     Table,
-    /// A first list of servers: heartbeats say that it is there.
+    /// A new full list of servers, announced by heartbeats.
     Directory,
     Changes {
         since: Position,
@@ -46,39 +46,39 @@
     },
 }
 
-/// The newest configuration and servers that reached this box.
+/// The newest configuration and servers that this box has received.
 pub(super) struct ClusterState {
     shared: Arc<Shared>,
     publisher: Rc<dyn Publisher>,
     state: RefCell<State>,
-    /// Told whenever there is news.
+    /// Notified of every update.
     pub(super) updated: Notify,
 }
 
 #[derive(Default)]
 struct State {
-    /// The configuration in force, and as it was published, packed for peers.
+    /// The configuration in force, and its published form compressed for peers.
     table: Option<(Arc<Table>, Rc<Vec<u8>>)>,
-    /// Where in the publisher's history that configuration was still the newest; none when this is not known.
+    /// Position of the publisher up to which that configuration is known to be the newest; `NONE` if unknown.
     table_until: Position,
     directory: Directory,
-    /// What a list with these digests lacks of the list above, packed; none once that has changed.
+    /// The compressed excerpt of `directory` for a list with these digests; reset when `directory` changes.
     excerpt: Option<(Digests, Rc<Vec<u8>>)>,
     evacuations: Evacuations,
-    /// When some of them began to be held against the publisher's word; none while none are.
+    /// Time since which evacuations are held although the publisher lacks them.
     held_since: Option<Millis>,
-    /// Era of the publisher up to which nothing is held any more.
+    /// Era of the publisher up to which no evacuations are held any more.
     released_era: u64,
-    /// When each of the lapsed servers was noticed.
+    /// Start of the grace period of each lapsed server.
     lapsed_since: HashMap<String, Millis>,
-    /// What others have not been told yet, in order.
+    /// Updates not yet broadcast, in order.
     updates: Vec<Update>,
-    /// When the publisher or a peer last said something, even if nothing new.
+    /// Time of the last contact with the publisher or a watcher, even without an update.
     last_contact: Option<Millis>,
 }
 
 impl State {
-    /// Notes since when servers are lapsed.
+    /// Records the start of the grace period of lapsed servers.
     fn record_lapses(&mut self, now: Millis) {
         let in_grace = &self.directory.in_grace;
         self.lapsed_since.retain(|id, _| in_grace.contains(id));
@@ -93,8 +93,8 @@
         Self { shared, publisher, state: RefCell::default(), updated: Notify::new() }
     }
 
-    /// Takes a configuration; an older one than that in force is ignored. False when it can't be read, and the former
-    /// one stays.
+    /// Applies a configuration unless the one in force is as new. Returns false if it can't be decoded; the previous
+    /// one then stays in force.
     pub(super) fn offer_table(&self, bytes: &[u8], origin: Origin) -> bool {
         let table = match self.publisher.decode(bytes) {
             Ok(table) => table,
@@ -119,13 +119,13 @@
         true
     }
 
-    /// The configuration in force was still the newest at this position of the publisher.
+    /// Records that the configuration in force is the newest at this position of the publisher.
     pub(super) fn confirm_table(&self, position: Position) {
         let mut state = self.state.borrow_mut();
         state.table_until = state.table_until.max(position);
     }
 
-    /// Takes a configuration as another box packed it.
+    /// Applies a compressed configuration from another box.
     pub(super) fn offer_compressed_table(&self, compressed: &[u8]) {
         match decompress(compressed) {
             Ok(bytes) => drop(self.offer_table(&bytes, Origin::Peer)),
@@ -133,12 +133,12 @@
         }
     }
 
-    /// Takes which halls are evacuated, unless that is known of a later position. What an older copy of the publisher lacks is
-    /// held until the operator has written again.
+    /// Merges the evacuated halls, unless those of a later position are known. Evacuations that a restored copy of the
+    /// publisher lacks are held until the operator has written again.
     pub(super) fn offer_evacuations(&self, mut evacuations: Evacuations, origin: Origin) {
         let mut state = self.state.borrow_mut();
         if evacuations.position.era <= state.released_era {
-            // This box has waited long enough, whatever others do.
+            // The hold period has ended in this box, even if other boxes still hold.
             evacuations.held.clear();
         }
         let former = state.evacuations.position;
@@ -152,7 +152,7 @@
         self.evacuations_changed(&mut state, changed, origin);
     }
 
-    /// Takes which evacuations began (true) or ended up to a position of the publisher, on top of what is known.
+    /// Applies evacuations that began (true) or ended (false) up to a position of the publisher.
     pub(super) fn change_evacuations(&self, changes: Vec<(String, bool)>, position: Position) {
         let mut state = self.state.borrow_mut();
         let changed = state.evacuations.apply(changes, position);
@@ -169,11 +169,11 @@
         let halls = join_names(state.evacuations.evacuated_halls().into_iter());
         telemetry::emit(Event::HallsEvacuated, format_args!("position={position} halls={halls} from={origin:?}"));
         self.put_in_force(state);
-        // The next heartbeat carries them, and is due at once.
+        // The next heartbeat carries the evacuations and is sent immediately.
         self.updated.notify_one();
     }
 
-    /// Gives up what is held against the publisher's word for too long.
+    /// Drops held evacuations at the end of the hold period.
     fn release_held_evacuations(&self) {
         let mut state = self.state.borrow_mut();
         let now = self.shared.now();
@@ -185,7 +185,7 @@
         self.evacuations_changed(&mut state, changed, Origin::Lapse);
     }
 
-    /// Logs that the publisher came back from an older copy.
+    /// Logs that the publisher was restored from an older copy.
     fn log_restored(&self, subject: Subject, known: (Position, Option<Millis>), to: Position, kept: &str) {
         let (from, last_contact) = known;
         let age_ms = last_contact.map_or(0, |at| self.shared.now().saturating_sub(at));
@@ -195,15 +195,15 @@
         );
     }
 
-    /// Takes a whole list of servers, unless a newer one is known. Right after the publisher was away, what the list lacks
-    /// may have only lapsed.
+    /// Applies a full list of servers unless a newer one is known. If the publisher was away recently, entries that the
+    /// list lacks may have only lapsed.
     pub(super) fn offer_directory(&self, mut directory: Directory, origin: Origin, was_away: bool) {
         let mut state = self.state.borrow_mut();
         if directory.position < state.directory.position {
             return;
         }
         let restored = directory.position.restored_since(state.directory.position);
-        // What this box has let go, or never had, doesn't come back for having lapsed.
+        // Servers that this box has expired, or never had, are not restored by a lapse.
         let in_grace: Vec<String> = directory.in_grace.iter().cloned().collect();
         for id in in_grace.iter().filter(|id| !state.directory.servers.contains_key(*id)) {
             directory.expire(id);
@@ -222,7 +222,7 @@
             return;
         }
         self.servers_changed(&state, origin);
-        // Of another era others ask for all that differs.
+        // After a change of era, peers request all differences.
         let update = if restored || !former.position.is_known() {
             Update::Directory
         } else {
@@ -232,7 +232,7 @@
         self.queue_update(&mut state, update);
     }
 
-    /// Takes some of the servers, to serve with until the whole list is known.
+    /// Applies a sample of the servers, to serve with until the full list is known.
     pub(super) fn offer_sample(&self, sample: Directory) {
         let mut state = self.state.borrow_mut();
         if state.directory.position.is_known() {
@@ -243,8 +243,8 @@
         }
     }
 
-    /// True while the configuration in force has services of which this box knows no server, and others that it doesn't know may be
-    /// theirs.
+    /// Returns true if only a sample of the servers is known and it has no server for some service of the configuration
+    /// in force.
     pub(super) fn lacks_servers(&self) -> bool {
         let state = self.state.borrow();
         let Some((table, _)) = &state.table else { return false };
@@ -252,7 +252,8 @@
         !state.directory.position.is_known() && table.services.keys().any(|name| !served.contains(name.as_str()))
     }
 
-    /// What this box's list of servers says, in brief. A sample counts as nothing: all boxes that lack the list ask the same.
+    /// Returns the digests of the list of servers. A sample counts as empty, so that all boxes without the full list
+    /// send the same request.
     pub(super) fn digests(&self) -> Digests {
         let state = self.state.borrow();
         if state.directory.position.is_known() {
@@ -262,7 +263,8 @@
         }
     }
 
-    /// Lives that only an older copy of the list has may have ended: they wait until their entries have had the time to go.
+    /// Marks instances that only an older copy of the list contains as unconfirmed: they may have terminated, and are
+    /// not used while others are available until their entries would have expired.
     fn mark_unconfirmed(&self, copy: &Directory, state: &State) {
         let former = &state.directory;
         let unconfirmed = copy.new_instances(former);
@@ -275,8 +277,8 @@
         self.shared.placement().mark_unconfirmed(&unconfirmed, self.shared.now() + UNCONFIRMED_DELAY_MS);
     }
 
-    /// What the list of servers with these digests lacks of this box's, packed; none where this box's isn't newer.
-    /// Many boxes that have just started ask the same, and get the same.
+    /// Returns the compressed entries that a list with these digests lacks; `None` if this box's list isn't newer. The
+    /// result is cached, since many boxes that have just started send the same digests.
     pub(super) fn excerpt(&self, digests: &Digests) -> Option<Rc<Vec<u8>>> {
         let mut state = self.state.borrow_mut();
         if let Some((_, compressed)) = state.excerpt.as_ref().filter(|(known, _)| known == digests) {
@@ -287,7 +289,7 @@
         Some(compressed)
     }
 
-    /// Takes what became of servers, as another box packed it.
+    /// Applies compressed changes of servers from another box.
     pub(super) fn offer_compressed_changes(&self, compressed: &[u8], until: Position) {
         match decode(compressed) {
             Ok(changes) => self.offer_changes(changes, until, Origin::Peer),
@@ -295,14 +297,14 @@
         }
     }
 
-    /// Takes what this box's list of servers lacked, as another box packed it.
+    /// Applies the compressed entries that this box's list lacked, from another box.
     pub(super) fn offer_excerpt(&self, compressed: &[u8]) {
         match decode::<Excerpt>(compressed) {
             Ok(excerpt) => {
                 let known = self.directory();
                 let known = if known.position.is_known() { known } else { Directory::default() };
                 let directory = known.with_excerpt(excerpt);
-                // Made for what this box has no more: the next heartbeat leads to another question.
+                // The excerpt was made for a list that has changed since; the next heartbeat leads to a new request.
                 let Some(directory) = directory else { return };
                 self.offer_directory(directory, Origin::Peer, false);
             }
@@ -310,12 +312,12 @@
         }
     }
 
-    /// Takes what became of servers up to `until`.
+    /// Applies changes of servers up to `until`.
     pub(super) fn offer_changes(&self, changes: Vec<Change>, until: Position, origin: Origin) {
         let mut state = self.state.borrow_mut();
         let since = state.directory.position;
         if until.era != since.era {
-            // On top of another era's list they would be another list.
+            // Changes can't be applied to a list of another era.
             return;
         }
         self.confirm_instances(&changes);
@@ -329,7 +331,7 @@
         self.queue_update(&mut state, Update::Changes { since, until, changes });
     }
 
-    /// A server that writes its entry lives.
+    /// Confirms instances that have written their entries: they are alive.
     fn confirm_instances(&self, changes: &[Change]) {
         let mut placement = self.shared.placement();
         for change in changes {
@@ -339,7 +341,7 @@
         }
     }
 
-    /// Takes servers for gone that lapsed and did not come back in time, and gives up what was held for too long.
+    /// Removes lapsed servers after their grace period, and drops held evacuations after the hold period.
     pub(super) fn expire(&self) {
         self.release_held_evacuations();
         let now = self.shared.now();
@@ -362,7 +364,7 @@
         self.updated.notify_one();
     }
 
-    /// What others have not been told yet; afterwards it counts as told.
+    /// Takes the updates that have not been broadcast yet.
     pub(super) fn take_updates(&self) -> Vec<Update> {
         std::mem::take(&mut self.state.borrow_mut().updates)
     }
@@ -382,17 +384,17 @@
         self.shared.set_view(View { table, directory: Arc::new(state.directory.clone()), evacuations });
     }
 
-    /// Notes that the publisher or a watcher was heard.
+    /// Records a contact with the publisher or a watcher.
     pub(super) fn record_contact(&self) {
         self.state.borrow_mut().last_contact = Some(self.shared.now());
     }
 
-    /// How long ago the publisher or a watcher was last heard; zero before.
+    /// Returns the time since the last contact with the publisher or a watcher; zero before the first.
     pub(super) fn age(&self) -> Duration {
         self.state.borrow().last_contact.map_or(Duration::ZERO, |at| Duration::from_millis(self.shared.now() - at))
     }
 
-    /// How new this box's knowledge is.
+    /// Returns the versions of the state of this box.
     pub(super) fn known_versions(&self) -> KnownVersions {
         let state = self.state.borrow();
         let table = state.table.as_ref().map_or(0, |(table, _)| table.version);
@@ -403,23 +405,23 @@
         KnownVersions { table, table_until: state.table_until, directory, evacuations, suspects, notices }
     }
 
-    /// The configuration in force as it was published, packed.
+    /// Returns the configuration in force in its published form, compressed.
     pub(super) fn compressed_table(&self) -> Option<Rc<Vec<u8>>> {
         self.state.borrow().table.as_ref().map(|(_, bytes)| Rc::clone(bytes))
     }
 
-    /// How many servers are known.
+    /// Returns the number of known servers.
     pub(super) fn server_count(&self) -> usize {
         self.state.borrow().directory.servers.len()
     }
 
-    /// The servers known.
+    /// Returns the known servers.
     pub(super) fn directory(&self) -> Directory {
         self.state.borrow().directory.clone()
     }
 }
 
-/// Names for the log, where a field holds no blanks.
+/// Joins names for the log, whose fields contain no spaces.
 fn join_names(names: impl Iterator<Item = String>) -> String {
     let names: Vec<String> = names.collect();
     if names.is_empty() {
--- a/crates/cleatshelf/src/router/follower.rs
+++ b/crates/cleatshelf/src/router/follower.rs
@@ -1,4 +1,4 @@
-//! Reads and watches what the platform publishes, while this box is one of those that do.
+//! Reads the published configuration and servers, and watches them while this box is a watcher.
 
 use super::cluster_state::{ClusterState, Origin};
 use peers::WatchRole;
@@ -11,55 +11,57 @@
 use telemetry::Event;
 use tokio::sync::watch;
 
-/// How long a watch waits for news. Short enough that one that hangs is given up soon after the publisher is
-/// back; each watch is a call, and calls are paid for.
+/// Timeout of a watch. Each watch is a call and calls are billed, but a watch that hangs must time out soon after the
+/// publisher is back.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The same where another box of the hall watches as well, which goes before this one and is heard: an answer that is lost goes
-/// unnoticed for as long only where that one is lost too.
+/// Timeout of a watch while another, responsive box of the hall is the primary watcher. A lost response goes unnoticed
+/// for this long only if the primary's response is lost too.
 const SECONDARY_WATCH_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The same while the publisher is in trouble, to notice soon that it is back, and of a box that begins to watch.
+/// Timeout of a watch after a failure, to notice soon that the publisher is back, and when a box starts to watch.
 const RECOVERY_WATCH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pauses between calls that failed: the first, and the longest.
+/// Back-off after failed calls, doubling from the minimum to the maximum.
 const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(1_200);
 
-/// How long a box that has just started waits for others to tell it what they know, before it reads the publisher: some
-/// ways between boxes. It is not ready before it knows a configuration.
+/// Time that a starting box waits for the state of its peers before it reads from the publisher: a few times the
+/// latency between boxes. The box is not ready until it has a configuration.
 const PEER_STATE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a box serves with a sample of the servers before it reads the whole list itself, unless others tell it. Where boxes that
-/// start together all do that, the publisher has no time for those that are to tell it.
+/// Time that a box serves with a sample of the servers before it reads the full list itself, unless peers send it
+/// first. If all boxes that start together read it at once, the publisher is too busy to serve the watchers that would
+/// send it to them.
 const SAMPLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a box that has a sample watches before it reads the whole list: boxes that start together and know no other yet begin to
-/// watch together, and stop once they hear each other.
+/// Time that a box with a sample must be a watcher before it reads the full list. Boxes that start together and don't
+/// know each other yet all start to watch, and stop once they hear from each other.
 const WATCH_CONFIRM_DELAY: Duration = Duration::from_millis(1_500);
 
-/// Most samples that a box takes to have servers of each service.
+/// Maximum number of samples that a box reads to find servers of each service.
 const MAX_SAMPLES: usize = 4;
 
-/// How often it looks whether they have.
+/// Interval at which the state is polled during the start and after failures.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long after its return the publisher may still tell of entries that lapsed while it was away.
+/// Time after its return during which the publisher may still report entries that lapsed while it was away.
 const LAPSE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Pause of a box that watches, and of others, before they look again for a first configuration.
+/// Delay before looking again for a first configuration, for watchers and for other boxes.
 const WATCHER_NO_CONFIGURATION_DELAY: Duration = Duration::from_millis(300);
 const NO_CONFIGURATION_DELAY: Duration = Duration::from_millis(1_500);
 
-/// While nothing of the publisher can be followed, one subject shows that it is back. The other is tried after this long
-/// all the same.
+/// Maximum time that orders wait for the directory to recover. While neither can be followed, calls for one subject are
+/// enough to notice that the publisher is back.
 const OTHER_SUBJECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after news of servers, so that those of a release or a burst of failures come in few calls. A sixth of the
-/// shortest bound for news, 2 s.
+/// Delay after changes of servers, so that those of a release or a burst of failures arrive in few calls. About a sixth
+/// of 2 s, the shortest time limit for updates to take effect.
 const BATCH_DELAY: Duration = Duration::from_millis(300);
 
-/// The same where another box of the hall watches as well: what that one tells meanwhile need not be asked for.
+/// Delay after changes of servers while another box of the hall is the primary watcher: updates that it sends meanwhile
+/// need not be requested.
 const SECONDARY_BATCH_DELAY: Duration = Duration::from_secs(1);
 
 /// Follows one subject for as long as the process runs.
@@ -67,19 +69,19 @@
     pub(super) publisher: Rc<dyn Publisher>,
     pub(super) cluster_state: Rc<ClusterState>,
     pub(super) subject: Subject,
-    /// What this box watches as.
+    /// The watch role of this box.
     pub(super) watch_role: watch::Receiver<WatchRole>,
-    /// Subjects whose last call failed; shared by the followers of one publisher.
+    /// Shared by the followers of one publisher.
     pub(super) health: Rc<PublisherHealth>,
 }
 
-/// Which subjects can't be followed now.
+/// The subjects whose last call failed.
 pub(super) struct PublisherHealth {
     orders_failing: Cell<bool>,
     directory_failing: Cell<bool>,
-    /// True after the list of servers could not be followed, until it can again.
+    /// True from a failure to follow the list of servers until the next success.
     away: Cell<bool>,
-    /// When that ended last.
+    /// Time of the last such success.
     returned_at: Cell<Option<Instant>>,
 }
 
@@ -102,25 +104,25 @@
         }
     }
 
-    /// True while the publisher is away, and shortly after: what goes then may have only lapsed.
+    /// Returns true while the publisher is away and shortly after: entries that disappear then may have only lapsed.
     fn is_recently_away(&self) -> bool {
         self.away.get() || self.returned_at.get().is_some_and(|at| at.elapsed() < LAPSE_WINDOW)
     }
 
-    /// The list of servers can be followed, or can't.
+    /// Records whether the list of servers can be followed.
     fn set_away(&self, away: bool) {
         if self.away.replace(away) && !away {
             self.returned_at.set(Some(Instant::now()));
         }
     }
 
-    /// True when every subject's last call succeeded.
+    /// Returns true if the last call for each subject succeeded.
     pub(super) fn is_healthy(&self) -> bool {
         !self.orders_failing.get() && !self.directory_failing.get()
     }
 }
 
-/// What a server's entry that went while the publisher was away says.
+/// Turns the removal of an entry into its lapse, for entries that disappeared while the publisher was away.
 fn as_lapsed(change: Change) -> Change {
     match change {
         Change::Gone(id) => Change::Lapsed(id),
@@ -128,7 +130,7 @@
     }
 }
 
-/// Boxes that wait for the same don't come back together.
+/// Adds 30 % jitter, so that boxes that wait for the same event don't retry together.
 fn jittered(delay: Duration) -> Duration {
     delay.mul_f64(rand::rng().random_range(0.7..1.3))
 }
@@ -137,16 +139,16 @@
     pub(super) async fn run(mut self) {
         let mut backoff = MIN_RETRY_BACKOFF;
         self.bootstrap().await;
-        // None asks for a full read.
+        // `None` requests a full read.
         let mut since = self.known_position();
-        // A watch that hangs must not go unnoticed for long where others begin to rely on it.
+        // A watch that hangs must be noticed soon when other boxes begin to rely on it.
         let mut timeout = RECOVERY_WATCH_TIMEOUT;
         loop {
             if !self.watch_role.borrow_and_update().is_on() {
                 if self.watch_role.changed().await.is_err() {
                     return;
                 }
-                // While others watched, news came through them.
+                // While others watched, updates arrived through them.
                 since = self.known_position();
                 timeout = RECOVERY_WATCH_TIMEOUT;
                 continue;
@@ -160,7 +162,7 @@
                 Ok(position) => {
                     self.on_success();
                     backoff = MIN_RETRY_BACKOFF;
-                    // While this box gathered, another may have told it more.
+                    // A peer may have sent newer state during the batch delay.
                     since = self.known_position().max(Some(position));
                     timeout = if *self.watch_role.borrow() == WatchRole::Secondary {
                         SECONDARY_WATCH_TIMEOUT
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Waits until others have told what this box needs to begin with, and reads it if they don't. It may be seconds
-    /// old: who watches tells this box of what is newer, and it goes on from there if it watches itself.
+    /// Waits for the initial state from peers, and reads it if they don't send it. The state may be seconds old: newer
+    /// updates come from the watchers, or from this box's own watch, which continues from that position.
     async fn bootstrap(&self) {
         let began = Instant::now();
         while began.elapsed() < PEER_STATE_TIMEOUT && !self.is_known() && !self.is_watching() {
@@ -192,18 +194,19 @@
             self.sample().await;
         }
         self.retry_until_known(|| self.read(Freshness::Stale)).await;
-        // As long as this box has not called the publisher itself, nothing speaks against it.
+        // The publisher counts as healthy until a call from this box fails.
         self.health.failing(self.subject).set(false);
     }
 
-    /// Serves with some of the servers until others tell of all. Where thousands of servers serve hundreds of boxes that start
-    /// together, the whole list for each is more than the publisher's link carries in seconds.
+    /// Reads a sample of the servers, to serve with until peers send the full list. With thousands of servers and
+    /// hundreds of boxes that start together, sending the full list to each exceeds the capacity of the publisher's
+    /// link for seconds.
     ///
-    /// Returns once the whole list is known, or is to be read by this box.
+    /// Returns once the full list is known, or once this box should read it.
     async fn sample(&self) {
         let began = Instant::now();
         let timeout = jittered(SAMPLE_TIMEOUT);
-        // Others begin with this box: it doesn't wait for them.
+        // Other boxes rely on a box that is a watcher from the start, so it doesn't wait for them.
         let watched_at_start = self.is_watching();
         let mut watching_since = None;
         let mut samples = 0;
@@ -233,7 +236,7 @@
         Ok(position)
     }
 
-    /// Reads until that succeeds or others have told.
+    /// Repeats a read until it succeeds or peers have sent the state.
     async fn retry_until_known<F: Future<Output = Result<Position, PublisherError>>>(&self, read: impl Fn() -> F) {
         let mut backoff = MIN_RETRY_BACKOFF;
         while !self.is_known() {
@@ -263,7 +266,7 @@
         self.watch_role.borrow().is_on()
     }
 
-    /// True once this box knows something of the subject, wherever from.
+    /// Returns true once this box has the state of the subject, from any source.
     fn is_known(&self) -> bool {
         let versions = self.cluster_state.known_versions();
         match self.subject {
@@ -272,13 +275,13 @@
         }
     }
 
-    /// The publisher answers and has nothing yet.
+    /// Handles a response of the publisher that no configuration exists yet.
     async fn on_no_configuration(&self, delay: Duration) {
         self.on_success();
         actix_rt::time::sleep(jittered(delay)).await;
     }
 
-    /// While the list of servers can't be followed either, the configuration waits for it.
+    /// Delays the follower of orders while the directory can't be followed either.
     async fn wait_for_directory(&self) {
         let began = Instant::now();
         while self.subject == Subject::Orders
@@ -289,11 +292,11 @@
         }
     }
 
-    /// Up to where everything is known without asking; none where only a read can tell.
+    /// Returns the position up to which the state is known; `None` requires a full read.
     fn known_position(&self) -> Option<Position> {
         let versions = self.cluster_state.known_versions();
         let position = match self.subject {
-            // What one of both lacks, the watch tells again.
+            // The watch repeats what either of the two lacks.
             Subject::Orders => versions.table_until.min(versions.evacuations.position),
             Subject::Directory => versions.directory,
         };
@@ -346,7 +349,7 @@
         Ok(update.position)
     }
 
-    /// What was read in an era before the one that is known is over: a late answer, or a replica's that is behind.
+    /// Rejects state of an earlier era than the known one, from a late response or a lagging replica.
     fn reject_former_era(&self, read: Position) -> Result<(), PublisherError> {
         let versions = self.cluster_state.known_versions();
         let known = match self.subject {
@@ -354,12 +357,14 @@
             Subject::Directory => versions.directory,
         };
         if read.era < known.era {
-            return Err(PublisherError::Malformed(format!("read at {read}, known at {known}")));
+            return Err(PublisherError::Malformed(format!(
+                "position {read} is of an earlier era than the known {known}"
+            )));
         }
         Ok(())
     }
 
-    /// Takes the configuration that the publisher has at `position`; none when it is the one known already.
+    /// Applies the configuration that the publisher has at `position`; `None` means that it is unchanged.
     fn apply_table(&self, bytes: Option<&[u8]>, position: Position) {
         if bytes.is_none_or(|bytes| self.cluster_state.offer_table(bytes, Origin::Publisher)) {
             self.cluster_state.confirm_table(position);
--- a/crates/cleatshelf/src/router/owner_service.rs
+++ b/crates/cleatshelf/src/router/owner_service.rs
@@ -1,4 +1,4 @@
-//! Which box owns a server, and the questions that are on their way there.
+//! Communication about servers with the boxes that own them, and the servers that this box owns itself.
 
 use clock::Clock;
 use peers::{Millis, MissedReplies, Profile};
@@ -14,16 +14,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{mpsc, oneshot};
 
-/// Most messages on their way to the control thread; more are dropped, and their questions go unanswered.
+/// Maximum number of messages queued for the control thread. Messages beyond it are dropped; queries among them get no
+/// reply.
 const MAX_QUEUED_MESSAGES: usize = 4_096;
 
-/// Questions from which on those are dropped that nobody waits for any more.
+/// Number of pending queries at which those without a waiting request are removed.
 const PENDING_CLEANUP_THRESHOLD: usize = 256;
 
-/// How long after its start a box gives no leave: a former life at its address may have given some within the last second.
+/// Time after its start during which a box grants no permits: a previous process at its address may have granted some
+/// within the last second.
 const FIRST_PERMIT_DELAY: Millis = 1_500;
 
-/// Questions that wait for their answers, by number.
+/// Senders for the replies to pending queries, by number.
 struct PendingReplies<T>(HashMap<u64, oneshot::Sender<T>>);
 
 impl<T> Default for PendingReplies<T> {
@@ -33,7 +35,7 @@
 }
 
 impl<T> PendingReplies<T> {
-    /// Notes whom to tell an answer. Those whose requests wait no longer are dropped now and then.
+    /// Adds a pending query. Removes those whose requests no longer wait once there are many.
     fn insert(&mut self, number: u64, sender: oneshot::Sender<T>) {
         if self.0.len() >= PENDING_CLEANUP_THRESHOLD {
             self.0.retain(|_, sender| !sender.is_closed());
@@ -41,16 +43,16 @@
         self.0.insert(number, sender);
     }
 
-    /// Tells an answer to who waits for it.
+    /// Sends a reply to the request that waits for it.
     fn resolve(&mut self, number: u64, value: T) {
         if let Some(sender) = self.0.remove(&number) {
-            // An error means that the request no longer waits.
+            // An error means that the request is no longer waiting.
             let _ = sender.send(value);
         }
     }
 }
 
-/// Between boxes, about servers that one of them owns.
+/// A message between boxes about servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) enum Message {
     Question(StatusQuery),
@@ -65,7 +67,8 @@
         #[serde(rename = "leave")]
         reply: PermitReply,
     },
-    /// Requests under which servers ended, or that were found innocent, and servers that answer; `asks` for the same.
+    /// Requests under which servers terminated, or that have been cleared, and evidence of servers that are alive.
+    /// `wants_reply` requests the receiver's records.
     Suspects {
         records: Vec<SuspectRecord>,
         #[serde(rename = "signs")]
@@ -73,7 +76,8 @@
         #[serde(rename = "asks")]
         wants_reply: bool,
     },
-    /// What servers said of themselves to all boxes: lives that leave, and what lives take; `asks` for the same.
+    /// Hints that servers addressed to all boxes: instances that are leaving, and limits of instances. `wants_reply`
+    /// requests the receiver's hints.
     Notices {
         leaving: Vec<String>,
         limits: Vec<LimitUpdate>,
@@ -83,7 +87,7 @@
 }
 
 impl Message {
-    /// What kind of message it is, for metrics.
+    /// Returns the kind of the message, for metrics.
     pub(super) fn kind(&self) -> &'static str {
         match self {
             Self::Question(_) => "question",
@@ -97,46 +101,48 @@
     }
 }
 
-/// Questions to owners, answers, and what this box itself owns. Shared by all threads.
+/// Sends queries to the owners of servers, handles their replies, and keeps the state of servers owned by this box.
+/// Shared by all threads.
 pub(super) struct OwnerService {
     me: SocketAddr,
     clock: Arc<dyn Clock>,
-    /// When this was made, by that clock.
+    /// Creation time by that clock.
     began: Millis,
     state: Mutex<State>,
     out: mpsc::Sender<(Destination, Message)>,
 }
 
-/// Where a message goes.
+/// The destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Destination {
-    /// To one box.
+    /// One box.
     One(SocketAddr),
-    /// To all boxes, each of them by itself.
+    /// All boxes, each directly.
     AllDirect,
-    /// To all boxes, by way of those that watch.
+    /// All boxes, forwarded by the watchers.
     AllViaWatchers,
 }
 
 #[derive(Default)]
 struct State {
     owner: Owner,
-    /// Boxes by hall, this one included. No hall is without a box.
+    /// Boxes by hall, including this one. No hall is empty.
     halls: HashMap<String, Vec<SocketAddr>>,
-    /// True once another box knew the same ones: before, this box may take itself for the owner of what others own.
+    /// True once another box has reported the same set of boxes. Until then this box may wrongly consider itself the
+    /// owner of servers that others own.
     converged: bool,
-    /// Which boxes aren't asked.
+    /// Missed replies per box; unresponsive boxes are not queried.
     missed_replies: MissedReplies,
-    /// Who waits for opinions.
+    /// Pending status queries.
     status_queries: PendingReplies<ServerStatus>,
-    /// Who waits for leaves.
+    /// Pending permit requests.
     permit_requests: PendingReplies<PermitReply>,
-    /// Who hears of a lease, until it has ended.
+    /// The owner that receives the reports on a lease, until the lease ends.
     lease_owners: HashMap<u64, SocketAddr>,
 }
 
 impl OwnerService {
-    /// Advice for the box `me`, and what it wants to send.
+    /// Creates the service for the box `me`, and the queue of messages that it sends.
     pub(super) fn new(me: SocketAddr, clock: Arc<dyn Clock>) -> (Arc<Self>, mpsc::Receiver<(Destination, Message)>) {
         let (out, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let began = clock.now();
@@ -152,7 +158,7 @@
         self.clock.now().saturating_sub(self.began)
     }
 
-    /// Takes the boxes that are known.
+    /// Sets the known boxes.
     pub(super) fn set_boxes(&self, boxes: Vec<(SocketAddr, Profile)>, converged: bool) {
         let mut state = self.state();
         state.converged = converged;
@@ -162,12 +168,12 @@
         }
     }
 
-    /// Forgets servers that are no longer listed.
+    /// Removes the state of servers that are no longer listed.
     pub(super) fn retain_servers(&self, instances: &HashSet<&str>) {
         self.state().owner.retain(|id| instances.contains(id));
     }
 
-    /// Gives or denies leave for a send to a server of `hall`.
+    /// Grants or denies a permit for a send to a server of `hall`.
     fn grant(&self, state: &mut State, permit: &PermitRequest, hall: &str, now: Millis) -> PermitReply {
         let is_permitted = state.converged
             && now >= FIRST_PERMIT_DELAY
@@ -179,7 +185,7 @@
         }
     }
 
-    /// Takes a message of another box; the answer, if it is owed one.
+    /// Handles a message from another box and returns the reply, if any.
     pub(super) fn on_message(&self, from: SocketAddr, message: Message) -> Option<Message> {
         let now = self.now();
         let mut state = self.state();
@@ -203,7 +209,7 @@
                 state.status_queries.resolve(status.number, status);
                 None
             }
-            // For the quarantine and the placement, not for owners.
+            // Handled by `Peering`, for the quarantine and the placement.
             Message::Suspects { .. } | Message::Notices { .. } => None,
         }
     }
@@ -216,19 +222,19 @@
 }
 
 impl State {
-    /// The box that owns a server: equal on every box that knows the same boxes. One of the server's hall, so that
-    /// who reaches the one reaches the other.
+    /// Returns the box that owns a server. Boxes with the same set of known boxes get the same result. A box of the
+    /// server's hall is preferred, so that a box that can reach the server can reach its owner.
     fn owner_of(&self, server: &Server, now: Millis) -> Option<SocketAddr> {
         self.first_ranked(&server.id, &server.hall, |address| !self.missed_replies.is_unresponsive(address, now))
     }
 
-    /// The one box that may give leave for sends to a server, whether it is heard or not: two that each took the other
-    /// for silent would give twice what the server bears.
+    /// Returns the only box that may grant permits for sends to a server, even if it is unresponsive. Two boxes that
+    /// each considered the other unresponsive would together grant twice what the server can take.
     fn permit_owner_of(&self, server: &str, hall: &str) -> Option<SocketAddr> {
         self.first_ranked(server, hall, |_| true)
     }
 
-    /// The box that ranks first for a server among those that may: one of its hall, else any.
+    /// Returns the highest-ranked eligible box for a server: one of its hall, otherwise any.
     fn first_ranked(&self, server: &str, hall: &str, is_eligible: impl Fn(&SocketAddr) -> bool) -> Option<SocketAddr> {
         let key = rank(0, server);
         let same_hall =
@@ -236,13 +242,13 @@
         same_hall.or_else(|| highest_ranked(self.boxes().filter(|address| is_eligible(address)), key))
     }
 
-    /// All boxes, this one included.
+    /// Returns all boxes, including this one.
     fn boxes(&self) -> impl Iterator<Item = &SocketAddr> {
         self.halls.values().flatten()
     }
 }
 
-/// The box that ranks first for `key`.
+/// Returns the highest-ranked box for `key`.
 fn highest_ranked<'a>(boxes: impl Iterator<Item = &'a SocketAddr>, key: u64) -> Option<SocketAddr> {
     boxes.max_by_key(|address| rank_address(key, address)).copied()
 }
--- a/crates/cleatshelf/src/router/peering.rs
+++ b/crates/cleatshelf/src/router/peering.rs
@@ -1,4 +1,4 @@
-//! Carries out what `peers` asks for: links to other boxes, and what they send.
+//! The links to other boxes: carries out the actions of `peers` and handles received messages.
 
 use super::cluster_state::{ClusterState, Origin, Update};
 use super::codec::encode;
@@ -18,13 +18,13 @@
 use tokio::sync::{mpsc, watch};
 use wire::{Key, Link, Listener};
 
-/// Pause between two looks at what is due.
+/// Interval of the timer that drives `peers`.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause between two looks at which servers are no longer listed: each looks at all of them.
+/// Interval at which the state of unlisted servers is removed; each pass visits all servers.
 const CLEANUP_INTERVAL_MS: Millis = 5_000;
 
-/// What boxes send each other.
+/// A message between router boxes.
 #[derive(Serialize, Deserialize)]
 enum Envelope {
     Peers(Message),
@@ -33,7 +33,7 @@
 }
 
 impl Envelope {
-    /// What kind of message it is, for metrics.
+    /// Returns the kind of the message, for metrics.
     fn kind(&self) -> &'static str {
         match self {
             Self::Peers(message) => match message {
@@ -53,12 +53,12 @@
     }
 }
 
-/// Counts a message between boxes, `way` being "sent" or "received".
-fn count(envelope: &Envelope, way: &'static str) {
+/// Counts a message between boxes; `way` is "sent" or "received".
+fn count_frame(envelope: &Envelope, way: &'static str) {
     metrics::counter!("cleatshelf_frames_total", "kind" => envelope.kind(), "way" => way).increment(1);
 }
 
-/// The other boxes, as this one deals with them. Lives on the control thread.
+/// The connections to other boxes. Runs on the control thread.
 pub(super) struct Peering {
     shared: Arc<Shared>,
     cluster_state: Rc<ClusterState>,
@@ -69,22 +69,22 @@
     links: RefCell<HashMap<SocketAddr, Link<Envelope>>>,
     watch_role: watch::Sender<WatchRole>,
     owner_service: Arc<OwnerService>,
-    /// Which boxes, and whether they were settled, placement and advice were told of last.
+    /// Generation and convergence of the boxes last passed to placement and the owner service.
     published_members: Cell<Option<(u64, bool)>>,
-    /// When it was last looked at which servers are no longer listed.
+    /// Time at which the state of unlisted servers was last removed.
     last_cleanup: Cell<Millis>,
 }
 
-/// What a peering is made of.
+/// The parts from which a [`Peering`] is constructed.
 pub(super) struct Dependencies {
     pub(super) shared: Arc<Shared>,
     pub(super) cluster_state: Rc<ClusterState>,
     pub(super) health: Rc<PublisherHealth>,
     pub(super) peers: Peers,
-    /// Where this box listens for others; its name among them.
+    /// Listening address of this box for others, which also identifies it.
     pub(super) me: SocketAddr,
     pub(super) key: Key,
-    /// Tells the followers what this box is to watch as.
+    /// Sends the watch role of this box to the followers.
     pub(super) watch_role: watch::Sender<WatchRole>,
     pub(super) owner_service: Arc<OwnerService>,
 }
@@ -106,7 +106,7 @@
         })
     }
 
-    /// Listens to other boxes for as long as the process runs.
+    /// Accepts messages from other boxes for as long as the process runs.
     pub(super) async fn listen(self: Rc<Self>, listener: tokio::net::TcpListener) {
         let this = Rc::clone(&self);
         let handler = move |from: &str, envelope: Envelope| {
@@ -114,7 +114,7 @@
                 telemetry::emit(Event::FrameRefused, format_args!("from={from} why=name"));
                 return;
             };
-            count(&envelope, "received");
+            count_frame(&envelope, "received");
             match envelope {
                 Envelope::Peers(message) => {
                     if matches!(message, Message::Heartbeat(_)) {
@@ -145,7 +145,7 @@
         Listener::new(&self.key, &self.me.to_string(), Rc::new(handler)).run(listener).await;
     }
 
-    /// Sends what the traffic threads want owners to know.
+    /// Sends the messages of the owner service.
     pub(super) async fn forward_owner_messages(
         self: Rc<Self>,
         mut messages: mpsc::Receiver<(Destination, owner_service::Message)>,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Takes what another box heard of servers, and passes on what is new here.
+    /// Handles server hints from another box and forwards those that are new to this one.
     fn on_notices(&self, from: SocketAddr, leaving: &[String], limits: Vec<LimitUpdate>) {
         let leaving = self.shared.on_peer_leaving(leaving);
         let limits = self.shared.on_peer_limits(limits);
@@ -178,7 +178,7 @@
         boxes.iter().for_each(|to| self.send(*to, envelope));
     }
 
-    /// Does what is due, again and again.
+    /// Runs the timer for as long as the process runs.
     pub(super) async fn run(self: Rc<Self>) {
         loop {
             self.tick();
@@ -205,7 +205,7 @@
         self.publish_members();
     }
 
-    /// Forgets what is known of servers that are no longer listed, now and then.
+    /// Removes the state of servers that are no longer listed, at most once per interval.
     fn remove_unlisted_servers(&self) {
         let now = self.shared.now();
         if now < self.last_cleanup.get() + CLEANUP_INTERVAL_MS
@@ -220,12 +220,12 @@
         self.shared.quarantine().retain_servers(|id| instances.contains(id));
     }
 
-    /// Tells the hall of news at once.
+    /// Broadcasts queued updates immediately.
     pub(super) fn on_update(&self) {
         self.tick();
     }
 
-    /// Tells the others that this box stops.
+    /// Announces to other boxes that this one is leaving.
     pub(super) fn announce_leaving(&self) {
         let actions = self.peers.borrow().leave();
         self.run_actions(actions);
@@ -268,7 +268,7 @@
         self.peers.borrow_mut().set_known_versions(self.cluster_state.known_versions());
     }
 
-    /// Tells placement and advice of the boxes known, where others are known than before.
+    /// Passes the known boxes to placement and the owner service if they have changed.
     fn publish_members(&self) {
         let peers = self.peers.borrow();
         let members = (peers.generation(), peers.has_converged());
@@ -279,13 +279,13 @@
         self.owner_service.set_boxes(peers.members(), peers.has_converged());
     }
 
-    /// Tells a box which requests are held, or were found innocent, and which servers live; `asks` for what that one knows.
+    /// Sends a box the suspect requests and evidence of live servers; `wants_reply` requests its records.
     fn send_suspects(&self, to: SocketAddr, evidence: Vec<LivenessEvidence>, wants_reply: bool) {
         let records = self.shared.quarantine().records(self.shared.now());
         self.send(to, &Envelope::Owners(owner_service::Message::Suspects { records, evidence, wants_reply }));
     }
 
-    /// Tells a box what servers said of themselves to all boxes; `asks` for what that one knows.
+    /// Sends a box the hints that servers addressed to all boxes; `wants_reply` requests its hints.
     fn send_notices(&self, to: SocketAddr, wants_reply: bool) {
         let (leaving, limits) = {
             let placement = self.shared.placement();
@@ -295,24 +295,25 @@
     }
 
     fn send(&self, to: SocketAddr, envelope: &Envelope) {
-        count(envelope, "sent");
+        count_frame(envelope, "sent");
         let mut links = self.links.borrow_mut();
         let link = links
             .entry(to)
             .or_insert_with(|| Link::open(&self.key, &self.me.to_string(), &to.to_string(), to, Box::new(|| {})));
-        // A full queue drops the frame and counts it; the next heartbeat makes up for it.
+        // A full queue drops and counts the frame; the next heartbeat compensates for it.
         let _ = link.send(envelope);
     }
 }
 
-/// What a watcher tells its hall; others have nobody to tell, and compress nothing.
+/// Returns the actions by which a watcher broadcasts an update to its hall. Other boxes don't broadcast, and so need
+/// not compress anything.
 fn broadcast_actions(peers: &Peers, update: &Update) -> Vec<Action> {
     if !peers.is_watching() {
         return Vec::new();
     }
     match update {
         Update::Table => peers.broadcast_table(),
-        // The next heartbeat says that it is there.
+        // The next heartbeat announces that the list is available.
         Update::Directory => Vec::new(),
         Update::Changes { since, until, changes } => peers.broadcast_changes(*since, *until, &encode(changes)),
     }
--- a/crates/cleatshelf/src/router/serve.rs
+++ b/crates/cleatshelf/src/router/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a router box: threads, listeners, signals, the planned stop.
+//! Runs a router box: threads, listeners, signals and the planned stop.
 
 use super::cluster_state::ClusterState;
 use super::follower::{Follower, PublisherHealth};
@@ -23,16 +23,17 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 
-/// Descriptors that are left for servers, the platform, boxes and files; callers may take the rest.
+/// File descriptors reserved for servers, the platform, boxes and files; callers may use the rest.
 const RESERVED_FILES: usize = 1_024;
 
-/// How much earlier than the platform's kill a planned stop ends.
+/// Time by which a planned stop ends before the platform kills the process.
 const STOP_MARGIN: Duration = Duration::from_millis(400);
 
-/// Runs a router with the settings of the file at `path` until it is told to stop. True says that nothing was cut off.
+/// Runs a router box until a signal stops it, and reloads the settings file at `path`. Returns true if no request was
+/// aborted.
 ///
 /// # Errors
-/// When a listener can't be bound.
+/// If a listener can't be bound.
 pub fn serve(settings: Settings, path: PathBuf, logger: JsonLogger, clock: Arc<dyn Clock>) -> eyre::Result<bool> {
     actix::System::new().block_on(run(settings, path, logger, clock))
 }
@@ -70,7 +71,7 @@
     shared.begin_stop();
     peering.announce_leaving();
     let began = Instant::now();
-    // The front holds the other end until it is done.
+    // The front end holds the receiver until it has finished.
     let _ = stop.send(true);
     let timeout = settings.stop_timeout.saturating_sub(STOP_MARGIN);
     let clean = tokio::time::timeout(timeout, traffic_done.wait_for(|done| *done)).await.is_ok();
@@ -102,7 +103,7 @@
         let front = Frontend::new(shared, max_connections);
         actix_rt::spawn(async move {
             front.run(callers, stopped).await;
-            // Nobody waits any more when the stop's time is over.
+            // An error means that the planned stop has timed out.
             let _ = done.send(true);
         });
     });
@@ -155,15 +156,14 @@
     actix_rt::spawn(Rc::clone(&peering).listen(listener));
     actix_rt::spawn(Rc::clone(&peering).run());
     actix_rt::spawn(Rc::clone(&peering).forward_owner_messages(messages));
-    let cluster_state_handle = Rc::clone(&cluster_state);
-    let notifier = Rc::clone(&peering);
+    let (updated_state, notified_peering) = (Rc::clone(&cluster_state), Rc::clone(&peering));
     actix_rt::spawn(async move {
         loop {
-            cluster_state.updated.notified().await;
-            notifier.on_update();
+            updated_state.updated.notified().await;
+            notified_peering.on_update();
         }
     });
-    Ok((peering, cluster_state_handle))
+    Ok((peering, cluster_state))
 }
 
 async fn wait_for_stop(reload: &tokio::sync::Notify) -> eyre::Result<()> {
