--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -196,7 +196,7 @@
     /// Counts a request that ended before it was handed to a driver.
     fn record_early_problem(&self, problem: &Problem) {
         let outcome = problem.outcome();
-        debug_assert_ne!(outcome, Outcome::Whole);
+        debug_assert_ne!(outcome, Outcome::Complete);
         let labels = [("class", "none".to_owned()), ("outcome", outcome.as_str().to_owned())];
         metrics::counter!("cleatshelf_requests_total", &labels).increment(1);
         metrics::counter!("cleatshelf_problems_total", "code" => problem.code.as_str()).increment(1);
--- a/crates/gateway/src/outcome.rs
+++ b/crates/gateway/src/outcome.rs
@@ -4,15 +4,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// The complete answer was delivered to the caller.
-    Whole,
+    Complete,
     /// Refused: the request did not run.
     NotRun,
     /// Failed after the request ran or may have run.
     Failed,
     /// The caller disconnected.
-    Gone,
+    Disconnected,
     /// Caller error.
-    Wrong,
+    CallerError,
 }
 
 impl Outcome {
@@ -20,11 +20,11 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
+            Self::Complete => "whole",
             Self::NotRun => "not_run",
             Self::Failed => "failed",
-            Self::Gone => "gone",
-            Self::Wrong => "wrong",
+            Self::Disconnected => "gone",
+            Self::CallerError => "wrong",
         }
     }
 }
--- a/crates/gateway/src/problem.rs
+++ b/crates/gateway/src/problem.rs
@@ -141,7 +141,7 @@
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         match self.ran {
-            Ran::No if self.code.is_caller_error() => Outcome::Wrong,
+            Ran::No if self.code.is_caller_error() => Outcome::CallerError,
             Ran::No => Outcome::NotRun,
             Ran::Yes | Ran::Unknown => Outcome::Failed,
         }
--- a/crates/gateway/src/request_driver.rs
+++ b/crates/gateway/src/request_driver.rs
@@ -52,7 +52,7 @@
 /// The reason why an attempt ended before the answer was complete.
 enum AttemptError {
     /// The caller disconnected.
-    CallerGone,
+    Disconnected,
     /// The owner recalled the lease.
     Recalled(Sent),
     /// No byte of this attempt reached the engine.
@@ -122,7 +122,7 @@
         let result = self.attempt_until_complete(Stage::Unsent(unsent), &mut delivery, &mut claim).await;
         match result {
             Ok(()) => {
-                delivery.metrics.finish(Outcome::Whole);
+                delivery.metrics.finish(Outcome::Complete);
                 Ok(())
             }
             Err(Some(problem)) => Err((problem, delivery.metrics)),
@@ -273,7 +273,7 @@
                     return if self.send_to_caller(&delivery.out, event).await {
                         Ok(())
                     } else {
-                        Err(AttemptError::CallerGone)
+                        Err(AttemptError::Disconnected)
                     };
                 }
                 Ok(Some(event)) => {
@@ -281,7 +281,7 @@
                     timer.write_to(&mut lease);
                     delivery.record(&event);
                     if !self.send_to_caller(&delivery.out, event).await {
-                        return Err(AttemptError::CallerGone);
+                        return Err(AttemptError::Disconnected);
                     }
                 }
                 Ok(None) => {
@@ -311,7 +311,7 @@
 fn next_stage(error: AttemptError, failures: u32) -> Result<Stage, Option<Problem>> {
     let exhausted = failures >= MAX_ATTEMPTS;
     match error {
-        AttemptError::CallerGone => Err(None),
+        AttemptError::Disconnected => Err(None),
         AttemptError::Recalled(sent) => retry_stage(sent, "the request can't be resumed"),
         AttemptError::Unreached(sent) => {
             let stage = Stage::after_unreached(sent);
--- a/crates/gateway/src/request_metrics.rs
+++ b/crates/gateway/src/request_metrics.rs
@@ -53,13 +53,13 @@
     fn record_outcome(&mut self, outcome: Outcome) {
         if self.finished {
             // The drop after `finish` is expected; any other call would count a second outcome.
-            if outcome != Outcome::Gone {
+            if outcome != Outcome::Disconnected {
                 telemetry::emit(Event::SecondOutcomeBroken, format_args!("outcome={}", outcome.as_str()));
             }
             return;
         }
         self.finished = true;
-        if outcome == Outcome::Whole {
+        if outcome == Outcome::Complete {
             self.record_elapsed("cleatshelf_whole_answer_seconds", Instant::now());
         }
         let labels = [("class", self.class.clone()), ("outcome", outcome.as_str().to_owned())];
@@ -69,6 +69,6 @@
 
 impl Drop for RequestMetrics {
     fn drop(&mut self) {
-        self.record_outcome(Outcome::Gone);
+        self.record_outcome(Outcome::Disconnected);
     }
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -73,7 +73,7 @@
     let metrics = RequestMetrics::new(&caller.class.name, &caller.label);
     let result = attempt(app, &caller, name, &service_request, arrived).await;
     match &result {
-        Ok(_) => metrics.finish(Outcome::Whole),
+        Ok(_) => metrics.finish(Outcome::Complete),
         Err(problem) => metrics.finish(problem.outcome()),
     }
     result
--- a/crates/relay/src/choose.rs
+++ b/crates/relay/src/choose.rs
@@ -35,9 +35,9 @@
     /// The placement found no server.
     Refused(Refusal),
     /// The deadline has passed.
-    Late,
+    DeadlineExceeded,
     /// The request is quarantined, because servers repeatedly terminated while running it.
-    Held {
+    Quarantined {
         /// Delay after which the caller may retry.
         retry_ms: Millis,
     },
@@ -84,12 +84,12 @@
     ) -> Result<(Choice, SlotGuard), NotSent> {
         if self.left().is_zero() {
             // After a suspension of the machine the Tokio timers lag behind.
-            return Err(NotSent::Late);
+            return Err(NotSent::DeadlineExceeded);
         }
         match self.verdict() {
             Verdict::Free => {}
             Verdict::Trial => self.shared.begin_probe(self.fingerprint()),
-            Verdict::Held { retry_ms } => return Err(NotSent::Held { retry_ms }),
+            Verdict::Held { retry_ms } => return Err(NotSent::Quarantined { retry_ms }),
         }
         self.permit_expires = permit_expires;
         self.log_choice(&choice);
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -59,8 +59,8 @@
                     wait.mul_f64(rand::rng().random_range(1.0..BACKOFF_SPREAD_FACTOR)),
                 )
             }
-            NotSent::Late => self.refuse("deadline exceeded"),
-            NotSent::Held { retry_ms } => {
+            NotSent::DeadlineExceeded => self.refuse("deadline exceeded"),
+            NotSent::Quarantined { retry_ms } => {
                 self.trail.push_str("held");
                 self.refuse_with_delay("servers ended under this request", Duration::from_millis(retry_ms))
             }
@@ -100,7 +100,7 @@
         if !self.may_have_run && !self.in_flight.get() {
             return self.refuse("no server could be reached in time");
         }
-        self.finish(Outcome::Late);
+        self.finish(Outcome::DeadlineExceeded);
         answer::plain(StatusCode::GATEWAY_TIMEOUT, "deadline exceeded")
     }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -77,7 +77,7 @@
 /// The result of a send with the body of a non-streamed answer.
 enum Fetched {
     Stream(Box<Answer>),
-    Whole(Box<http::response::Parts>, Bytes),
+    Complete(Box<http::response::Parts>, Bytes),
     Nothing(SendOutcome),
 }
 
@@ -91,7 +91,7 @@
     /// Sends the request until there is an outcome or the beginning of a stream.
     pub(crate) async fn run(&mut self) -> Reply {
         if let Verdict::Held { retry_ms } = self.verdict() {
-            return Reply::Whole(self.not_sent(&NotSent::Held { retry_ms }));
+            return Reply::Complete(self.not_sent(&NotSent::Quarantined { retry_ms }));
         }
         let now = self.shared.now();
         self.shared.placement().record_request(&self.service, now);
@@ -99,7 +99,7 @@
             match tokio::time::timeout_at(self.deadline, self.attempt()).await {
                 Ok(Some(reply)) => return reply,
                 Ok(None) => {}
-                Err(_) => return Reply::Whole(self.on_deadline()),
+                Err(_) => return Reply::Complete(self.on_deadline()),
             }
         }
     }
@@ -108,7 +108,7 @@
     async fn attempt(&mut self) -> Option<Reply> {
         let (choice, mut slot) = match self.choose().await {
             Ok(chosen) => chosen,
-            Err(why) => return Some(Reply::Whole(self.not_sent(&why))),
+            Err(why) => return Some(Reply::Complete(self.not_sent(&why))),
         };
         let fetched = match self.silence_timeout(&choice) {
             Some(timeout) => tokio::time::timeout(timeout, self.send_and_read(&choice))
@@ -118,7 +118,7 @@
         };
         match fetched {
             Fetched::Stream(answer) => Some(Reply::Stream(answer, slot)),
-            Fetched::Whole(parts, bytes) => {
+            Fetched::Complete(parts, bytes) => {
                 slot.on_prefill_done();
                 self.on_whole_answer(*parts, bytes, slot)
             }
@@ -133,7 +133,7 @@
                 Fetched::Stream(answer)
             }
             SendOutcome::Answer(answer) => match answer.collect(&self.connections).await {
-                Ok((parts, bytes)) => Fetched::Whole(Box::new(parts), bytes),
+                Ok((parts, bytes)) => Fetched::Complete(Box::new(parts), bytes),
                 Err(why) => Fetched::Nothing(SendOutcome::Broken(why)),
             },
             sent => Fetched::Nothing(sent),
@@ -190,7 +190,7 @@
         } else {
             slot.finish(Ending::Good);
         }
-        Some(Reply::Whole(self.forward_answer(parts, bytes)))
+        Some(Reply::Complete(self.forward_answer(parts, bytes)))
     }
 
     fn forward_answer(&mut self, mut parts: http::response::Parts, bytes: Bytes) -> Response<Body> {
@@ -210,9 +210,9 @@
         match self.record_failed_send(sent, slot) {
             NextStep::Retry => None,
             NextStep::GiveUp if self.may_have_run => {
-                Some(Reply::Whole(self.fail_unknown("no usable answer from a server")))
+                Some(Reply::Complete(self.fail_unknown("no usable answer from a server")))
             }
-            NextStep::GiveUp => Some(Reply::Whole(self.refuse("no server accepted the request"))),
+            NextStep::GiveUp => Some(Reply::Complete(self.refuse("no server accepted the request"))),
         }
     }
 
@@ -288,7 +288,7 @@
 /// The reply to the caller.
 pub(crate) enum Reply {
     /// A complete response.
-    Whole(Response<Body>),
+    Complete(Response<Body>),
     /// The head of a stream whose events are still to be forwarded.
     Stream(Box<Answer>, SlotGuard),
 }
--- a/crates/relay/src/frontend.rs
+++ b/crates/relay/src/frontend.rs
@@ -53,7 +53,7 @@
     crash_detector: CrashDetector,
     /// Maximum number of simultaneous callers' connections.
     max_connections: usize,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
     /// Sequence that distributes requests over the services of a route.
     draws: Rc<RefCell<DrawSequence>>,
 }
@@ -78,7 +78,7 @@
             shared,
             crash_detector: CrashDetector::default(),
             max_connections,
-            open: Rc::default(),
+            open_connections: Rc::default(),
             draws: Rc::new(RefCell::new(DrawSequence(0.3))),
         }
     }
@@ -106,7 +106,7 @@
         drop(listener);
         // Fails if all connections are closed already.
         let _ = close.send(true);
-        while this.open.get() > 0 {
+        while this.open_connections.get() > 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -121,17 +121,17 @@
     }
 
     fn accept(self: &Rc<Self>, stream: TcpStream, closing: &watch::Receiver<bool>) {
-        if self.open.get() >= self.max_connections {
+        if self.open_connections.get() >= self.max_connections {
             metrics::counter!("cleatshelf_connections_refused_total").increment(1);
             return;
         }
         enable_dead_peer_detection(&stream);
-        self.open.set(self.open.get() + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
         let this = Rc::clone(self);
         let closing = closing.clone();
         tokio::task::spawn_local(async move {
             this.serve(stream, closing).await;
-            this.open.set(this.open.get() - 1);
+            this.open_connections.set(this.open_connections.get() - 1);
         });
     }
 
@@ -159,7 +159,7 @@
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Response<Body> {
-        let running = Running::new(&self.shared);
+        let running = RunningGuard::new(&self.shared);
         let started = Instant::now();
         let mut response = self.exchange(request, started).await;
         drop(running);
@@ -187,7 +187,7 @@
         };
         match self.admit(&table, parts, body, started) {
             Ok(mut exchange) => match exchange.run().await {
-                Reply::Whole(response) => response,
+                Reply::Complete(response) => response,
                 Reply::Stream(answer, slot) => StreamForwarder::start(exchange, *answer, slot),
             },
             Err(response) => *response,
@@ -276,18 +276,18 @@
 }
 
 /// Counts a request as running until dropped.
-struct Running {
+struct RunningGuard {
     shared: Arc<Shared>,
 }
 
-impl Running {
+impl RunningGuard {
     fn new(shared: &Arc<Shared>) -> Self {
         shared.running.fetch_add(1, Ordering::Relaxed);
         Self { shared: Arc::clone(shared) }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.shared.running.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/relay/src/outcome.rs
+++ b/crates/relay/src/outcome.rs
@@ -6,15 +6,15 @@
     /// A server's complete answer was forwarded.
     Answered,
     /// A stream was truncated.
-    Cut,
+    Truncated,
     /// The caller disconnected.
-    Left,
+    Disconnected,
     /// Refused: the request did not run and will not.
     Refused,
     /// Failed: it is unknown whether the request ran.
     Unknown,
     /// The deadline passed.
-    Late,
+    DeadlineExceeded,
     /// Caller error: unknown route, unknown key or invalid head.
     Rejected,
 }
@@ -25,11 +25,11 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Answered => "answered",
-            Self::Cut => "cut",
-            Self::Left => "left",
+            Self::Truncated => "cut",
+            Self::Disconnected => "left",
             Self::Refused => "refused",
             Self::Unknown => "unknown",
-            Self::Late => "late",
+            Self::DeadlineExceeded => "late",
             Self::Rejected => "rejected",
         }
     }
--- a/crates/relay/src/stream_forwarder.rs
+++ b/crates/relay/src/stream_forwarder.rs
@@ -38,9 +38,9 @@
     /// The connection to the server was lost, or the stream is malformed.
     ConnectionLost(String),
     /// The caller disconnected.
-    CallerLeft,
+    Disconnected,
     /// The deadline passed.
-    DeadlinePassed,
+    DeadlineExceeded,
 }
 
 impl StreamForwarder {
@@ -78,12 +78,12 @@
                 self.exchange.finish(Outcome::Answered);
                 None
             }
-            StreamEnd::CallerLeft => {
-                self.exchange.finish(Outcome::Left);
+            StreamEnd::Disconnected => {
+                self.exchange.finish(Outcome::Disconnected);
                 None
             }
-            StreamEnd::DeadlinePassed => {
-                self.truncate(Outcome::Late).await;
+            StreamEnd::DeadlineExceeded => {
+                self.truncate(Outcome::DeadlineExceeded).await;
                 None
             }
             StreamEnd::ConnectionLost(why) => {
@@ -101,8 +101,8 @@
         loop {
             let frame = tokio::select! {
                 frame = answer.body.frame() => frame,
-                () = self.caller.closed() => return StreamEnd::CallerLeft,
-                () = tokio::time::sleep_until(self.exchange.deadline) => return StreamEnd::DeadlinePassed,
+                () = self.caller.closed() => return StreamEnd::Disconnected,
+                () = tokio::time::sleep_until(self.exchange.deadline) => return StreamEnd::DeadlineExceeded,
             };
             let bytes = match frame {
                 None if self.events.is_complete() => return StreamEnd::Complete,
@@ -118,7 +118,7 @@
                 self.on_first_event(slot);
                 self.record_event_time(slot);
                 if self.caller.send(Ok(Frame::data(whole))).await.is_err() {
-                    return StreamEnd::CallerLeft;
+                    return StreamEnd::Disconnected;
                 }
             }
         }
@@ -170,7 +170,7 @@
                 return Some(resumed);
             }
         }
-        self.truncate(Outcome::Cut).await;
+        self.truncate(Outcome::Truncated).await;
         None
     }
 
