--- a/crates/feed/src/call_budget.rs
+++ b/crates/feed/src/call_budget.rs
@@ -5,13 +5,13 @@
 /// Calls that may be calls_made now; fills up slowly.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
-    /// Calls left, never below 0 or above `most`.
-    left: f64,
-    /// Calls gained in a second.
+    /// Calls that may be made now; from 0 to `burst`.
+    tokens: f64,
+    /// Sustained number of calls per second.
     per_second: f64,
-    /// Most calls that can be saved up.
-    most: f64,
-    filled: Time,
+    /// Maximum number of calls at once.
+    burst: f64,
+    last_refill: Time,
     /// Calls made so far.
     pub calls_made: u64,
 }
@@ -19,20 +19,20 @@
 impl CallBudget {
     /// `per_second` calls a second in the long run, `most` at once.
     #[must_use]
-    pub fn new(per_second: f64, most: f64, now: Time) -> Self {
-        Self { left: most, per_second, most, filled: now, calls_made: 0 }
+    pub fn new(per_second: f64, burst: f64, now: Time) -> Self {
+        Self { tokens: burst, per_second, burst, last_refill: now, calls_made: 0 }
     }
 
     /// Takes one call; false when none is left.
     #[must_use]
     pub fn try_acquire(&mut self, now: Time) -> bool {
-        let gained = now.since(self.filled) as f64 / 1_000.0 * self.per_second;
-        self.left = (self.left + gained).min(self.most);
-        self.filled = now;
-        if self.left < 1.0 {
+        let gained = now.since(self.last_refill) as f64 / 1_000.0 * self.per_second;
+        self.tokens = (self.tokens + gained).min(self.burst);
+        self.last_refill = now;
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         self.calls_made += 1;
         true
     }
--- a/crates/feed/src/http.rs
+++ b/crates/feed/src/http.rs
@@ -10,18 +10,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest wait for an ordinary answer.
-const ANSWER_MOST: Duration = Duration::from_secs(2);
+/// Timeout of calls other than watches.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the platform is asked to keep a watch open, and how much longer we wait for it.
-const WATCH_MS: u64 = 10_000;
-const WATCH_MOST: Duration = Duration::from_millis(WATCH_MS + 2_000);
+/// Time for which the platform is asked to keep a watch open.
+const WATCH_WAIT_MS: u64 = 10_000;
 
-/// Largest value that the platform holds, and a little more.
-const VALUE_MOST: usize = 1_100_000;
+/// Timeout of a watch, which leaves the platform 2 s to end it.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(WATCH_WAIT_MS + 2_000);
 
-/// Header in which the service gives a value's revision.
-const REVISION: &str = "revision";
+/// Maximum size of a value, slightly above the platform's limit.
+const MAX_VALUE_BYTES: usize = 1_100_000;
+
+/// Response header with a value's revision.
+const REVISION_HEADER: &str = "revision";
 
 /// Reads `/v1/values/KEY`, `/v1/watch/KEY?since=N&wait_ms=N` and `/v1/members`.
 pub struct HttpSource {
@@ -58,21 +60,21 @@
     /// The configuration service at `config`, the membership list at `members`.
     #[must_use]
     pub fn new(config: SocketAddr, members: SocketAddr) -> Self {
-        let client = Client::builder().timeout(WATCH_MOST).disable_redirects().finish();
+        let client = Client::builder().timeout(WATCH_TIMEOUT).disable_redirects().finish();
         Self { client, config, members }
     }
 
-    async fn read(&self, url: &str, most: Duration) -> Result<Option<Value>, SourceError> {
+    async fn read(&self, url: &str, timeout: Duration) -> Result<Option<Value>, SourceError> {
         let unreachable = |e: &dyn std::fmt::Display| SourceError::Unreachable(e.to_string());
-        let response = self.client.get(url).timeout(most).send().await.map_err(|e| unreachable(&e))?;
+        let response = self.client.get(url).timeout(timeout).send().await.map_err(|e| unreachable(&e))?;
         match response.status() {
             StatusCode::OK => {}
             StatusCode::NOT_FOUND | StatusCode::NO_CONTENT => return Ok(None),
             status => return Err(SourceError::Unreachable(format!("status {status}"))),
         }
-        let mut response = response.timeout(most);
-        let revision = response.headers().get(REVISION).and_then(|v| v.to_str().ok()?.parse().ok());
-        let bytes = response.body().limit(VALUE_MOST).await.map_err(|e| unreachable(&e))?;
+        let mut response = response.timeout(timeout);
+        let revision = response.headers().get(REVISION_HEADER).and_then(|v| v.to_str().ok()?.parse().ok());
+        let bytes = response.body().limit(MAX_VALUE_BYTES).await.map_err(|e| unreachable(&e))?;
         Ok(Some(Value { revision: revision.unwrap_or(0), bytes: bytes.to_vec() }))
     }
 }
@@ -80,17 +82,17 @@
 #[async_trait(?Send)]
 impl Source for HttpSource {
     async fn get(&self, key: &str) -> Result<Option<Value>, SourceError> {
-        self.read(&format!("http://{}/v1/values/{key}", self.config), ANSWER_MOST).await
+        self.read(&format!("http://{}/v1/values/{key}", self.config), CALL_TIMEOUT).await
     }
 
     async fn watch(&self, key: &str, since: u64) -> Result<Option<Value>, SourceError> {
-        let url = format!("http://{}/v1/watch/{key}?since={since}&wait_ms={WATCH_MS}", self.config);
-        self.read(&url, WATCH_MOST).await
+        let url = format!("http://{}/v1/watch/{key}?since={since}&wait_ms={WATCH_WAIT_MS}", self.config);
+        self.read(&url, WATCH_TIMEOUT).await
     }
 
     async fn member_list(&self) -> Result<MemberList, SourceError> {
         let url = format!("http://{}/v1/members", self.members);
-        let value = self.read(&url, ANSWER_MOST).await?.unwrap_or(Value { revision: 0, bytes: Vec::new() });
+        let value = self.read(&url, CALL_TIMEOUT).await?.unwrap_or(Value { revision: 0, bytes: Vec::new() });
         let members: Members =
             serde_json::from_slice(&value.bytes).map_err(|e| SourceError::Malformed(e.to_string()))?;
         Ok(MemberList {
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -40,7 +40,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Unreachable(why) => write!(f, "unreachable: {why}"),
-            Self::Malformed(why) => write!(f, "garbled: {why}"),
+            Self::Malformed(why) => write!(f, "malformed response: {why}"),
         }
     }
 }
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -10,13 +10,17 @@
 use std::collections::BTreeMap;
 use telemetry::Event;
 
-/// Boxes asked to probe on this box's behalf.
-const HELPERS: usize = 2;
+/// Number of boxes that are asked to probe an unresponsive box indirectly.
+const INDIRECT_PROBES: usize = 2;
 
-/// Every so many probes one goes to another hall.
-const FAR_EVERY: u32 = 4;
+/// One in this many probes goes to another hall.
+const REMOTE_PROBE_EVERY: u32 = 4;
 
-/// The times of probing.
+/// Number of pending indirect probes for other boxes above which all are dropped. Those without a response
+/// are not removed otherwise.
+const MAX_PENDING_INDIRECT_PROBES: usize = 1_000;
+
+/// Intervals and timeouts of probes.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeTiming {
     /// Between two probes, in milliseconds.
@@ -50,7 +54,7 @@
 struct Outstanding {
     to: BoxId,
     sent: Time,
-    helped: bool,
+    indirect: bool,
 }
 
 /// Who is alive, as this box sees it.
@@ -62,16 +66,16 @@
     members: BTreeMap<BoxId, Member>,
     /// What the list last said of servers, with its revision.
     upstreams: BTreeMap<ServerId, (u64, bool)>,
-    near: Vec<BoxId>,
-    far: Vec<BoxId>,
-    count: u32,
+    local_round: Vec<BoxId>,
+    remote_round: Vec<BoxId>,
+    last_number: u32,
     outstanding: BTreeMap<u32, Outstanding>,
-    /// Pings made for others: who asked, and their number.
-    helping: BTreeMap<u32, (BoxId, u32)>,
+    /// Indirect probes for other boxes: the requester and the number of its probe.
+    indirect_probes: BTreeMap<u32, (BoxId, u32)>,
     gossip: GossipQueue,
-    probed: Time,
-    ticked: Time,
-    trust_after: Time,
+    last_probe: Time,
+    last_tick: Time,
+    grace_until: Time,
     random: ChaCha8Rng,
     out: Vec<Action>,
 }
@@ -88,15 +92,15 @@
             leaving: false,
             members: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            near: Vec::new(),
-            far: Vec::new(),
-            count: 0,
+            local_round: Vec::new(),
+            remote_round: Vec::new(),
+            last_number: 0,
             outstanding: BTreeMap::new(),
-            helping: BTreeMap::new(),
+            indirect_probes: BTreeMap::new(),
             gossip: GossipQueue::default(),
-            probed: Time(0),
-            ticked: now,
-            trust_after: now.after(timing.start_grace_ms),
+            last_probe: Time(0),
+            last_tick: now,
+            grace_until: now.after(timing.start_grace_ms),
             random,
             out: Vec::new(),
         };
@@ -104,7 +108,7 @@
             probe.add(peer.clone(), 0, now);
         }
         probe.members.values_mut().for_each(|m| m.address_fixed = true);
-        probe.spread_self();
+        probe.announce_self();
         probe
     }
 
@@ -132,7 +136,7 @@
         self.out.push(Action::ViewChanged);
     }
 
-    fn spread_self(&mut self) {
+    fn announce_self(&mut self) {
         let state = if self.leaving { State::Leaving } else { State::Alive };
         let change =
             Change::Box { id: self.me.id(), state, incarnation: self.incarnation, peer: Some(self.me.clone()) };
@@ -156,39 +160,40 @@
         if member.state != State::Suspect && member.state != State::Dead {
             return;
         }
-        // Direct word beats a belief: it is alive. Others learn it by its own, higher incarnation.
-        let died = member.state == State::Dead;
+        // A direct message takes precedence over a reported state. Other boxes learn it from the box's higher
+        // incarnation.
+        let was_dead = member.state == State::Dead;
         member.state = State::Alive;
         member.since = now;
-        if died {
+        if was_dead {
             let detail = format!("box={}", member.peer.name);
             self.out.push(Action::Log(Event::PeerAlive, detail));
             self.out.push(Action::ViewChanged);
         }
     }
 
-    /// A message about who is alive came in. Messages about releases are left to [`crate::ReleaseSync`].
-    pub fn on_message(&mut self, from: BoxId, message: &Message, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
+    /// Handles a message about membership. Messages about releases are handled by [`crate::ReleaseSync`].
+    pub fn on_message(&mut self, from: BoxId, message: &Message, release: Option<ReleaseId>, now: Time) -> Vec<Action> {
         match message {
             Message::Ping { number, changes, .. } => {
-                self.take_in(changes, now);
+                self.apply_changes(changes, now);
                 self.record_contact(from, now);
                 let changes = self.gossip.take();
-                self.out.push(Action::Send(from, Message::Ack { number: *number, order, changes }));
+                self.out.push(Action::Send(from, Message::Ack { number: *number, order: release, changes }));
             }
             Message::Ack { number, changes, .. } => {
-                self.take_in(changes, now);
+                self.apply_changes(changes, now);
                 self.record_contact(from, now);
                 self.outstanding.remove(number);
-                if let Some((asker, theirs)) = self.helping.remove(number) {
-                    self.out.push(Action::Send(asker, Message::AckFor(theirs, from)));
+                if let Some((requester, request)) = self.indirect_probes.remove(number) {
+                    self.out.push(Action::Send(requester, Message::AckFor(request, from)));
                 }
             }
-            Message::PingFor(theirs, target) => {
+            Message::PingFor(request, target) => {
                 let number = self.next_number();
-                self.helping.insert(number, (from, *theirs));
+                self.indirect_probes.insert(number, (from, *request));
                 let changes = self.gossip.take();
-                self.out.push(Action::Send(*target, Message::Ping { number, order, changes }));
+                self.out.push(Action::Send(*target, Message::Ping { number, order: release, changes }));
             }
             Message::AckFor(number, _) => {
                 self.outstanding.remove(number);
@@ -198,51 +203,51 @@
         std::mem::take(&mut self.out)
     }
 
-    fn take_in(&mut self, changes: &[Change], now: Time) {
+    fn apply_changes(&mut self, changes: &[Change], now: Time) {
         for change in changes {
             match change {
                 Change::Box { id, state, incarnation, peer } => {
                     if let Some(peer) = peer {
                         self.add(peer.clone(), *incarnation, now);
                     }
-                    self.believe(*id, *state, *incarnation, now);
+                    self.apply_state(*id, *state, *incarnation, now);
                 }
-                Change::Upstream { id, leaving, revision } => self.upstream(*id, *leaving, *revision),
+                Change::Upstream { id, leaving, revision } => self.apply_upstream(*id, *leaving, *revision),
                 Change::Refused { order, reason } => self.out.push(Action::RefusedElsewhere(*order, reason.clone())),
             }
         }
     }
 
-    fn believe(&mut self, id: BoxId, state: State, incarnation: u32, now: Time) {
+    fn apply_state(&mut self, id: BoxId, state: State, incarnation: u32, now: Time) {
         if id == self.me.id() {
-            self.speak_up(state, incarnation);
+            self.refute(state, incarnation);
             return;
         }
         let Some(member) = self.members.get_mut(&id) else { return };
         let newer = (incarnation, state) > (member.incarnation, member.state);
-        // What was just heard directly beats what others believe of the same life.
-        let just_heard = member.contacted && now.since(member.last_contact) < self.timing.suspect_timeout_ms;
-        let contradicted = just_heard && incarnation == member.incarnation && state != State::Leaving;
+        // A recent direct message takes precedence over states of the same incarnation that others report.
+        let recent = member.contacted && now.since(member.last_contact) < self.timing.suspect_timeout_ms;
+        let contradicted = recent && incarnation == member.incarnation && state != State::Leaving;
         if !newer || contradicted {
             return;
         }
         member.incarnation = incarnation;
         let change = Change::Box { id, state, incarnation, peer: Some(member.peer.clone()) };
-        self.enter(id, state, now);
+        self.set_state(id, state, now);
         self.gossip(change);
     }
 
-    /// Others believe something wrong of this box: say so, with a higher incarnation.
-    fn speak_up(&mut self, state: State, incarnation: u32) {
+    /// Refutes a wrong state of this box, with a higher incarnation.
+    fn refute(&mut self, state: State, incarnation: u32) {
         let own = if self.leaving { State::Leaving } else { State::Alive };
         if incarnation < self.incarnation || (incarnation == self.incarnation && state <= own) {
             return;
         }
         self.incarnation = incarnation + 1;
-        self.spread_self();
+        self.announce_self();
     }
 
-    fn enter(&mut self, id: BoxId, state: State, now: Time) {
+    fn set_state(&mut self, id: BoxId, state: State, now: Time) {
         let Some(member) = self.members.get_mut(&id) else { return };
         if member.state == state {
             return;
@@ -259,7 +264,7 @@
         self.out.push(Action::ViewChanged);
     }
 
-    fn upstream(&mut self, id: ServerId, leaving: bool, revision: u64) {
+    fn apply_upstream(&mut self, id: ServerId, leaving: bool, revision: u64) {
         let known = self.upstreams.get(&id).copied();
         if known.is_some_and(|(seen, _)| seen >= revision) {
             return;
@@ -290,11 +295,11 @@
             let id = peer.id();
             if *leaving && id != self.me.id() {
                 let incarnation = self.members.get(&id).map_or(0, |m| m.incarnation);
-                self.believe(id, State::Leaving, incarnation, now);
+                self.apply_state(id, State::Leaving, incarnation, now);
             }
         }
         for (id, leaving) in upstreams {
-            self.upstream(*id, *leaving, revision);
+            self.apply_upstream(*id, *leaving, revision);
         }
         std::mem::take(&mut self.out)
     }
@@ -303,11 +308,11 @@
     pub fn leave(&mut self) -> Vec<Action> {
         self.leaving = true;
         self.incarnation += 1;
-        self.spread_self();
+        self.announce_self();
         self.out.push(Action::ViewChanged);
-        // This hall's boxes must all know at once; others learn it as they learn any change.
-        let near = |m: &&Member| m.peer.hall == self.me.hall && m.state != State::Dead;
-        let ids: Vec<BoxId> = self.members.values().filter(near).map(|m| m.peer.id()).collect();
+        // All boxes of this hall must know at once; others receive it like any other change.
+        let local = |m: &&Member| m.peer.hall == self.me.hall && m.state != State::Dead;
+        let ids: Vec<BoxId> = self.members.values().filter(local).map(|m| m.peer.id()).collect();
         let change = Change::Box {
             id: self.me.id(),
             state: State::Leaving,
@@ -326,15 +331,15 @@
     // Time
 
     fn next_number(&mut self) -> u32 {
-        self.count = self.count.wrapping_add(1);
-        self.count
+        self.last_number = self.last_number.wrapping_add(1);
+        self.last_number
     }
 
-    fn ping(&mut self, to: BoxId, order: Option<ReleaseId>, now: Time) {
+    fn ping(&mut self, to: BoxId, release: Option<ReleaseId>, now: Time) {
         let number = self.next_number();
         let changes = self.gossip.take();
-        self.outstanding.insert(number, Outstanding { to, sent: now, helped: false });
-        self.out.push(Action::Send(to, Message::Ping { number, order, changes }));
+        self.outstanding.insert(number, Outstanding { to, sent: now, indirect: false });
+        self.out.push(Action::Send(to, Message::Ping { number, order: release, changes }));
     }
 
     /// The link to a box broke: don't wait for probes to find out.
@@ -347,7 +352,7 @@
 
     /// Until a box that started or woke has heard from another one, that one's silence means little.
     fn may_suspect(&self, id: BoxId, now: Time) -> bool {
-        now >= self.trust_after || self.members.get(&id).is_some_and(|m| m.contacted)
+        now >= self.grace_until || self.members.get(&id).is_some_and(|m| m.contacted)
     }
 
     fn suspect(&mut self, id: BoxId, now: Time) {
@@ -356,65 +361,65 @@
             return;
         }
         let change = Change::Box { id, state: State::Suspect, incarnation: member.incarnation, peer: None };
-        self.enter(id, State::Suspect, now);
+        self.set_state(id, State::Suspect, now);
         self.gossip(change);
     }
 
-    /// Time has passed. `order` is the release in force here.
-    pub fn tick(&mut self, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
-        if now.since(self.ticked) >= policy::PAUSE_THRESHOLD_MS {
-            // It was this box that was away, so nobody's silence means anything.
+    /// Runs scheduled work. `release` is the release in force here.
+    pub fn tick(&mut self, release: Option<ReleaseId>, now: Time) -> Vec<Action> {
+        if now.since(self.last_tick) >= policy::PAUSE_THRESHOLD_MS {
+            // This box itself was paused, so missing responses don't indicate a failure.
             self.outstanding.clear();
-            self.trust_after = now.after(self.timing.wake_grace_ms);
+            self.grace_until = now.after(self.timing.wake_grace_ms);
             self.members.values_mut().for_each(|m| m.contacted = false);
         }
-        self.ticked = now;
-        self.judge(now);
-        self.bury(now);
-        if now.since(self.probed) >= self.timing.interval_ms {
-            self.probed = now;
-            self.probe_next(order, now);
+        self.last_tick = now;
+        self.check_outstanding(now);
+        self.declare_dead(now);
+        if now.since(self.last_probe) >= self.timing.interval_ms {
+            self.last_probe = now;
+            self.probe_next(release, now);
         }
         std::mem::take(&mut self.out)
     }
 
-    fn probe_next(&mut self, order: Option<ReleaseId>, now: Time) {
-        let far = self.count.is_multiple_of(FAR_EVERY);
-        if let Some(to) = self.next_target(far).or_else(|| self.next_target(!far)) {
-            self.ping(to, order, now);
+    fn probe_next(&mut self, release: Option<ReleaseId>, now: Time) {
+        let remote = self.last_number.is_multiple_of(REMOTE_PROBE_EVERY);
+        if let Some(to) = self.next_target(remote).or_else(|| self.next_target(!remote)) {
+            self.ping(to, release, now);
         }
-        if self.helping.len() > 1_000 {
-            self.helping.clear();
+        if self.indirect_probes.len() > MAX_PENDING_INDIRECT_PROBES {
+            self.indirect_probes.clear();
         }
     }
 
-    /// The next box in a shuffled round, so that each one is probed within a bounded time.
-    fn next_target(&mut self, far: bool) -> Option<BoxId> {
-        let empty = if far { self.far.is_empty() } else { self.near.is_empty() };
+    /// Returns the next box of a shuffled round, so that each is probed within a bounded time.
+    fn next_target(&mut self, remote: bool) -> Option<BoxId> {
+        let empty = if remote { self.remote_round.is_empty() } else { self.local_round.is_empty() };
         if empty {
-            let is_far = |m: &&Member| (m.peer.hall != self.me.hall) == far;
-            // Dead boxes are probed too: that is how a healed cut is found.
-            let mut round: Vec<BoxId> = self.members.values().filter(is_far).map(|m| m.peer.id()).collect();
+            let is_candidate = |m: &&Member| (m.peer.hall != self.me.hall) == remote;
+            // Dead boxes are probed as well, to detect the end of a network partition.
+            let mut round: Vec<BoxId> = self.members.values().filter(is_candidate).map(|m| m.peer.id()).collect();
             round.shuffle(&mut self.random);
-            *(if far { &mut self.far } else { &mut self.near }) = round;
+            *(if remote { &mut self.remote_round } else { &mut self.local_round }) = round;
         }
-        (if far { &mut self.far } else { &mut self.near }).pop()
+        (if remote { &mut self.remote_round } else { &mut self.local_round }).pop()
     }
 
-    fn judge(&mut self, now: Time) {
+    fn check_outstanding(&mut self, now: Time) {
         let mut help = Vec::new();
         let mut late = Vec::new();
         for (number, probe) in &mut self.outstanding {
             let waited = now.since(probe.sent);
             if waited >= self.timing.suspect_timeout_ms {
                 late.push((*number, probe.to));
-            } else if waited >= self.timing.ack_timeout_ms && !probe.helped {
-                probe.helped = true;
+            } else if waited >= self.timing.ack_timeout_ms && !probe.indirect {
+                probe.indirect = true;
                 help.push((*number, probe.to));
             }
         }
         for (number, target) in help {
-            self.ask_help(number, target);
+            self.probe_indirectly(number, target);
         }
         for (number, target) in late {
             self.outstanding.remove(&number);
@@ -424,20 +429,20 @@
         }
     }
 
-    fn ask_help(&mut self, number: u32, target: BoxId) {
+    fn probe_indirectly(&mut self, number: u32, target: BoxId) {
         let alive = |m: &&Member| m.state == State::Alive && m.peer.id() != target;
         let mut helpers: Vec<BoxId> = self.members.values().filter(alive).map(|m| m.peer.id()).collect();
         helpers.shuffle(&mut self.random);
-        for helper in helpers.into_iter().take(HELPERS) {
+        for helper in helpers.into_iter().take(INDIRECT_PROBES) {
             self.out.push(Action::Send(helper, Message::PingFor(number, target)));
         }
     }
 
-    fn bury(&mut self, now: Time) {
+    fn declare_dead(&mut self, now: Time) {
         let old = |m: &&Member| m.state == State::Suspect && now.since(m.since) >= self.timing.dead_timeout_ms;
         let dead: Vec<(BoxId, u32)> = self.members.values().filter(old).map(|m| (m.peer.id(), m.incarnation)).collect();
         for (id, incarnation) in dead {
-            self.enter(id, State::Dead, now);
+            self.set_state(id, State::Dead, now);
             self.gossip(Change::Box { id, state: State::Dead, incarnation, peer: None });
         }
     }
@@ -463,8 +468,8 @@
     /// Boxes of this hall that are leaving: they own nothing, but may still hold leases.
     #[must_use]
     pub fn leaving_boxes(&self) -> Vec<BoxId> {
-        let near = |m: &&Member| m.peer.hall == self.me.hall && m.state == State::Leaving;
-        self.members.values().filter(near).map(|m| m.peer.id()).collect()
+        let local = |m: &&Member| m.peer.hall == self.me.hall && m.state == State::Leaving;
+        self.members.values().filter(local).map(|m| m.peer.id()).collect()
     }
 
     /// True while some box of this hall has neither answered nor been found dead or leaving.
--- a/crates/fleet/src/release_sync.rs
+++ b/crates/fleet/src/release_sync.rs
@@ -9,17 +9,17 @@
 /// Boxes of a hall that hold the platform's watch.
 pub const WATCHERS_PER_HALL: usize = 2;
 
-/// Earlier manifests kept, so that a peer can be told only what changed.
-const HISTORY: usize = 16;
+/// Number of manifests that are kept, so that peers can be sent deltas.
+const MAX_HISTORY: usize = 16;
 
-/// A peer that doesn't deliver within this time is given up, in milliseconds.
-const PULL_MS: u64 = 1_000;
+/// Time without progress after which a pull from a peer or the platform is abandoned, in milliseconds.
+const PULL_TIMEOUT_MS: u64 = 1_000;
 
-/// Refused releases remembered, so that they aren't pulled again and again.
-const REFUSED_MOST: usize = 64;
+/// Number of refused releases that are remembered, so that they aren't pulled repeatedly.
+const MAX_REFUSED: usize = 64;
 
-/// Most parts asked for in one message.
-const PARTS_MOST: usize = 16;
+/// Maximum number of parts that are requested in one message.
+const MAX_PARTS_PER_REQUEST: usize = 16;
 
 /// The boxes of a hall that hold the platform's watch, given those alive.
 #[must_use]
@@ -46,21 +46,21 @@
 #[derive(Debug)]
 struct Pull {
     source: Source,
-    order: ReleaseId,
-    /// None until the manifest is here.
+    id: ReleaseId,
+    /// The manifest and its text, once received.
     manifest: Option<(Manifest, String)>,
     parts: BTreeMap<Digest, Vec<u8>>,
     /// Parts that aren't here. Contains all of `awaited`.
     missing: BTreeSet<Digest>,
-    /// Parts that were asked for and have not come.
-    awaited: BTreeSet<Digest>,
-    since: Time,
+    /// Parts that were requested and have not been received.
+    requested: BTreeSet<Digest>,
+    last_progress: Time,
 }
 
 impl Pull {
-    fn new(source: Source, order: ReleaseId, now: Time) -> Self {
-        let (parts, missing, awaited) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
-        Self { source, order, manifest: None, parts, missing, awaited, since: now }
+    fn new(source: Source, id: ReleaseId, now: Time) -> Self {
+        let (parts, missing, requested) = (BTreeMap::new(), BTreeSet::new(), BTreeSet::new());
+        Self { source, id, manifest: None, parts, missing, requested, last_progress: now }
     }
 }
 
@@ -89,7 +89,7 @@
     /// Where the release in force stands.
     #[must_use]
     pub fn release_id(&self) -> Option<ReleaseId> {
-        self.history.back().map(|(order, _)| *order)
+        self.history.back().map(|(id, _)| *id)
     }
 
     /// Releases that this box refused, and those that others were heard to refuse.
@@ -102,24 +102,24 @@
 
     /// True when this box itself found a release wrong.
     #[must_use]
-    pub fn has_refused(&self, order: ReleaseId) -> bool {
-        self.refused.iter().any(|r| r.id == order)
+    pub fn has_refused(&self, id: ReleaseId) -> bool {
+        self.refused.iter().any(|r| r.id == id)
     }
 
-    fn wants(&self, order: ReleaseId) -> bool {
-        let newer = self.release_id().is_none_or(|current| order > current);
-        newer && !self.has_refused(order)
+    fn is_wanted(&self, id: ReleaseId) -> bool {
+        let newer = self.release_id().is_none_or(|current| id > current);
+        newer && !self.has_refused(id)
     }
 
     // ------------------------------------------------------------------------
     // From peers
 
-    /// A peer's release was heard of.
-    pub fn on_release(&mut self, from: BoxId, order: Option<ReleaseId>, now: Time) -> Vec<Action> {
-        if let Some(order) = order.filter(|o| self.wants(*o)) {
-            let busy = self.pull.as_ref().is_some_and(|p| now.since(p.since) < PULL_MS && p.order >= order);
+    /// Handles the announcement of a peer's release.
+    pub fn on_release(&mut self, from: BoxId, id: Option<ReleaseId>, now: Time) -> Vec<Action> {
+        if let Some(id) = id.filter(|o| self.is_wanted(*o)) {
+            let busy = self.pull.as_ref().is_some_and(|p| now.since(p.last_progress) < PULL_TIMEOUT_MS && p.id >= id);
             if !busy {
-                self.pull = Some(Pull::new(Source::Peer(from), order, now));
+                self.pull = Some(Pull::new(Source::Peer(from), id, now));
                 self.out.push(Action::Send(from, Message::Pull(self.release_id())));
             }
         }
@@ -130,23 +130,23 @@
     pub fn on_message(&mut self, from: BoxId, message: &Message, now: Time) -> Vec<Action> {
         match message {
             Message::Pull(have) => self.send_manifest(from, *have),
-            Message::Manifest(order, delta) => self.take_manifest(from, *order, delta, now),
+            Message::Manifest(id, delta) => self.on_manifest(from, *id, delta, now),
             Message::PullParts(digests) => self.send_parts(from, digests),
-            Message::Parts(parts) => self.take_parts(parts, now),
+            Message::Parts(parts) => self.on_parts(parts, now),
             _ => {}
         }
         std::mem::take(&mut self.out)
     }
 
     fn send_manifest(&mut self, to: BoxId, have: Option<ReleaseId>) {
-        let Some((order, manifest)) = self.history.back() else { return };
+        let Some((id, manifest)) = self.history.back() else { return };
         let base = self.history.iter().find(|(o, _)| Some(*o) == have).map(|(o, m)| (*o, m));
         let delta = Delta::between(base, manifest);
-        self.out.push(Action::Send(to, Message::Manifest(*order, delta)));
+        self.out.push(Action::Send(to, Message::Manifest(*id, delta)));
     }
 
-    fn take_manifest(&mut self, from: BoxId, order: ReleaseId, delta: &Delta, now: Time) {
-        if !self.wants(order) {
+    fn on_manifest(&mut self, from: BoxId, id: ReleaseId, delta: &Delta, now: Time) {
+        if !self.is_wanted(id) {
             return;
         }
         let base = match delta.base {
@@ -157,18 +157,18 @@
             },
         };
         let text = delta.apply(base).render();
-        if Digest::of(text.as_bytes()) != order.digest {
+        if Digest::of(text.as_bytes()) != id.digest {
             self.out.push(Action::Log(Event::FrameRefused, format!("from={from} manifest doesn't match its digest")));
             return;
         }
-        self.begin(Source::Peer(from), &text, now);
+        self.start_pull(Source::Peer(from), &text, now);
     }
 
     fn send_parts(&mut self, to: BoxId, digests: &[Digest]) {
         let Some(current) = &self.current else { return };
         let found: Vec<Vec<u8>> =
-            digests.iter().take(PARTS_MOST).filter_map(|d| current.parts.get(d).cloned()).collect();
-        // One message for each, so that no frame grows beyond a part.
+            digests.iter().take(MAX_PARTS_PER_REQUEST).filter_map(|d| current.parts.get(d).cloned()).collect();
+        // Each part has its own message, so that no frame is larger than a part.
         for part in found {
             self.out.push(Action::Send(to, Message::Parts(vec![part])));
         }
@@ -185,19 +185,19 @@
         }
         match Manifest::parse(text) {
             Err(faults) => {
-                let order = ReleaseId { number: 0, digest };
-                self.refuse(order, faults.iter().map(ToString::to_string).collect());
+                let id = ReleaseId { number: 0, digest };
+                self.refuse(id, faults.iter().map(ToString::to_string).collect());
             }
             Ok(manifest) if manifest.render() != text => {
                 let reason = "manifest: not in the form that `cleatshelf pack` writes".to_owned();
                 self.refuse(ReleaseId { number: manifest.number, digest }, vec![reason]);
             }
             Ok(manifest) => {
-                let order = ReleaseId { number: manifest.number, digest };
-                if self.wants(order) {
-                    self.begin(Source::Platform, text, now);
+                let id = ReleaseId { number: manifest.number, digest };
+                if self.is_wanted(id) {
+                    self.start_pull(Source::Platform, text, now);
                 } else if let Some(current) = self.release_id() {
-                    let detail = format!("offered={} current={}", order.number, current.number);
+                    let detail = format!("offered={} current={}", id.number, current.number);
                     self.out.push(Action::Log(Event::ReleaseStale, detail));
                 }
             }
@@ -209,24 +209,24 @@
     ///
     /// When some are not there yet, the pull stands still, is given up, and begins anew with the next offer.
     pub fn on_parts_fetched(&mut self, parts: &[Vec<u8>], now: Time) -> Vec<Action> {
-        self.take_parts(parts, now);
+        self.on_parts(parts, now);
         std::mem::take(&mut self.out)
     }
 
     // ------------------------------------------------------------------------
     // Putting a release together
 
-    fn begin(&mut self, source: Source, text: &str, now: Time) {
+    fn start_pull(&mut self, source: Source, text: &str, now: Time) {
         let manifest = match Manifest::parse(text) {
             Ok(manifest) => manifest,
             Err(faults) => {
-                let order = ReleaseId { number: 0, digest: Digest::of(text.as_bytes()) };
-                self.refuse(order, faults.iter().map(ToString::to_string).collect());
+                let id = ReleaseId { number: 0, digest: Digest::of(text.as_bytes()) };
+                self.refuse(id, faults.iter().map(ToString::to_string).collect());
                 return;
             }
         };
-        let order = ReleaseId { number: manifest.number, digest: Digest::of(text.as_bytes()) };
-        let mut pull = Pull::new(source, order, now);
+        let id = ReleaseId { number: manifest.number, digest: Digest::of(text.as_bytes()) };
+        let mut pull = Pull::new(source, id, now);
         for digest in manifest.parts.values() {
             match self.current.as_ref().and_then(|c| c.parts.get(digest)) {
                 Some(bytes) => {
@@ -239,35 +239,35 @@
         }
         pull.manifest = Some((manifest, text.to_owned()));
         self.pull = Some(pull);
-        self.ask_parts();
+        self.request_parts();
     }
 
-    fn ask_parts(&mut self) {
+    fn request_parts(&mut self) {
         let Some(pull) = &mut self.pull else { return };
         if pull.missing.is_empty() {
             self.complete();
             return;
         }
-        pull.awaited = pull.missing.iter().take(PARTS_MOST).copied().collect();
-        let next: Vec<Digest> = pull.awaited.iter().copied().collect();
+        pull.requested = pull.missing.iter().take(MAX_PARTS_PER_REQUEST).copied().collect();
+        let next: Vec<Digest> = pull.requested.iter().copied().collect();
         match pull.source {
             Source::Platform => self.out.push(Action::Fetch(next)),
             Source::Peer(from) => self.out.push(Action::Send(from, Message::PullParts(next))),
         }
     }
 
-    fn take_parts(&mut self, parts: &[Vec<u8>], now: Time) {
+    fn on_parts(&mut self, parts: &[Vec<u8>], now: Time) {
         let Some(pull) = &mut self.pull else { return };
         for bytes in parts {
             let digest = Digest::of(bytes);
             if pull.missing.remove(&digest) {
-                pull.awaited.remove(&digest);
+                pull.requested.remove(&digest);
                 pull.parts.insert(digest, bytes.clone());
-                pull.since = now;
+                pull.last_progress = now;
             }
         }
-        if pull.manifest.is_some() && pull.awaited.is_empty() {
-            self.ask_parts();
+        if pull.manifest.is_some() && pull.requested.is_empty() {
+            self.request_parts();
         }
     }
 
@@ -277,62 +277,64 @@
         let release = Release { manifest, text, parts: pull.parts };
         match release.check_cached(&mut self.parsed) {
             Ok(catalog) => self.adopt(release, catalog),
-            Err(faults) => self.refuse(pull.order, faults.iter().map(ToString::to_string).collect()),
+            Err(faults) => self.refuse(pull.id, faults.iter().map(ToString::to_string).collect()),
         }
     }
 
     fn adopt(&mut self, release: Release, catalog: catalog::Catalog) {
-        let order = release.id();
-        if self.release_id().is_some_and(|current| order <= current) {
-            // `wants` was asked before the parts came; a newer release may have come in between.
+        let id = release.id();
+        if self.release_id().is_some_and(|current| id <= current) {
+            // `is_wanted` was checked before the parts arrived, and a newer release may have arrived in
+            // between.
             return;
         }
-        let detail = format!("number={} digest={}", order.number, order.digest);
+        let detail = format!("number={} digest={}", id.number, id.digest);
         self.out.push(Action::Log(Event::ReleaseInForce, detail));
-        self.history.push_back((order, release.manifest.clone()));
-        if self.history.len() > HISTORY {
+        self.history.push_back((id, release.manifest.clone()));
+        if self.history.len() > MAX_HISTORY {
             self.history.pop_front();
         }
         self.current = Some(release.clone());
         self.out.push(Action::Adopt(Box::new(release), Box::new(catalog)));
     }
 
-    fn refuse(&mut self, order: ReleaseId, reasons: Vec<String>) {
+    fn refuse(&mut self, id: ReleaseId, reasons: Vec<String>) {
         let reason = reasons.first().map(|first| first.chars().take(MAX_REASON_CHARS).collect()).unwrap_or_default();
-        self.out.push(Action::Gossip(Change::Refused { order, reason }));
+        self.out.push(Action::Gossip(Change::Refused { order: id, reason }));
         let shown: Vec<&str> = reasons.iter().take(5).map(String::as_str).collect();
-        let detail = format!("number={} digest={} reasons=[{}]", order.number, order.digest, shown.join("; "));
+        let detail = format!("number={} digest={} reasons=[{}]", id.number, id.digest, shown.join("; "));
         self.out.push(Action::Log(Event::ReleaseRefused, detail));
-        self.refused_elsewhere.retain(|r| r.id != order);
-        remember(&mut self.refused, RefusedRelease { id: order, reasons });
+        self.refused_elsewhere.retain(|r| r.id != id);
+        push_bounded(&mut self.refused, RefusedRelease { id, reasons });
         self.pull = None;
     }
 
-    /// Another box refused a release. Shown and passed on once; this box still judges for itself.
-    pub fn on_refused_elsewhere(&mut self, order: ReleaseId, reason: &str) -> Vec<Action> {
-        if self.refused.iter().chain(&self.refused_elsewhere).any(|r| r.id == order) {
+    /// Records that another box refused a release. It is displayed and forwarded once, and this box still
+    /// decides by itself.
+    pub fn on_refused_elsewhere(&mut self, id: ReleaseId, reason: &str) -> Vec<Action> {
+        if self.refused.iter().chain(&self.refused_elsewhere).any(|r| r.id == id) {
             return Vec::new();
         }
         let reason: String = reason.chars().take(MAX_REASON_CHARS).collect();
-        let detail = format!("number={} digest={} told=true reasons=[{reason}]", order.number, order.digest);
+        let detail = format!("number={} digest={} told=true reasons=[{reason}]", id.number, id.digest);
         self.out.push(Action::Log(Event::ReleaseRefused, detail));
-        self.out.push(Action::Gossip(Change::Refused { order, reason: reason.clone() }));
-        remember(&mut self.refused_elsewhere, RefusedRelease { id: order, reasons: vec![reason] });
+        self.out.push(Action::Gossip(Change::Refused { order: id, reason: reason.clone() }));
+        push_bounded(&mut self.refused_elsewhere, RefusedRelease { id, reasons: vec![reason] });
         std::mem::take(&mut self.out)
     }
 
     /// Time has passed: a pull that stands still is given up, and the next probe begins anew.
     pub fn tick(&mut self, now: Time) {
-        if self.pull.as_ref().is_some_and(|p| now.since(p.since) >= PULL_MS) {
+        if self.pull.as_ref().is_some_and(|p| now.since(p.last_progress) >= PULL_TIMEOUT_MS) {
             self.pull = None;
         }
     }
 }
 
-/// Keeps the newest [`REFUSED_MOST`].
-fn remember(list: &mut VecDeque<RefusedRelease>, refused: RefusedRelease) {
+/// Appends a release, and keeps the latest [`MAX_REFUSED`].
+fn push_bounded(list: &mut VecDeque<RefusedRelease>, refused: RefusedRelease) {
     list.push_back(refused);
-    if list.len() > REFUSED_MOST {
+    if list.len() > MAX_REFUSED {
         list.pop_front();
     }
 }
