--- a/crates/feed/src/call_budget.rs
+++ b/crates/feed/src/call_budget.rs
@@ -1,8 +1,8 @@
-//! How many calls a box may make to the platform.
+//! Rate limit for calls to the platform.
 
 use policy::Time;
 
-/// Calls that may be calls_made now; fills up slowly.
+/// A token bucket for calls to the platform.
 #[derive(Clone, Debug)]
 pub struct CallBudget {
     /// Calls that may be made now; from 0 to `burst`.
@@ -17,13 +17,13 @@
 }
 
 impl CallBudget {
-    /// `per_second` calls a second in the long run, `most` at once.
+    /// Creates a budget of `per_second` sustained calls per second, and up to `burst` at once.
     #[must_use]
     pub fn new(per_second: f64, burst: f64, now: Time) -> Self {
         Self { tokens: burst, per_second, burst, last_refill: now, calls_made: 0 }
     }
 
-    /// Takes one call; false when none is left.
+    /// Takes one call from the budget. Returns false if none is available.
     #[must_use]
     pub fn try_acquire(&mut self, now: Time) -> bool {
         let gained = now.since(self.last_refill) as f64 / 1_000.0 * self.per_second;
--- a/crates/feed/src/http.rs
+++ b/crates/feed/src/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! Access to the platform over HTTP.
 
 use crate::{MemberList, Source, SourceError, Value};
 use async_trait::async_trait;
@@ -57,7 +57,7 @@
 }
 
 impl HttpSource {
-    /// The configuration service at `config`, the membership list at `members`.
+    /// Creates a client of the configuration service at `config` and the membership list at `members`.
     #[must_use]
     pub fn new(config: SocketAddr, members: SocketAddr) -> Self {
         let client = Client::builder().timeout(WATCH_TIMEOUT).disable_redirects().finish();
--- a/crates/feed/src/lib.rs
+++ b/crates/feed/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the platform publishes, read only: the configuration service, the membership list.
+//! Read-only access to the platform: the configuration service and the membership list.
 //!
-//! The traits stand where an operator's own platform plugs in; [`HttpSource`] is the one we ship. Nothing
-//! here writes to the platform, and each call is counted against a budget of the box. What a release
-//! or a member means is decided elsewhere (`catalog`, `fleet`).
+//! Operators can connect their own platform by implementing [`Source`]; [`HttpSource`] is the one provided
+//! here. Nothing in this crate writes to the platform, and each call is counted against the box's
+//! [`CallBudget`]. Releases and members are interpreted in `catalog` and `fleet`.
 
 mod call_budget;
 mod http;
--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -1,38 +1,38 @@
-//! The border towards the platform.
+//! Interface to the platform.
 
 use async_trait::async_trait;
 use catalog::ServerId;
 use fleet::Peer;
 
-/// The key under which operators publish the manifest. A part stands under `part/DIGEST`.
+/// The key under which operators publish the manifest. Parts are published under `part/DIGEST`.
 pub const MANIFEST_KEY: &str = "manifest";
 
 /// A value of the configuration service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Value {
-    /// The service's revision of this value, rising.
+    /// The service's revision of this value, which increases with each change.
     pub revision: u64,
-    /// The bytes.
+    /// Content of the value.
     pub bytes: Vec<u8>,
 }
 
-/// The membership list as last published. It lags.
+/// The membership list as last published, which may lag behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberList {
-    /// Rises with each change.
+    /// Increases with each change.
     pub revision: u64,
-    /// Boxes, and whether each is leaving.
+    /// Boxes with their leaving flags.
     pub boxes: Vec<(Peer, bool)>,
-    /// Upstreams, and whether each is leaving.
+    /// Upstreams with their leaving flags.
     pub upstreams: Vec<(ServerId, bool)>,
 }
 
-/// Why the platform gave no answer.
+/// The reason why the platform returned no usable response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceError {
-    /// It did not answer, or not in time.
+    /// The platform did not answer in time.
     Unreachable(String),
-    /// It answered something that makes no sense.
+    /// The platform's response could not be decoded.
     Malformed(String),
 }
 
@@ -47,22 +47,22 @@
 
 impl std::error::Error for SourceError {}
 
-/// What the platform publishes, read only.
+/// Read-only access to the platform.
 #[async_trait(?Send)]
 pub trait Source {
-    /// The value under `key`, if there is one.
+    /// Returns the value of `key`, if there is one.
     ///
     /// # Errors
     /// [`SourceError`] when the platform gives no usable answer.
     async fn get(&self, key: &str) -> Result<Option<Value>, SourceError>;
 
-    /// Waits until `key` has a revision above `since`; none when the platform's time for that is over.
+    /// Waits until `key` has a revision above `since`. Returns `None` when the platform ends the wait.
     ///
     /// # Errors
     /// [`SourceError`] when the platform gives no usable answer.
     async fn watch(&self, key: &str, since: u64) -> Result<Option<Value>, SourceError>;
 
-    /// The membership list.
+    /// Returns the membership list.
     ///
     /// # Errors
     /// [`SourceError`] when the platform gives no usable answer.
--- a/crates/fleet/src/action.rs
+++ b/crates/fleet/src/action.rs
@@ -1,26 +1,26 @@
-//! What the fleet's state machines want done.
+//! Actions requested by the fleet's state machines.
 
 use crate::{Change, Message};
 use catalog::{BoxId, Catalog, Digest, Release, ReleaseId, ServerId};
 use telemetry::Event;
 
-/// What the fleet's state machines want done.
+/// An action requested by one of the fleet's state machines.
 #[derive(Debug)]
 pub enum Action {
-    /// Send this to that box.
+    /// Send a message to a box.
     Send(BoxId, Message),
-    /// The boxes that are alive changed: ask for the new view.
+    /// The set of available boxes has changed; the view has to be read again.
     ViewChanged,
-    /// A server is leaving, or is back.
+    /// A server is leaving (true), or no longer leaving (false).
     Upstream(ServerId, bool),
-    /// Let this change ride along on probes.
+    /// Distribute a change with probes.
     Gossip(Change),
-    /// Another box refused a release, for this reason: to be shown here as well.
+    /// Another box refused a release for this reason, which is to be shown here as well.
     RefusedElsewhere(ReleaseId, String),
-    /// This release is in force from now on.
+    /// Put a release in force.
     Adopt(Box<Release>, Box<Catalog>),
-    /// Get these parts from the platform, for a manifest that it offered.
+    /// Fetch parts of a manifest from the platform that offered it.
     Fetch(Vec<Digest>),
-    /// Log this.
+    /// Log an event.
     Log(Event, String),
 }
--- a/crates/fleet/src/failure_detector.rs
+++ b/crates/fleet/src/failure_detector.rs
@@ -1,4 +1,5 @@
-//! Who is alive: probes in turn, help from others before a suspicion, and changes that ride along.
+//! Failure detection by periodic probes, with indirect probes before a suspicion. Probes also distribute
+//! changes.
 
 use crate::gossip::GossipQueue;
 use crate::{Action, Change, Member, Message, Peer, State};
@@ -23,17 +24,19 @@
 /// Intervals and timeouts of probes.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeTiming {
-    /// Between two probes, in milliseconds.
+    /// Interval between two probes, in milliseconds.
     pub interval_ms: u64,
-    /// Until others are asked to help, in milliseconds.
+    /// Time after a probe until indirect probes are requested, in milliseconds.
     pub ack_timeout_ms: u64,
-    /// Until a box is suspect although others tried, in milliseconds after the probe.
+    /// Time after a probe until a box is suspected despite indirect probes, in milliseconds.
     pub suspect_timeout_ms: u64,
-    /// From suspect to dead, in milliseconds.
+    /// Time until a suspected box is declared dead, in milliseconds.
     pub dead_timeout_ms: u64,
-    /// After waking from a pause nobody unheard is suspected for this long, in milliseconds.
+    /// Time after a pause of this box during which no box is suspected that has not been contacted since, in
+    /// milliseconds.
     pub wake_grace_ms: u64,
-    /// After the start nobody unheard is suspected for this long, in milliseconds: links are still being made.
+    /// Time after the start of this box during which no box is suspected that has not been contacted yet, in
+    /// milliseconds. Connections are still being established then.
     pub start_grace_ms: u64,
 }
 
@@ -57,14 +60,14 @@
     indirect: bool,
 }
 
-/// Who is alive, as this box sees it.
+/// Membership of the fleet, as seen by this box.
 pub struct FailureDetector {
     me: Peer,
     timing: ProbeTiming,
     incarnation: u32,
     leaving: bool,
     members: BTreeMap<BoxId, Member>,
-    /// What the list last said of servers, with its revision.
+    /// The revision and the leaving flag of each server, according to the platform's list.
     upstreams: BTreeMap<ServerId, (u64, bool)>,
     local_round: Vec<BoxId>,
     remote_round: Vec<BoxId>,
@@ -81,7 +84,8 @@
 }
 
 impl FailureDetector {
-    /// A box that knows `peers` from its settings. `incarnation` must rise with each start.
+    /// Creates the state of a box that knows `peers` from its settings. `incarnation` must increase with each
+    /// start.
     #[must_use]
     pub fn new(me: Peer, peers: &[Peer], incarnation: u32, timing: ProbeTiming, now: Time) -> Self {
         let random = ChaCha8Rng::seed_from_u64(u64::from(me.id().0) ^ u64::from(incarnation));
@@ -117,7 +121,7 @@
             return;
         }
         if let Some(known) = self.members.get_mut(&peer.id()) {
-            // A younger life may have come up elsewhere; links are made to where it says it is.
+            // A newer incarnation may have started at another address.
             if !known.address_fixed && incarnation > known.incarnation {
                 known.peer = peer;
             }
@@ -143,16 +147,16 @@
         self.gossip(change);
     }
 
-    /// Lets a change ride along on probes.
+    /// Distributes a change with probes.
     pub fn gossip(&mut self, change: Change) {
-        // This box, and one that is perhaps not known yet.
+        // Counts this box, and one that may not be known yet.
         self.gossip.push(change, self.members.len() + 2);
     }
 
     // ------------------------------------------------------------------------
-    // What others say
+    // Messages from other boxes
 
-    /// A box was heard from, whatever it said.
+    /// Records a message of any kind from a box.
     pub fn record_contact(&mut self, from: BoxId, now: Time) {
         let Some(member) = self.members.get_mut(&from) else { return };
         member.contacted = true;
@@ -277,12 +281,12 @@
     }
 
     // ------------------------------------------------------------------------
-    // What the platform's list says
+    // The platform's list
 
-    /// The list was read: boxes with their leaving flag, and servers with theirs.
+    /// Applies the platform's list: boxes and servers with their leaving flags.
     ///
-    /// The list lags. It adds boxes and it says who is leaving; it never brings back a box that
-    /// doesn't answer, and a box that it no longer names stays while it answers.
+    /// The list lags behind. It adds boxes and marks them as leaving, but never revives a box that doesn't
+    /// answer, and a box that is no longer listed stays while it answers.
     pub fn on_member_list(
         &mut self,
         boxes: &[(Peer, bool)],
@@ -304,7 +308,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// This box begins to leave: nobody is to count on it any more.
+    /// Begins to leave, so that no other box relies on this one any more.
     pub fn leave(&mut self) -> Vec<Action> {
         self.leaving = true;
         self.incarnation += 1;
@@ -342,7 +346,7 @@
         self.out.push(Action::Send(to, Message::Ping { number, order: release, changes }));
     }
 
-    /// The link to a box broke: don't wait for probes to find out.
+    /// Handles a lost connection to a box, which is suspected at once instead of after a failed probe.
     pub fn on_connection_lost(&mut self, id: BoxId, now: Time) -> Vec<Action> {
         if self.members.get(&id).is_some_and(|m| m.contacted) {
             self.suspect(id, now);
@@ -350,7 +354,8 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Until a box that started or woke has heard from another one, that one's silence means little.
+    /// Returns true if a box that doesn't answer may be suspected. During the grace period after a start or a
+    /// pause of this box, only boxes that have been contacted may be.
     fn may_suspect(&self, id: BoxId, now: Time) -> bool {
         now >= self.grace_until || self.members.get(&id).is_some_and(|m| m.contacted)
     }
@@ -450,7 +455,8 @@
     // ------------------------------------------------------------------------
     // The view
 
-    /// Boxes that may own something, by hall: this one unless it is leaving, and all neither dead nor leaving.
+    /// Returns the boxes that may be owners, by hall: all that are neither dead nor leaving, including this
+    /// one.
     #[must_use]
     pub fn eligible_boxes(&self) -> BTreeMap<String, Vec<BoxId>> {
         let mut halls: BTreeMap<String, Vec<BoxId>> = BTreeMap::new();
@@ -465,32 +471,32 @@
         halls
     }
 
-    /// Boxes of this hall that are leaving: they own nothing, but may still hold leases.
+    /// Returns the boxes of this hall that are leaving. They own nothing but may still hold leases.
     #[must_use]
     pub fn leaving_boxes(&self) -> Vec<BoxId> {
         let local = |m: &&Member| m.peer.hall == self.me.hall && m.state == State::Leaving;
         self.members.values().filter(local).map(|m| m.peer.id()).collect()
     }
 
-    /// True while some box of this hall has neither answered nor been found dead or leaving.
+    /// Returns true while some box of this hall has neither been contacted nor been found dead or leaving.
     #[must_use]
     pub fn has_uncontacted_peers(&self) -> bool {
         let open = |m: &Member| !m.contacted && matches!(m.state, State::Alive | State::Suspect);
         self.members.values().any(|m| m.peer.hall == self.me.hall && open(m))
     }
 
-    /// Every other box that was ever heard of.
+    /// Returns all other boxes that have ever been known.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Where a box listens.
+    /// Returns the identity and address of a box.
     #[must_use]
     pub fn peer(&self, id: BoxId) -> Option<&Peer> {
         self.members.get(&id).map(|m| &m.peer)
     }
 
-    /// Some living boxes, this hall's first, to hand a new release to.
+    /// Returns up to `max` random live boxes, those of this hall first, for announcing a new release.
     pub fn random_alive(&mut self, max: usize) -> Vec<BoxId> {
         let alive = self.members.values().filter(|m| m.state == State::Alive);
         let mut ids: Vec<(bool, u32, BoxId)> = alive.map(|m| (m.peer.hall != self.me.hall, 0, m.peer.id())).collect();
--- a/crates/fleet/src/gossip.rs
+++ b/crates/fleet/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Changes that still have to be told, and which of them go next.
+//! Queue of the changes that are distributed with probes.
 
 use crate::Change;
 use std::collections::VecDeque;
@@ -16,24 +16,24 @@
     remaining: u32,
 }
 
-/// Changes that still have to be told.
+/// Changes that are still to be sent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GossipQueue {
-    /// At most one for each thing that changes.
+    /// At most one update for each subject.
     queue: VecDeque<GossipUpdate>,
 }
 
 impl GossipQueue {
-    /// Takes in a change, in a fleet of so many boxes; it replaces what was told of the same thing.
+    /// Adds a change, in a fleet of `boxes`. It replaces an earlier change of the same subject.
     pub(crate) fn push(&mut self, change: Change, boxes: usize) {
         self.queue.retain(|update| !same_subject(&update.change, &change));
         let doublings = usize::BITS - boxes.leading_zeros();
         self.queue.push_front(GossipUpdate { change, remaining: RETRANSMIT_FACTOR * doublings });
     }
 
-    /// What rides along on the next probe.
+    /// Returns the changes for the next probe.
     ///
-    /// The changes that were told least go first, so that news isn't held up by what is nearly old.
+    /// The changes that were sent least often have priority, so that new changes are not delayed by older ones.
     pub(crate) fn take(&mut self) -> Vec<Change> {
         if self.queue.len() > MAX_CHANGES_PER_MESSAGE {
             self.queue.make_contiguous().sort_by_key(|update| std::cmp::Reverse(update.remaining));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! How boxes know each other and share what the operators published, without any store.
+//! Membership and distribution of releases among boxes, without a store.
 //!
-//! [`FailureDetector`] finds out who is alive at a cost per box that doesn't grow with the fleet.
-//! [`ReleaseSync`] carries releases from the few boxes that read the platform to all others and never goes
-//! back. Both are plain state machines: messages and time in, actions out. How requests are decided is
-//! `policy`'s matter; how messages travel is `wire`'s.
+//! [`FailureDetector`] determines which boxes are alive, at a cost per box that doesn't grow with the fleet.
+//! [`ReleaseSync`] distributes releases from the few boxes that read the platform to all others, and never
+//! returns to an older release. Both are plain state machines that take messages and the time, and return
+//! actions. Requests are scheduled in `policy`, and messages are transported by `wire`.
 
 mod action;
 mod failure_detector;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,57 +1,58 @@
-//! Boxes and what is known of them.
+//! Boxes and their membership state.
 
 use catalog::BoxId;
 use policy::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Who a box is and where it listens for other boxes.
+/// Identity of a box, and the address where it listens for other boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
     /// The box's name, unique over all halls.
     pub name: String,
-    /// The hall it stands in.
+    /// Hall in which the box is.
     pub hall: String,
-    /// Where it listens for other boxes.
+    /// Address where it listens for other boxes.
     pub address: SocketAddr,
 }
 
 impl Peer {
-    /// The box's short name.
+    /// Returns the box's ID, which is derived from its name.
     #[must_use]
     pub fn id(&self) -> BoxId {
         BoxId::of(&self.name)
     }
 }
 
-/// What is believed of a box. At equal incarnation the later one in this order wins.
+/// Membership state of a box. At equal incarnation, the later state in this order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// It answers.
+    /// The box answers probes.
     Alive,
-    /// It didn't answer; it may say otherwise.
+    /// The box did not answer probes. It may refute this.
     Suspect,
-    /// It is taken as gone.
+    /// The box is considered gone.
     Dead,
-    /// It said, or the platform's list says, that it is leaving. Wins over all others.
+    /// The box, or the platform's list, has announced that it is leaving. Takes precedence over all other
+    /// states.
     Leaving,
 }
 
-/// A box and what is believed of it.
+/// A box and its membership state.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Who it is.
+    /// Identity and address of the box.
     pub peer: Peer,
-    /// The settings name its address, which no news changes.
+    /// The address is from the settings and is not changed by updates.
     pub address_fixed: bool,
-    /// What is believed of it.
+    /// Membership state of the box.
     pub state: State,
-    /// Rises each time the box starts or speaks up against a wrong belief; only the box raises it.
+    /// Incremented by the box itself each time it starts or refutes a wrong state.
     pub incarnation: u32,
-    /// When `state` was entered.
+    /// Time at which `state` was entered.
     pub since: Time,
-    /// It was heard from directly since this box started or woke.
+    /// A message was received from it directly since this box started or resumed.
     pub contacted: bool,
-    /// When it was last heard from directly.
+    /// Time of the last message received from it directly.
     pub last_contact: Time,
 }
--- a/crates/fleet/src/message.rs
+++ b/crates/fleet/src/message.rs
@@ -1,62 +1,63 @@
-//! What boxes say to each other about themselves and about releases.
+//! Messages between boxes about membership and releases.
 
 use crate::{Peer, State};
 use catalog::{BoxId, Digest, Manifest, ReleaseId, ServerId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change that travels on probes.
+/// A change that is distributed with probes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// What is believed of a box. `peer` is there while the box is new to others.
+    /// A membership state of a box.
     Box {
         /// The box.
         id: BoxId,
-        /// What is believed.
+        /// Its state.
         state: State,
-        /// The box's incarnation that the belief is about.
+        /// Incarnation of the box to which the state applies.
         incarnation: u32,
-        /// Who it is, for boxes that don't know it yet.
+        /// Identity and address of the box, for boxes that don't know it yet.
         peer: Option<Peer>,
     },
-    /// What the platform's list says of a server.
+    /// State of a server according to the platform's list.
     Upstream {
         /// The server.
         id: ServerId,
-        /// It is leaving.
+        /// The server is leaving.
         leaving: bool,
-        /// The list's revision; the higher one wins.
+        /// Revision of the list; the higher one takes precedence.
         revision: u64,
     },
-    /// A release that a box was offered by the platform and refused. Only shown, never obeyed.
+    /// A release that a box was offered by the platform and refused. It is only displayed and never keeps
+    /// other boxes from accepting the release.
     Refused {
-        /// Where it stands among others.
+        /// ID of the release.
         order: ReleaseId,
-        /// The first of its faults, cut to [`MAX_REASON_CHARS`] characters.
+        /// The first of its faults, truncated to [`MAX_REASON_CHARS`] characters.
         reason: String,
     },
 }
 
-/// Longest reason for a refused release that is told to others, in characters.
+/// Maximum length of the reason for a refused release in messages, in characters.
 pub const MAX_REASON_CHARS: usize = 160;
 
-/// How one manifest differs from an earlier one.
+/// The difference between a manifest and an earlier one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The earlier release, or none for a whole manifest.
+    /// The earlier release, or `None` for a complete manifest.
     pub base: Option<ReleaseId>,
-    /// The release format.
+    /// Format of the release.
     pub format: u64,
-    /// The release number.
+    /// Number of the release.
     pub number: u64,
-    /// Parts that are new or changed.
+    /// New and changed parts.
     pub changed: BTreeMap<String, Digest>,
-    /// Parts that are gone.
+    /// Removed parts.
     pub removed: Vec<String>,
 }
 
 impl Delta {
-    /// What has to change in `base` to give `to`; the whole of `to` without a base.
+    /// Returns the changes that turn `base` into `to`, or all of `to` without a base.
     #[must_use]
     pub fn between(base: Option<(ReleaseId, &Manifest)>, to: &Manifest) -> Self {
         let empty = BTreeMap::new();
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The manifest that this delta makes of `base`'s parts.
+    /// Returns the manifest that results from applying this delta to `base`.
     #[must_use]
     pub fn apply(&self, base: Option<&Manifest>) -> Manifest {
         let mut parts = base.map(|m| m.parts.clone()).unwrap_or_default();
@@ -84,37 +85,37 @@
     }
 }
 
-/// A message between two boxes' fleet code.
+/// A message about membership or releases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Are you alive? Carries the sender's release and some changes.
+    /// Probes the receiver, with the sender's release and some changes.
     Ping {
-        /// Pairs the answer.
+        /// Identifies the ping in the response.
         number: u32,
         /// The release in force at the sender.
         order: Option<ReleaseId>,
-        /// Changes that are still spreading.
+        /// Changes that are still being distributed.
         changes: Vec<Change>,
     },
-    /// Yes.
+    /// Response to a ping.
     Ack {
-        /// The ping's number.
+        /// Number of the ping.
         number: u32,
         /// The release in force at the sender.
         order: Option<ReleaseId>,
-        /// Changes that are still spreading.
+        /// Changes that are still being distributed.
         changes: Vec<Change>,
     },
-    /// Please ping that box for me: I can't reach it.
+    /// Requests an indirect probe of a box that does not answer the sender.
     PingFor(u32, BoxId),
-    /// The box that you asked about answered me.
+    /// Reports that the box of an indirect probe answered.
     AckFor(u32, BoxId),
-    /// The manifest of the release in force, please; here is what I have.
+    /// Requests the manifest of the release in force, given the sender's release.
     Pull(Option<ReleaseId>),
     /// A manifest.
     Manifest(ReleaseId, Delta),
-    /// These parts, please.
+    /// Requests parts of a release.
     PullParts(Vec<Digest>),
-    /// Parts; each names itself by its digest.
+    /// Parts of a release, which are identified by their digests.
     Parts(Vec<Vec<u8>>),
 }
--- a/crates/fleet/src/release_sync.rs
+++ b/crates/fleet/src/release_sync.rs
@@ -1,4 +1,5 @@
-//! Releases: from the platform to few boxes, from them to all, and never back.
+//! Distribution of releases, from the platform to few boxes and from those to all others. Older releases
+//! never replace newer ones.
 
 use crate::{Action, Change, Delta, Message, MAX_REASON_CHARS};
 use catalog::{BoxId, Digest, Manifest, ParseCache, Release, ReleaseId};
@@ -6,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use telemetry::Event;
 
-/// Boxes of a hall that hold the platform's watch.
+/// Number of boxes of a hall that watch the platform.
 pub const WATCHERS_PER_HALL: usize = 2;
 
 /// Number of manifests that are kept, so that peers can be sent deltas.
@@ -21,19 +22,19 @@
 /// Maximum number of parts that are requested in one message.
 const MAX_PARTS_PER_REQUEST: usize = 16;
 
-/// The boxes of a hall that hold the platform's watch, given those alive.
+/// Returns the boxes of a hall that watch the platform, given the live boxes.
 #[must_use]
 pub fn watchers(alive: &[BoxId]) -> Vec<BoxId> {
     const WATCH: u64 = 0x0077_6174_6368;
     policy::ranked(WATCH, alive, WATCHERS_PER_HALL)
 }
 
-/// A release that this box won't take, and why.
+/// A refused release and the reasons.
 #[derive(Clone, Debug)]
 pub struct RefusedRelease {
-    /// Where it stands among others.
+    /// ID of the release.
     pub id: ReleaseId,
-    /// Every fault, for the operator.
+    /// All faults that were found, for the operator.
     pub reasons: Vec<String>,
 }
 
@@ -50,7 +51,7 @@
     /// The manifest and its text, once received.
     manifest: Option<(Manifest, String)>,
     parts: BTreeMap<Digest, Vec<u8>>,
-    /// Parts that aren't here. Contains all of `awaited`.
+    /// Parts that have not been received. Contains all of `requested`.
     missing: BTreeSet<Digest>,
     /// Parts that were requested and have not been received.
     requested: BTreeSet<Digest>,
@@ -64,43 +65,44 @@
     }
 }
 
-/// The release in force here, and one that is on its way.
+/// The release in force, and the one that is being pulled.
 #[derive(Debug, Default)]
 pub struct ReleaseSync {
-    /// Its order only ever rises.
+    /// Its ID only ever increases.
     current: Option<Release>,
     history: VecDeque<(ReleaseId, Manifest)>,
     pull: Option<Pull>,
     parsed: ParseCache,
-    /// What this box found wrong itself. Keeps a release out.
+    /// Releases that this box itself found invalid. They are not accepted.
     refused: VecDeque<RefusedRelease>,
-    /// What others refused and this box wasn't offered. Only shown: acceptance is each box's own finding.
+    /// Releases that other boxes refused and that were not offered to this one. Only displayed, because each
+    /// box decides on acceptance by itself.
     refused_elsewhere: VecDeque<RefusedRelease>,
     out: Vec<Action>,
 }
 
 impl ReleaseSync {
-    /// The release in force.
+    /// Returns the release in force.
     #[must_use]
     pub fn current(&self) -> Option<&Release> {
         self.current.as_ref()
     }
 
-    /// Where the release in force stands.
+    /// Returns the ID of the release in force.
     #[must_use]
     pub fn release_id(&self) -> Option<ReleaseId> {
         self.history.back().map(|(id, _)| *id)
     }
 
-    /// Releases that this box refused, and those that others were heard to refuse.
+    /// Returns the releases that were refused by this box or, as reported, by others.
     ///
-    /// What is in force here isn't among them, even if older boxes can't read it.
+    /// The release in force here is not among them, even if older boxes can't read it.
     pub fn refused(&self) -> impl Iterator<Item = &RefusedRelease> {
         let current = self.release_id();
         self.refused.iter().chain(&self.refused_elsewhere).filter(move |r| Some(r.id) != current)
     }
 
-    /// True when this box itself found a release wrong.
+    /// Returns true if this box itself found a release invalid.
     #[must_use]
     pub fn has_refused(&self, id: ReleaseId) -> bool {
         self.refused.iter().any(|r| r.id == id)
@@ -126,7 +128,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// A message about releases came in. Others are left alone.
+    /// Handles a message about releases. Other messages are ignored.
     pub fn on_message(&mut self, from: BoxId, message: &Message, now: Time) -> Vec<Action> {
         match message {
             Message::Pull(have) => self.send_manifest(from, *have),
@@ -177,7 +179,7 @@
     // ------------------------------------------------------------------------
     // From the platform
 
-    /// The platform offered a manifest.
+    /// Handles a manifest offered by the platform.
     pub fn on_manifest_offered(&mut self, text: &str, now: Time) -> Vec<Action> {
         let digest = Digest::of(text.as_bytes());
         if self.refused.iter().any(|r| r.id.digest == digest) || self.release_id().is_some_and(|o| o.digest == digest) {
@@ -205,16 +207,16 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Parts came from the platform, as asked for by [`Action::Fetch`].
+    /// Handles parts fetched from the platform for [`Action::Fetch`].
     ///
-    /// When some are not there yet, the pull stands still, is given up, and begins anew with the next offer.
+    /// If some are not available yet, the pull times out and is restarted by the next offer.
     pub fn on_parts_fetched(&mut self, parts: &[Vec<u8>], now: Time) -> Vec<Action> {
         self.on_parts(parts, now);
         std::mem::take(&mut self.out)
     }
 
     // ------------------------------------------------------------------------
-    // Putting a release together
+    // Assembly of a release
 
     fn start_pull(&mut self, source: Source, text: &str, now: Time) {
         let manifest = match Manifest::parse(text) {
@@ -323,7 +325,7 @@
         std::mem::take(&mut self.out)
     }
 
-    /// Time has passed: a pull that stands still is given up, and the next probe begins anew.
+    /// Abandons a pull without progress, which the next probe restarts.
     pub fn tick(&mut self, now: Time) {
         if self.pull.as_ref().is_some_and(|p| now.since(p.last_progress) >= PULL_TIMEOUT_MS) {
             self.pull = None;
--- a/crates/fleet/tests/address.rs
+++ b/crates/fleet/tests/address.rs
@@ -1,4 +1,4 @@
-//! A box that comes back under its name at another address.
+//! A box that restarts under the same name at another address.
 
 use catalog::BoxId;
 use fleet::{Change, FailureDetector, Message, Peer, ProbeTiming, State};
--- a/crates/fleet/tests/random.rs
+++ b/crates/fleet/tests/random.rs
@@ -1,4 +1,5 @@
-//! Long seeded random runs of probing and spreading: releases never fall, and all boxes end on the newest.
+//! Random simulations with fixed seeds: no box returns to an older release, and all boxes converge on the
+//! latest one.
 
 mod world;
 
--- a/crates/fleet/tests/refused.rs
+++ b/crates/fleet/tests/refused.rs
@@ -1,4 +1,4 @@
-//! A bad release is shown as refused on every box, also on those that don't read the platform.
+//! An invalid release is shown as refused on every box, including those that don't read the platform.
 
 mod world;
 
@@ -7,7 +7,7 @@
 use telemetry::Event;
 use world::{release, Faults, World, STEP_MS};
 
-/// Steps until every box must show it: the users allow a change 12 s.
+/// Steps until every box must show it: the users' limit for a change is 12 s.
 const STEPS: u64 = 12_000 / STEP_MS;
 
 fn shows(releases: &ReleaseSync, number: u64) -> bool {
@@ -32,7 +32,7 @@
         assert!(shows(&node.releases, 2), "{} doesn't show it", node.peer.name);
         assert_eq!(node.releases.release_id().map(|o| o.number), Some(1));
     }
-    // Hearsay of a refusal never keeps a good release out.
+    // Reports of refused releases don't keep a valid release out.
     world.published.push(release(3, 30));
     (0..STEPS).for_each(|_| world.step());
     assert!(world.nodes.iter().all(|n| n.releases.release_id().map(|o| o.number) == Some(3)));
--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Many boxes' fleet code with messages that are lost, doubled and delayed, and boxes that pause and restart.
+//! Simulation of many boxes with lost, duplicated and delayed messages, and boxes that pause and restart.
 #![allow(dead_code, missing_docs)]
 
 use catalog::{BoxId, Release};
@@ -164,7 +164,7 @@
         self.act(i, actions);
         self.nodes[i].releases.tick(now);
         if self.nodes[i].watches && !self.published.is_empty() && self.chance(100) {
-            // A replica of the platform may stand still and show any earlier release.
+            // A replica of the platform may be stale and return any earlier release.
             let last = self.published.len() - 1;
             let shown = if self.chance(self.faults.stale) { self.random.random_range(0..=last) } else { last };
             let text = self.published[shown].text.clone();
