--- a/crates/fleet/tests/world/mod.rs
+++ b/crates/fleet/tests/world/mod.rs
@@ -82,7 +82,7 @@
             match action {
                 Action::Send(to, message) => self.send(i, to, &message),
                 Action::Log(event, detail) if event.number() >= 900 => {
-                    self.violations.push(format!("{event:?} {detail}"))
+                    self.violations.push(format!("{event:?} {detail}"));
                 }
                 Action::Fetch(digests) => {
                     let parts =
