--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -11,10 +11,10 @@
 
 /// Cost of prefilling a thousand shared tokens again, beyond its time. From the price sheets: 0.09 to 0.31 of an
 /// answer that is worth one to four.
-const REPEATED_PREFILL_COST_PER_K: f64 = 0.2;
+const REPEATED_PREFILL_COST_PER_K_TOKENS: f64 = 0.2;
 
 /// Cost of fetching a thousand tokens from another server, by the same prices (0.32 for 13,300).
-const FETCH_COST_PER_K: f64 = 0.03;
+const FETCH_COST_PER_K_TOKENS: f64 = 0.03;
 
 /// Fewest missing tokens that are worth a fetch: a transfer takes some milliseconds to set up.
 pub(crate) const MIN_FETCH_TOKENS: u32 = 1_000;
@@ -182,12 +182,12 @@
         }
         // The first prefill at a home server is not a repeated one.
         let repeated_cost =
-            |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REPEATED_PREFILL_COST_PER_K };
+            |tokens: u32| if at_home { 0.0 } else { f64::from(tokens) / 1_000.0 * REPEATED_PREFILL_COST_PER_K_TOKENS };
         let source = self.source.filter(|source| source.member.server.id != member.server.id);
         if let Some(source) = source.filter(|source| source.tokens >= cached + MIN_FETCH_TOKENS) {
             let fetched = source.tokens - cached;
-            let cost =
-                f64::from(fetched) / 1_000.0 * FETCH_COST_PER_K + repeated_cost(shared.saturating_sub(source.tokens));
+            let cost = f64::from(fetched) / 1_000.0 * FETCH_COST_PER_K_TOKENS
+                + repeated_cost(shared.saturating_sub(source.tokens));
             return PrefillPlan { unread: unread.saturating_sub(fetched), fetch: true, cost };
         }
         PrefillPlan { unread, fetch: false, cost: repeated_cost(shared.saturating_sub(cached)) }
--- a/crates/placement/tests/cache_directory.rs
+++ b/crates/placement/tests/cache_directory.rs
@@ -82,7 +82,7 @@
             assert_eq!(next.fetch, Some(first.server.address));
         }
     }
-    assert_eq!(again, 0, "parts of 50 are read again");
+    assert_eq!(again, 0, "of 50 parts, this many were read again");
 }
 
 #[test]
--- a/crates/placement/tests/owner.rs
+++ b/crates/placement/tests/owner.rs
@@ -3,7 +3,7 @@
 use placement::{Ending, Load, Owner, Part, Prefill, SendReport, SendUpdate, ServerStatus, StatusQuery, Work};
 use std::net::SocketAddr;
 
-const MEMORY: u64 = 100_000;
+const CACHE_CAPACITY_TOKENS: u64 = 100_000;
 
 fn from() -> SocketAddr {
     "10.0.0.1:1".parse().expect("an address")
@@ -30,7 +30,7 @@
     SendUpdate::Sent {
         parts: parts(),
         work: Work { prefill: reading, held: 11_000, ..Work::default() },
-        memory: MEMORY,
+        memory: CACHE_CAPACITY_TOKENS,
         permitted: false,
     }
 }
@@ -114,7 +114,7 @@
 }
 
 fn sent_with(work: Work) -> SendUpdate {
-    SendUpdate::Sent { parts: parts(), work, memory: MEMORY, permitted: false }
+    SendUpdate::Sent { parts: parts(), work, memory: CACHE_CAPACITY_TOKENS, permitted: false }
 }
 
 #[test]
--- a/crates/placement/tests/quarantine.rs
+++ b/crates/placement/tests/quarantine.rs
@@ -7,7 +7,7 @@
 use std::collections::HashSet;
 
 const CRASHING: Fingerprint = Fingerprint(1);
-const DAY: u64 = 86_400_000;
+const DAY_MS: u64 = 86_400_000;
 
 fn held(quarantine: &Quarantine, request: Fingerprint, now: u64) -> bool {
     quarantine.verdict(request, false, now) != Verdict::Free
@@ -249,8 +249,8 @@
     assert_eq!(quarantine.verdict(CRASHING, true, 1_900_000), Verdict::Trial);
     quarantine.begin_trial(CRASHING, 1_900_000);
     assert!(matches!(quarantine.verdict(CRASHING, true, 80_000_000), Verdict::Held { .. }), "twice at most");
-    assert!(!held(&quarantine, CRASHING, 3_001 + DAY));
-    quarantine.digest(1_900_000 + DAY);
+    assert!(!held(&quarantine, CRASHING, 3_001 + DAY_MS));
+    quarantine.digest(1_900_000 + DAY_MS);
     assert!(quarantine.is_empty());
 }
 
