--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -204,7 +204,7 @@
             actix_rt::spawn(listener.clone().run(socket));
         }
         Self {
-            broker: Broker::new(me.id(), &me.hall, settings.way, first_number, now),
+            broker: Broker::new(me.id(), &me.hall, settings.scheduling_mode, first_number, now),
             source: Rc::new(feed::HttpSource::new(settings.config, settings.members)),
             load_probe: Rc::new(upstream::HttpClient::default()),
             call_budget: CallBudget::new(PLATFORM_CALLS_PER_S, PLATFORM_CALL_BURST, now),
@@ -301,7 +301,7 @@
             self.was_ready = ready;
             self.update_snapshot(|snapshot| snapshot.ready = ready);
             if ready {
-                let number = self.releases.release_id().map_or(0, |o| o.number);
+                let number = self.releases.release_id().map_or(0, |id| id.number);
                 telemetry::emit(Event::BoxReady, format_args!("name={} release={number}", self.settings.me.name));
             }
         }
@@ -314,9 +314,9 @@
             if upstream.kind != catalog::UpstreamKind::Engine {
                 continue;
             }
-            let (gauge, address) = (Rc::clone(&self.load_probe), upstream.address);
-            let ask = async move { gauge.load(address).await };
-            context.spawn(ask.into_actor(self).map(move |load, this, context| {
+            let (probe, address) = (Rc::clone(&self.load_probe), upstream.address);
+            let call = async move { probe.load(address).await };
+            context.spawn(call.into_actor(self).map(move |load, this, context| {
                 if let Ok(load) = load {
                     this.on_load(id, load, context);
                 }
--- a/crates/cleatshelf/src/control/platform_sync.rs
+++ b/crates/cleatshelf/src/control/platform_sync.rs
@@ -51,20 +51,20 @@
         self.platform.reading_manifest = true;
         let source = Rc::clone(&self.source);
         let since = self.platform.revision;
-        let ask = async move {
+        let call = async move {
             if watch {
                 source.watch(MANIFEST_KEY, since).await
             } else {
                 source.get(MANIFEST_KEY).await
             }
         };
-        context.spawn(ask.into_actor(self).map(move |answer, this, context| this.on_manifest(answer, context)));
+        context.spawn(call.into_actor(self).map(move |result, this, context| this.on_manifest(result, context)));
     }
 
-    fn on_manifest(&mut self, answer: Result<Option<Value>, SourceError>, context: &mut Context<Self>) {
+    fn on_manifest(&mut self, result: Result<Option<Value>, SourceError>, context: &mut Context<Self>) {
         let now = self.now();
         self.platform.reading_manifest = false;
-        let value = match answer {
+        let value = match result {
             Ok(value) => {
                 self.on_platform_success();
                 value
@@ -113,13 +113,13 @@
         self.platform.reading_members = true;
         self.platform.next_member_read = now.after(MEMBER_READ_INTERVAL_MS);
         let source = Rc::clone(&self.source);
-        let ask = async move { source.member_list().await };
-        context.spawn(ask.into_actor(self).map(|answer, this, context| this.on_member_list_read(answer, context)));
+        let call = async move { source.member_list().await };
+        context.spawn(call.into_actor(self).map(|result, this, context| this.on_member_list_read(result, context)));
     }
 
-    fn on_member_list_read(&mut self, answer: Result<MemberList, SourceError>, context: &mut Context<Self>) {
+    fn on_member_list_read(&mut self, result: Result<MemberList, SourceError>, context: &mut Context<Self>) {
         self.platform.reading_members = false;
-        match answer {
+        match result {
             Ok(list) => {
                 let now = self.now();
                 let actions = self.detector.on_member_list(&list.boxes, &list.upstreams, list.revision, now);
@@ -134,19 +134,19 @@
             return;
         }
         let now = self.now();
-        let affordable: Vec<Digest> = digests.into_iter().take_while(|_| self.call_budget.try_acquire(now)).collect();
+        let digests: Vec<Digest> = digests.into_iter().take_while(|_| self.call_budget.try_acquire(now)).collect();
         self.platform.fetching_parts = true;
         let source = Rc::clone(&self.source);
-        let ask = async move {
+        let call = async move {
             let mut parts = Vec::new();
-            for digest in affordable {
+            for digest in digests {
                 if let Ok(Some(value)) = source.get(&format!("part/{digest}")).await {
                     parts.push(value.bytes);
                 }
             }
             parts
         };
-        context.spawn(ask.into_actor(self).map(|parts, this, context| {
+        context.spawn(call.into_actor(self).map(|parts, this, context| {
             this.platform.fetching_parts = false;
             let found_any = !parts.is_empty();
             let actions = this.releases.on_parts_fetched(&parts, this.now());
--- a/crates/cleatshelf/src/control/reports.rs
+++ b/crates/cleatshelf/src/control/reports.rs
@@ -4,15 +4,15 @@
 
 impl Control {
     pub(super) fn status(&self) -> Status {
-        let order = self.releases.release_id();
+        let release = self.releases.release_id();
         let snapshot = self.snapshot.read().map(|s| (s.ready, s.stopping)).unwrap_or_default();
         Status {
             name: self.settings.me.name.clone(),
             hall: self.settings.me.hall.clone(),
             ready: snapshot.0 && !snapshot.1,
             stopping: snapshot.1,
-            release: order.map_or(0, |o| o.number),
-            digest: order.map_or_else(String::new, |o| o.digest.to_string()),
+            release: release.map_or(0, |id| id.number),
+            digest: release.map_or_else(String::new, |id| id.digest.to_string()),
             refused: self.releases.refused().map(refused_row).collect(),
             peers: self.detector.members().map(peer_row).collect(),
             shards: self.broker.owned_shards().map(|shard| self.shard_row(shard)).collect(),
--- a/crates/cleatshelf/src/settings.rs
+++ b/crates/cleatshelf/src/settings.rs
@@ -44,8 +44,8 @@
     pub traffic_threads: usize,
     /// Limits on the resources that callers can use.
     pub limits: Limits,
-    /// How requests are assigned to servers.
-    pub way: SchedulingMode,
+    /// Assignment of requests to servers.
+    pub scheduling_mode: SchedulingMode,
     /// Maximum time that a planned stop waits for running requests.
     pub stop_timeout: Duration,
 }
@@ -86,7 +86,7 @@
     }
 }
 
-fn read_way(reader: &mut TableReader<'_>) -> SchedulingMode {
+fn read_scheduling_mode(reader: &mut TableReader<'_>) -> SchedulingMode {
     match reader.string_opt("way").as_deref() {
         None | Some("owner") => SchedulingMode::Owner,
         Some("alone-arrival") => SchedulingMode::Uncoordinated(QueueDiscipline::Arrival),
@@ -120,7 +120,7 @@
             peers: reader.tables("peer", read_peer),
             traffic_threads: reader.integer_opt("traffic_threads", &(1..=64)).unwrap_or(2) as usize,
             limits: read_limits(&mut reader),
-            way: read_way(&mut reader),
+            scheduling_mode: read_scheduling_mode(&mut reader),
             stop_timeout: Duration::from_secs(reader.integer_opt("stop_seconds", &(1..=86_400)).unwrap_or(120)),
         };
         settings.check(&mut reader);
--- a/crates/cleatshelf/src/status.rs
+++ b/crates/cleatshelf/src/status.rs
@@ -105,7 +105,7 @@
     pub between_ms: f64,
 }
 
-/// How a request would be handled now.
+/// An explanation of the handling that a request would get now.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Explanation {
     /// Class of the request.
@@ -114,13 +114,13 @@
     pub rank: u8,
     /// Target of the class for the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Shards that would be asked for a lease, in order.
+    /// Shards from which a lease would be requested, in order.
     pub route: Vec<RouteRow>,
     /// A sentence that describes the outcome.
     pub verdict: String,
 }
 
-/// A shard that would be asked for a lease.
+/// A shard from which a lease would be requested.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RouteRow {
     /// Id of the shard.
--- a/crates/cleatshelf/tests/common/mod.rs
+++ b/crates/cleatshelf/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! Boxes as processes before stand-ins of servers and the store.
+//! A test deployment: boxes as processes, with simulated servers and a simulated store.
 
 use platform_lab::{config, start_boxes, Call, Process, Reply, Servers, Store};
 use std::path::Path;
 
-/// Some boxes that know each other, and four servers of one service.
+/// Boxes that know each other, and four servers of one service.
 pub struct World {
     pub store: Store,
     pub servers: Servers,
@@ -19,15 +19,16 @@
         Self { store, servers, boxes }
     }
 
-    pub fn ask(&self, which: usize, id: &str) -> Reply {
+    /// Sends a request with this id to the box with this index.
+    pub fn send(&self, index: usize, id: &str) -> Reply {
         let call = Call { id: id.to_owned(), method: "GET", path: "/x/good".to_owned(), ..Call::default() };
-        call.send(self.boxes[which].callers)
+        call.send(self.boxes[index].callers)
     }
 
-    /// The server that a box sends to first while nothing runs anywhere.
-    pub fn first(&self, which: usize) -> String {
-        let id = format!("first-{which}");
-        assert!(matches!(self.ask(which, &id), Reply::Whole { status: 200, .. }));
+    /// Returns the server that a box chooses first while no requests are running.
+    pub fn first_choice(&self, index: usize) -> String {
+        let id = format!("first-{index}");
+        assert!(matches!(self.send(index, &id), Reply::Whole { status: 200, .. }));
         self.servers.ledger.runs(&id)[0].server.clone()
     }
 }
--- a/crates/cleatshelf/tests/crashing.rs
+++ b/crates/cleatshelf/tests/crashing.rs
@@ -1,6 +1,8 @@
-//! A request came again and again that ended whichever server began to run it. Each box took each arrival for a new one, sent it to
-//! a second server when the first had ended, and told the others nothing, so that servers ended as fast as they came back and
-//! everything else that ran on them was lost. Three boxes under one caller, with servers that are away for half a second, said
+//! A repeated request that crashes every server that runs it must be recognized by all boxes and held.
+//!
+//! Guards against boxes that treat each arrival as a new request, retry it on a second server after the first has
+//! terminated, and don't inform each other: servers then terminate as fast as they restart, and all other requests on
+//! them are lost. Three boxes with one caller, and servers that take half a second to restart, logged
 //!
 //! ```text
 //! ServerEnded server=i-1 found="Connection refused (os error 111)" requests=0b985eec450052d0
@@ -9,7 +11,7 @@
 //! ServerEnded server=i-4 found="Connection refused (os error 111)" requests=0b985eec450052d0
 //! ```
 //!
-//! and so on: 36 ends under the one request, which reached servers 32 times after the third.
+//! and so on: 36 terminations under the one request, which reached servers 32 times after the third.
 
 use lab::ports::free;
 use platform_lab::{config, soon, start_boxes, Process, Servers, Store, CONTACT};
@@ -17,25 +19,25 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What ends a server that begins to run it.
-const CRASHING: &str = "/x/crashing";
+/// Path of a request that terminates any server that runs it.
+const CRASHING_PATH: &str = "/x/crashing";
 
-/// Ends that may happen before a request is known for what it is, and sends that may follow later.
-const ENDS_ALLOWED: usize = 3;
-const SENDS_ALLOWED: usize = 3;
+/// Number of terminations before the request must be recognized, and of sends that are allowed afterwards.
+const MAX_TERMINATIONS: usize = 3;
+const MAX_LATER_SENDS: usize = 3;
 
 #[test]
-fn a_request_that_ends_its_servers_is_not_sent_on_and_on_by_many_boxes() {
+fn boxes_together_stop_sending_a_request_that_crashes_servers() {
     let store = Store::start();
     store.put("op/config", &config(3, "/x/"));
     let servers = Servers::start(&store, &["hall"], 6);
     let program = Path::new(env!("CARGO_BIN_EXE_cleatshelf"));
     let boxes = start_boxes(program, &["route"], &store, &["hall"; 3]);
     let round = std::cell::Cell::new(0);
-    soon("servers end under the request", || {
+    soon("servers terminate under the request", || {
         round.set(round.get() + 1);
-        let _ = boxes[round.get() % 3].get(CRASHING);
-        servers.reached() >= ENDS_ALLOWED
+        let _ = boxes[round.get() % 3].get(CRASHING_PATH);
+        servers.reached() >= MAX_TERMINATIONS
     });
     std::thread::sleep(CONTACT);
     let before = servers.reached();
@@ -43,15 +45,15 @@
     let later = Process::start(program, &["route"], &store, "hall", free(), &seeds);
     soon("the later box is ready", || later.is_ready());
     std::thread::sleep(CONTACT);
-    let asked = 32;
-    for round in 0..asked {
+    let arrivals = 32;
+    for round in 0..arrivals {
         let one = boxes.iter().chain([&later]).nth(round % 4).expect("four boxes");
-        let _ = one.get(CRASHING);
+        let _ = one.get(CRASHING_PATH);
         std::thread::sleep(Duration::from_millis(100));
     }
     let sends = servers.reached() - before;
-    assert!(sends <= SENDS_ALLOWED, "sent {sends} times more, {asked} times asked for");
+    assert!(sends <= MAX_LATER_SENDS, "sent {sends} times more for {arrivals} arrivals");
     for one in &boxes {
-        soon("others are served", || one.get("/x/good") == (200, "good id1".to_owned()));
+        soon("other requests are served", || one.get("/x/good") == (200, "good id1".to_owned()));
     }
 }
--- a/crates/cleatshelf/tests/limit.rs
+++ b/crates/cleatshelf/tests/limit.rs
@@ -1,8 +1,9 @@
-//! Servers in need named in their answers how many requests they take a second, from all boxes together, and got as many as before: of
-//! one that takes 2 a second 248 came in four seconds, where 17 are allowed. Callers waited there longer than elsewhere, and the server
-//! got no relief.
+//! Boxes must obey the limit on requests per second that a server under pressure sends in its responses and that
+//! applies to all boxes together.
 //!
-//! Boxes passed the word on to callers and made nothing of it. Once they logged it, each said for answer after answer
+//! Guards against boxes that pass the hint on to callers without obeying it: a server with a limit of 2 requests per
+//! second received 248 in four seconds, where 17 are allowed, so callers waited there longer than elsewhere and the
+//! server got no relief. Each box logged for response after response
 //!
 //! ```text
 //! ServerLimits id=7003-40 server=i-4@1796281143699 per_s=4.212103937151079
@@ -10,8 +11,8 @@
 //! ServerLimits id=7007-40 server=i-4@1796281143699 per_s=4.212103937151079
 //! ```
 //!
-//! and sent the next request there within a tenth of a second; four boxes logged 489 such lines in forty seconds. A box that would have
-//! kept the number alone would have been wrong as well: seven boxes that each send one a second are seven, and the limit is over all.
+//! and sent the next request there within 100 ms; four boxes logged 489 such lines in 40 s. Also guards against boxes
+//! that each apply the limit on their own: seven boxes with one request per second each send seven in total.
 
 mod common;
 
@@ -20,97 +21,97 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Requests a second that a server in need takes from all boxes together.
-const PER_S: f64 = 2.0;
+/// Requests per second that a limited server accepts from all boxes together.
+const LIMIT_PER_S: f64 = 2.0;
 
-/// How long the bound is looked at.
-const LOOKED_AT: Duration = Duration::from_secs(9);
+/// Time during which the limit is observed.
+const OBSERVATION_TIME: Duration = Duration::from_secs(9);
 
-/// Pause between two requests of one caller; each box has one.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Delay between two requests of one caller; each box has one caller.
+const REQUEST_DELAY: Duration = Duration::from_millis(10);
 
-/// What came of the requests of a while.
+/// The outcomes of a series of requests.
 #[derive(Default)]
-struct Came {
-    whole: AtomicUsize,
+struct Outcomes {
+    complete: AtomicUsize,
     refused: AtomicUsize,
-    /// Refused, and not told when to come back.
+    /// Failed, or refused without a time to retry.
     lost: AtomicUsize,
 }
 
-/// Callers of all boxes ask one after the other for that long; request ids begin with the number of the box.
-fn ask_all(world: &World, name: &str, time: Duration) -> Came {
-    let came = Came::default();
+/// Sends requests from one caller per box for this time; request ids begin with the index of the box.
+fn send_from_all(world: &World, name: &str, time: Duration) -> Outcomes {
+    let outcomes = Outcomes::default();
     let until = Instant::now() + time;
     std::thread::scope(|scope| {
-        for which in 0..world.boxes.len() {
-            let came = &came;
+        for index in 0..world.boxes.len() {
+            let outcomes = &outcomes;
             scope.spawn(move || {
                 for number in 0.. {
                     if Instant::now() >= until {
                         return;
                     }
-                    let counter = match world.ask(which, &format!("{which}-{name}-{number}")) {
-                        Reply::Whole { status: 200, .. } => &came.whole,
-                        Reply::Whole { status: 503, back: true, .. } => &came.refused,
-                        _ => &came.lost,
+                    let counter = match world.send(index, &format!("{index}-{name}-{number}")) {
+                        Reply::Whole { status: 200, .. } => &outcomes.complete,
+                        Reply::Whole { status: 503, back: true, .. } => &outcomes.refused,
+                        _ => &outcomes.lost,
                     };
                     counter.fetch_add(1, Ordering::Relaxed);
-                    std::thread::sleep(PAUSE);
+                    std::thread::sleep(REQUEST_DELAY);
                 }
             });
         }
     });
-    came
+    outcomes
 }
 
 fn limits<'a>(world: &'a World) -> Limits<'a> {
-    let door = &|request: &str| request.split('-').next().and_then(|number| number.parse().ok());
+    let door = &|request: &str| request.split('-').next().and_then(|index| index.parse().ok());
     Limits { ledger: &world.servers.ledger, door, disturbed: &|_, _, _| false }
 }
 
-/// Requests that a server got from `from` until `until`.
-fn got(world: &World, server: &str, from: Instant, until: Instant) -> usize {
+/// Returns the number of requests that reached a server from `from` until `until`.
+fn reached(world: &World, server: &str, from: Instant, until: Instant) -> usize {
     world.servers.ledger.all().iter().filter(|a| a.server == server && a.at >= from && a.at < until).count()
 }
 
 #[test]
-fn a_server_that_names_a_limit_gets_no_more_from_all_boxes_together() {
+fn a_server_with_a_limit_gets_no_more_requests_from_all_boxes_together() {
     let world = World::start(3);
-    let limited = world.first(0);
-    // Nothing of it is published, nor could it be.
+    let limited = world.first_choice(0);
+    // The publisher is away, so the limit can't be published.
     world.store.set(Mood::Silent);
-    world.servers.say(&limited, Some(Word::Limits(PER_S)));
+    world.servers.say(&limited, Some(Word::Limits(LIMIT_PER_S)));
     let began = Instant::now();
-    let came = ask_all(&world, "limited", CONTACT + LOOKED_AT);
+    let outcomes = send_from_all(&world, "limited", CONTACT + OBSERVATION_TIME);
     let ended = Instant::now();
     assert_eq!(limits(&world).wrongs(), Vec::<String>::new());
-    let sent = got(&world, &limited, began + CONTACT, ended) as f64;
-    let takes = PER_S * (ended - began - CONTACT).as_secs_f64();
-    assert!(sent <= takes + PER_S + 1.0, "{sent} requests, and it takes {takes}");
-    assert!(sent >= 0.5 * takes, "what it takes is used: {sent} of {takes}");
-    assert_eq!((came.refused.into_inner(), came.lost.into_inner()), (0, 0), "others serve");
-    // It no longer says so, and has its part again.
+    let sent = reached(&world, &limited, began + CONTACT, ended) as f64;
+    let allowed = LIMIT_PER_S * (ended - began - CONTACT).as_secs_f64();
+    assert!(sent <= allowed + LIMIT_PER_S + 1.0, "{sent} requests sent, {allowed} allowed");
+    assert!(sent >= 0.5 * allowed, "the limit is not used: {sent} requests sent, {allowed} allowed");
+    assert_eq!((outcomes.refused.into_inner(), outcomes.lost.into_inner()), (0, 0), "other servers respond");
+    // Without the hint the server gets its share again.
     world.servers.say(&limited, None);
-    soon("it serves as before", || {
+    soon("the server gets its share again", || {
         let began = Instant::now();
-        ask_all(&world, "after", Duration::from_secs(1));
-        got(&world, &limited, began, Instant::now()) as f64 > 4.0 * PER_S
+        send_from_all(&world, "after", Duration::from_secs(1));
+        reached(&world, &limited, began, Instant::now()) as f64 > 4.0 * LIMIT_PER_S
     });
 }
 
 #[test]
-fn where_all_servers_name_limits_callers_get_what_they_take_and_hear_when_to_come_back() {
+fn when_all_servers_have_limits_the_limits_are_used_and_other_requests_are_refused_with_a_time_to_retry() {
     let world = World::start(2);
     for server in world.servers.names() {
-        world.servers.say(&server, Some(Word::Limits(PER_S)));
+        world.servers.say(&server, Some(Word::Limits(LIMIT_PER_S)));
     }
-    ask_all(&world, "told", CONTACT);
-    let came = ask_all(&world, "limited", LOOKED_AT);
+    send_from_all(&world, "told", CONTACT);
+    let outcomes = send_from_all(&world, "limited", OBSERVATION_TIME);
     assert_eq!(limits(&world).wrongs(), Vec::<String>::new());
-    let takes = 4.0 * PER_S * LOOKED_AT.as_secs_f64();
-    let whole = came.whole.into_inner() as f64;
-    assert!(whole >= 0.7 * takes, "{whole} of {takes} that they take");
-    assert!(came.refused.into_inner() > 0, "what they don't take is turned away");
-    assert_eq!(came.lost.into_inner(), 0, "and told when to come back");
+    let allowed = 4.0 * LIMIT_PER_S * OBSERVATION_TIME.as_secs_f64();
+    let complete = outcomes.complete.into_inner() as f64;
+    assert!(complete >= 0.7 * allowed, "{complete} requests complete, {allowed} allowed");
+    assert!(outcomes.refused.into_inner() > 0, "requests above the limits are refused");
+    assert_eq!(outcomes.lost.into_inner(), 0, "refusals have a time to retry");
 }
--- a/crates/cleatshelf/tests/notices.rs
+++ b/crates/cleatshelf/tests/notices.rs
@@ -1,8 +1,9 @@
-//! Servers said in their answers that they leave, or that they want rest, and boxes went on sending to them. A box took a server
-//! for leaving by its published entry alone, and the publisher was away for twelve seconds just then; nothing at all was made of a
-//! wish for rest, and a server that turns everything away runs nothing, looks cheapest and so gets the next request first.
+//! Boxes must act on hints in a server's responses: that it is leaving, or that it wants them to back off.
 //!
-//! A box that was told so by the first such answer said
+//! Guards against boxes that learn of a leaving server only from its published entry, which doesn't change while the
+//! publisher is away (for twelve seconds in the observed failure), and against boxes that ignore a requested back-off:
+//! a server that refuses everything runs nothing, so it looks cheapest and is chosen next. A box that got such
+//! responses logged
 //!
 //! ```text
 //! ServerLeaves id=leaving-0-12 server=i-0 entry=ready
@@ -12,8 +13,8 @@
 //! ServerRests id=resting-0-61 server=i-0 ms=3000
 //! ```
 //!
-//! and so on: all of 20 requests went to the server that leaves, all of 67 to the one that wanted rest, and second sends of the latter
-//! used up the budget, so that callers were refused while three other servers had nothing to do.
+//! and so on. All 20 requests went to the leaving server, and all 67 to the one that had requested a back-off; retries
+//! of the latter exhausted the retry budget, so that callers were refused while three other servers were idle.
 
 mod common;
 
@@ -21,88 +22,89 @@
 use platform_lab::{soon, Mood, Reply, Word, CONTACT};
 use std::time::{Duration, Instant};
 
-/// How long after a box passed on that a server leaves it may still send there.
-const DRAIN: Duration = Duration::from_secs(2);
+/// Time after receiving a leaving hint during which a box may still send to the server.
+const LEAVING_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// How long a server wants rest, from when on that binds, and how many requests of one box it may get until then.
-const REST: Duration = Duration::from_secs(3);
-const REST_BINDS: Duration = Duration::from_millis(500);
-const RESTING_MOST: usize = 2;
+/// The back-off that a server requests, the delay until it is binding, and the number of requests that it may get from
+/// one box during the back-off.
+const BACKOFF: Duration = Duration::from_secs(3);
+const BACKOFF_BINDING_DELAY: Duration = Duration::from_millis(500);
+const MAX_REQUESTS_DURING_BACKOFF: usize = 2;
 
-/// How many requests whose ids begin so have reached a server since then.
+/// Returns the number of requests whose ids have this prefix that have reached a server since `since`.
 fn reached(world: &World, name: &str, prefix: &str, since: Instant) -> usize {
     let arrivals = world.servers.ledger.all().into_iter();
     arrivals.filter(|a| a.server == name && a.request.starts_with(prefix) && a.at >= since).count()
 }
 
 #[test]
-fn a_server_whose_answer_says_that_it_leaves_gets_nothing_more_from_any_box() {
+fn no_box_sends_to_a_server_whose_response_announces_that_it_is_leaving() {
     let world = World::start(3);
-    let leaving = world.first(0);
+    let leaving = world.first_choice(0);
     world.store.set(Mood::Silent);
     world.servers.say(&leaving, Some(Word::Leaves));
-    soon("the server's word was passed on", || {
-        let _ = world.ask(0, "told-0");
+    soon("the server sent the hint", || {
+        let _ = world.send(0, "told-0");
         world.servers.ledger.told().iter().any(|told| told.server == leaving)
     });
-    // The box that was told, and then all others.
+    // First the box that received the hint, then all others.
     let began = Instant::now();
-    std::thread::sleep(DRAIN);
+    std::thread::sleep(LEAVING_GRACE_PERIOD);
     for number in 0..20 {
         let id = format!("leaving-0-{number}");
-        assert!(matches!(world.ask(0, &id), Reply::Whole { status: 200, .. }), "others serve");
+        assert!(matches!(world.send(0, &id), Reply::Whole { status: 200, .. }), "other servers respond");
     }
     let sent = reached(&world, &leaving, "leaving-0-", began);
-    assert_eq!(sent, 0, "sends to a server that said it leaves, by the box that was told");
+    assert_eq!(sent, 0, "requests to a leaving server from the box that received the hint");
     std::thread::sleep(CONTACT.saturating_sub(began.elapsed()));
     for number in 0..30 {
-        let which = 1 + number % 2;
-        let id = format!("others-{which}-{number}");
-        assert!(matches!(world.ask(which, &id), Reply::Whole { status: 200, .. }), "others serve");
+        let index = 1 + number % 2;
+        let id = format!("others-{index}-{number}");
+        assert!(matches!(world.send(index, &id), Reply::Whole { status: 200, .. }), "other servers respond");
     }
-    assert_eq!(reached(&world, &leaving, "others-", began), 0, "sends to a server that said it leaves, by other boxes");
-    // A list that is read anew, and still has it as it was, doesn't bring it back.
+    assert_eq!(reached(&world, &leaving, "others-", began), 0, "requests to a leaving server from other boxes");
+    // Reading the list again, with the server's unchanged entry, must not bring the server back.
     world.store.set(Mood::Well);
     world.store.put("servers/other", "{}");
     std::thread::sleep(CONTACT);
     for number in 0..30 {
-        let which = number % 3;
-        let id = format!("later-{which}-{number}");
-        assert!(matches!(world.ask(which, &id), Reply::Whole { status: 200, .. }), "others serve");
+        let index = number % 3;
+        let id = format!("later-{index}-{number}");
+        assert!(matches!(world.send(index, &id), Reply::Whole { status: 200, .. }), "other servers respond");
     }
-    assert_eq!(reached(&world, &leaving, "later-", began), 0, "sends to a server that said it leaves, after its entry");
+    assert_eq!(reached(&world, &leaving, "later-", began), 0, "requests to a leaving server after the list was read");
 }
 
 #[test]
-fn a_server_that_wants_rest_gets_none_of_a_boxs_requests_until_then() {
+fn a_box_sends_nothing_to_a_server_during_a_requested_back_off() {
     let world = World::start(3);
-    let resting = world.first(0);
-    world.servers.say(&resting, Some(Word::Rests(REST)));
-    soon("the box was turned away", || {
-        let _ = world.ask(0, "told-0");
-        world.servers.ledger.told().iter().any(|told| told.server == resting)
+    let backing_off = world.first_choice(0);
+    world.servers.say(&backing_off, Some(Word::Rests(BACKOFF)));
+    soon("the server refused a request", || {
+        let _ = world.send(0, "told-0");
+        world.servers.ledger.told().iter().any(|told| told.server == backing_off)
     });
-    let told = world.servers.ledger.told()[0].at;
-    std::thread::sleep(REST_BINDS.saturating_sub(told.elapsed()));
+    let refused_at = world.servers.ledger.told()[0].at;
+    std::thread::sleep(BACKOFF_BINDING_DELAY.saturating_sub(refused_at.elapsed()));
     let began = Instant::now();
     let (mut number, mut unserved) = (0, 0);
-    while told.elapsed() < REST.saturating_sub(REST_BINDS) {
+    while refused_at.elapsed() < BACKOFF.saturating_sub(BACKOFF_BINDING_DELAY) {
         let id = format!("resting-0-{number}");
-        unserved += usize::from(!matches!(world.ask(0, &id), Reply::Whole { status: 200, .. }));
+        unserved += usize::from(!matches!(world.send(0, &id), Reply::Whole { status: 200, .. }));
         number += 1;
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(number > 10, "only {number} requests were asked for");
-    let sent = reached(&world, &resting, "resting-0-", began);
-    assert!(sent <= RESTING_MOST, "{sent} of {number} were sent to a server that had asked for rest");
-    assert_eq!(unserved, 0, "others serve");
-    // Afterwards it is used again.
-    world.servers.say(&resting, None);
-    std::thread::sleep(REST.saturating_sub(told.elapsed()));
+    assert!(number > 10, "only {number} requests were sent");
+    let sent = reached(&world, &backing_off, "resting-0-", began);
+    assert!(sent <= MAX_REQUESTS_DURING_BACKOFF, "{sent} of {number} requests reached a server during its back-off");
+    assert_eq!(unserved, 0, "other servers respond");
+    // After the back-off the server is used again.
+    world.servers.say(&backing_off, None);
+    std::thread::sleep(BACKOFF.saturating_sub(refused_at.elapsed()));
     let names = world.servers.names();
-    for other in names.iter().filter(|name| **name != resting) {
-        world.servers.say(other, Some(Word::Rests(REST)));
+    for other in names.iter().filter(|name| **name != backing_off) {
+        world.servers.say(other, Some(Word::Rests(BACKOFF)));
     }
-    soon("it serves again", || matches!(world.ask(0, "again-0"), Reply::Whole { status: 200, .. }));
-    assert!(reached(&world, &resting, "again-0", began) > 0);
+    soon("the server responds again", || matches!(world.send(0, "again-0"), Reply::Whole { status: 200, .. }));
+    assert!(reached(&world, &backing_off, "again-0", began) > 0);
 }
--- a/crates/cleatshelf/tests/starting.rs
+++ b/crates/cleatshelf/tests/starting.rs
@@ -1,4 +1,4 @@
-//! Boxes that start before a long list of servers.
+//! Boxes that start with a long list of servers.
 
 use lab::ports::free;
 use platform_lab::{config, entry, server, soon, Process, Store};
@@ -7,21 +7,21 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Servers of the list, and of a page of it.
+/// Number of servers in the list and per page.
 const SERVERS: u64 = 300;
-const PAGE: usize = 20;
+const SERVERS_PER_PAGE: usize = 20;
 
 fn start(store: &Store, boxes: SocketAddr, seeds: &[SocketAddr]) -> Process {
     Process::start(Path::new(env!("CARGO_BIN_EXE_cleatshelf")), &["route"], store, "hall", boxes, seeds)
 }
 
-/// A store with a long list, all of it one server under many names.
+/// Starts a store with a long list, in which all entries are the same server.
 fn store() -> Store {
     let store = Store::start();
-    store.page(PAGE);
+    store.page(SERVERS_PER_PAGE);
     let address = server("first", 0);
     for number in 0..SERVERS {
-        // Names as evenly spread as those of a platform.
+        // Evenly distributed names, like those of a platform.
         let name = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
         store.put(&format!("servers/i-{name:08x}"), &entry(address, "ready"));
     }
@@ -29,24 +29,25 @@
     store
 }
 
-fn servers_known(one: &Process, count: u64) -> bool {
+fn knows_servers(one: &Process, count: u64) -> bool {
     one.metrics().contains(&format!("cleatshelf_servers {count}"))
 }
 
-/// After 585 boxes had been killed together, nobody was served for five seconds: each box read the whole list of 6,000 servers before it
-/// was ready, 2.4 MB in 30 pages, which took the store's link eleven seconds for all of them.
+/// Guards against boxes that read the full list before they are ready. After 585 boxes had been killed together, no
+/// request was served for 5 s: each box read the list of 6,000 servers, 2.4 MB in 30 pages, which took the store's link
+/// 11 s for all of them.
 #[test]
-fn a_box_serves_with_some_of_the_servers_before_it_knows_all() {
+fn a_box_serves_with_a_sample_before_it_has_the_full_list() {
     let store = store();
-    // Where others are heard of whom none tells of servers yet, and where there are none.
+    // With a seed that never responds, and without other boxes.
     for alone in [false, true] {
         store.allow_pages(Some(5));
         let address = free();
         let one = start(&store, address, &[if alone { address } else { free() }]);
-        soon("ready with a few pages", || one.is_ready());
+        soon("the box is ready with a few pages", || one.is_ready());
         assert_eq!(one.get("/x/1"), (200, "first".to_owned()));
         store.allow_pages(None);
-        soon("the whole list is known", || servers_known(&one, SERVERS));
+        soon("the full list is known", || knows_servers(&one, SERVERS));
         assert_eq!(one.get("/x/1"), (200, "first".to_owned()));
     }
 }
@@ -58,33 +59,37 @@
 }
 
 #[test]
-fn samples_are_drawn_from_all_of_the_list_by_few_calls() {
+fn samples_are_drawn_from_the_full_list_with_few_calls() {
     let store = store();
     let before = store.calls();
     let samples: Vec<Directory> = (0..40_u64).map(|draw| sample(&store, draw.wrapping_mul(0x9e37_79b9))).collect();
-    assert_eq!(store.calls() - before, 40 * 5, "a first page, and four prefixes");
+    assert_eq!(store.calls() - before, 40 * 5, "a sample is the first page and four prefixes");
     for sample in &samples {
         assert!((16..SERVERS as usize / 2).contains(&sample.servers.len()), "{} servers", sample.servers.len());
-        assert!(!sample.position.is_known(), "it isn't the whole list");
+        assert!(!sample.position.is_known(), "a sample is not the full list");
     }
     let drawn: HashSet<&String> = samples.iter().flat_map(|sample| sample.servers.keys()).collect();
-    assert!(drawn.len() as u64 > SERVERS * 9 / 10, "{} of {SERVERS} servers are in some sample", drawn.len());
+    assert!(drawn.len() as u64 > SERVERS * 9 / 10, "only {} of {SERVERS} servers are in some sample", drawn.len());
 }
 
 #[test]
-fn a_list_of_one_page_is_read_whole_and_samples_come_whatever_servers_are_called() {
+fn a_list_of_one_page_is_read_in_full_and_sampling_works_with_any_names() {
     let store = Store::start();
     store.put("servers/only", &entry(server("first", 0), "ready"));
-    let whole = sample(&store, 5);
-    assert!(whole.position.is_known());
-    assert_eq!((whole.servers.len(), store.calls()), (1, 1));
-    // Names in which little differs: whatever is drawn, a page comes.
+    let full = sample(&store, 5);
+    assert!(full.position.is_known());
+    assert_eq!((full.servers.len(), store.calls()), (1, 1));
+    // Very similar names: every draw must return a page.
     for number in 0..9 {
         store.put(&format!("servers/{number}-x"), &entry(server("first", 0), "ready"));
     }
     store.page(4);
     for draw in 0..20 {
-        let some = sample(&store, draw);
-        assert!(!some.position.is_known() && some.servers.len() >= 2, "draw {draw}: {} servers", some.servers.len());
+        let sample = sample(&store, draw);
+        assert!(
+            !sample.position.is_known() && sample.servers.len() >= 2,
+            "draw {draw}: {} servers",
+            sample.servers.len()
+        );
     }
 }
