--- a/crates/peers/examples/tick.rs
+++ b/crates/peers/examples/tick.rs
@@ -30,7 +30,7 @@
     let roster = Roster::new((0..boxes).map(|index| (address(index), profile(index))));
     peers.handle(address(1), Message::Members(roster), 0);
     peers.set_publisher_reachable(true);
-    let beat = |from: u16| Heartbeat {
+    let heartbeat = |from: u16| Heartbeat {
         profile: profile(from),
         watches: true,
         table: 1,
@@ -46,7 +46,7 @@
         let now = round * TICK_INTERVAL_MS;
         if round % 5 == 0 && !watches {
             for from in [(boxes - 1) % HALLS, (boxes - 1) % HALLS + HALLS] {
-                peers.handle(address(from), Message::Heartbeat(beat(from)), now);
+                peers.handle(address(from), Message::Heartbeat(heartbeat(from)), now);
             }
         }
         let start = Instant::now();
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -21,5 +21,5 @@
 pub use roster::Roster;
 pub use watch_role::WatchRole;
 
-/// Milliseconds of a clock that never goes back.
+/// A time in milliseconds, of a clock that never decreases.
 pub type Millis = u64;
--- a/crates/peers/src/peers.rs
+++ b/crates/peers/src/peers.rs
@@ -193,7 +193,7 @@
                 self.request_newer(from, table, directory, now, &mut actions);
                 self.on_evacuations(evacuations, &mut actions);
             }
-            Message::Heartbeat(beat) => self.on_heartbeat(from, beat, now, &mut actions),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat, now, &mut actions),
             Message::Want(subject) => self.on_want(from, subject, &mut actions),
             Message::Members(roster) => self.add_members(roster, now),
             Message::Table(bytes) => actions.push(Action::Table(bytes)),
--- a/crates/peers/src/peers/broadcast.rs
+++ b/crates/peers/src/peers/broadcast.rs
@@ -96,7 +96,7 @@
     pub(super) fn send_heartbeats(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.next_heartbeat = now + self.heartbeat_interval();
         self.heartbeats += 1;
-        let beat = Message::Heartbeat(Heartbeat {
+        let heartbeat = Message::Heartbeat(Heartbeat {
             profile: self.profile.clone(),
             watches: self.reachable,
             table: self.known.table,
@@ -114,7 +114,7 @@
             // Includes watchers that the publisher rejects, whose halls receive updates only from other halls.
             let other_watcher = self.is_recent(member.last_heartbeat, now) || preferred.contains(address);
             if (member.same_hall && (active || all)) || (!member.same_hall && other_watcher) {
-                actions.push(Action::Send(*address, beat.clone()));
+                actions.push(Action::Send(*address, heartbeat.clone()));
             }
         }
     }
--- a/crates/peers/src/peers/exchange.rs
+++ b/crates/peers/src/peers/exchange.rs
@@ -38,26 +38,33 @@
         }
     }
 
-    pub(super) fn on_heartbeat(&mut self, from: SocketAddr, beat: Heartbeat, now: Millis, actions: &mut Vec<Action>) {
-        self.record_contact(from, &beat.profile, now, actions);
+    pub(super) fn on_heartbeat(
+        &mut self,
+        from: SocketAddr,
+        heartbeat: Heartbeat,
+        now: Millis,
+        actions: &mut Vec<Action>,
+    ) {
+        self.record_contact(from, &heartbeat.profile, now, actions);
         if let Some(member) = self.members.get_mut(&from) {
             member.last_heartbeat = Some(now);
-            member.last_watching = beat.watches.then_some(now);
-            member.reading_since = if !beat.directory.is_known() { member.reading_since.or(Some(now)) } else { None };
+            member.last_watching = heartbeat.watches.then_some(now);
+            member.reading_since =
+                if !heartbeat.directory.is_known() { member.reading_since.or(Some(now)) } else { None };
         }
-        self.request_newer(from, beat.table, beat.directory, now, actions);
-        if beat.table == self.known.table && beat.table_until > self.known.table_until {
-            actions.push(Action::TableUntil(beat.table_until));
+        self.request_newer(from, heartbeat.table, heartbeat.directory, now, actions);
+        if heartbeat.table == self.known.table && heartbeat.table_until > self.known.table_until {
+            actions.push(Action::TableUntil(heartbeat.table_until));
         }
-        self.on_evacuations(beat.evacuations, actions);
-        if beat.suspects != self.known.suspects {
+        self.on_evacuations(heartbeat.evacuations, actions);
+        if heartbeat.suspects != self.known.suspects {
             self.request(from, Subject::Suspects, now, actions);
         }
-        if beat.notices != self.known.notices {
+        if heartbeat.notices != self.known.notices {
             self.request(from, Subject::Notices, now, actions);
         }
-        if beat.members == self.digest {
-            self.compare_digest(beat.members, now);
+        if heartbeat.members == self.digest {
+            self.compare_digest(heartbeat.members, now);
         } else {
             self.request(from, Subject::Members, now, actions);
         }
--- a/crates/peers/tests/heartbeat.rs
+++ b/crates/peers/tests/heartbeat.rs
@@ -19,7 +19,7 @@
 fn on_heartbeat(known: &KnownVersions, table: u64, table_until: Position) -> Vec<Action> {
     let mut peers = Peers::new(address(1), profile(), &[]);
     peers.set_known_versions(known.clone());
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         profile: profile(),
         watches: true,
         table,
@@ -30,7 +30,7 @@
         suspects: 0,
         notices: 0,
     };
-    peers.handle(address(2), Message::Heartbeat(beat), 1_000)
+    peers.handle(address(2), Message::Heartbeat(heartbeat), 1_000)
 }
 
 #[test]
@@ -111,9 +111,9 @@
     // A rejected watcher with a list, and a box without a list yet.
     for (directory, waits) in [(at(9), false), (Position::NONE, true)] {
         let mut peers = Peers::new(address(1), profile(), &[address(2)]);
-        let mut watches = |now: u64, beat: bool| {
-            if beat {
-                let beat = Heartbeat {
+        let mut watches = |now: u64, heartbeat: bool| {
+            if heartbeat {
+                let heartbeat = Heartbeat {
                     profile: profile(),
                     watches: false,
                     table: 0,
@@ -124,7 +124,7 @@
                     suspects: 0,
                     notices: 0,
                 };
-                peers.handle(address(2), Message::Heartbeat(beat), now);
+                peers.handle(address(2), Message::Heartbeat(heartbeat), now);
             }
             peers.tick(now).contains(&Action::SetWatching(true))
         };
--- a/crates/routing/tests/directory.rs
+++ b/crates/routing/tests/directory.rs
@@ -259,11 +259,11 @@
     assert!(known.merge(halls(Position::new(1, 30), &["b"])));
     assert!(known.is_evacuated("b"));
     // An evacuation that ended after the backup begins again.
-    let mut anew = Evacuations::default();
-    anew.merge(halls(at(50), &[]));
-    anew.merge(halls(Position::new(1, 40), &["a"]));
-    let other = anew.clone();
-    for mut one in [anew, other] {
+    let mut renewed = Evacuations::default();
+    renewed.merge(halls(at(50), &[]));
+    renewed.merge(halls(Position::new(1, 40), &["a"]));
+    let other = renewed.clone();
+    for mut one in [renewed, other] {
         one.apply(vec![("a".to_owned(), true)], Position::new(1, 45));
         assert!(one.is_evacuated("a"));
     }
