--- a/crates/cleatshelf/src/command.rs
+++ b/crates/cleatshelf/src/command.rs
@@ -262,7 +262,7 @@
         faults.extend(settings.err().unwrap_or_default());
     }
     if let Some(path) = &args.configuration {
-        let table = platform::table(read_file(path)?.as_bytes());
+        let table = platform::parse_table(read_file(path)?.as_bytes());
         faults.extend(table.err().map(|why| Fault::new(&path.display().to_string(), "", why)));
     }
     if let Some(folder) = &args.files {
--- a/crates/cleatshelf/tests/crashing.rs
+++ b/crates/cleatshelf/tests/crashing.rs
@@ -14,7 +14,7 @@
 //! and so on: 36 terminations under the one request, which reached servers 32 times after the third.
 
 use lab::ports::free;
-use platform_lab::{config, soon, start_boxes, Process, Servers, Store, CONTACT};
+use platform_lab::{config_json, start_boxes, wait_until, Process, Servers, Store, CONVERGENCE_DELAY};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -29,31 +29,31 @@
 #[test]
 fn boxes_together_stop_sending_a_request_that_crashes_servers() {
     let store = Store::start();
-    store.put("op/config", &config(3, "/x/"));
+    store.put("op/config", &config_json(3, "/x/"));
     let servers = Servers::start(&store, &["hall"], 6);
     let program = Path::new(env!("CARGO_BIN_EXE_cleatshelf"));
     let boxes = start_boxes(program, &["route"], &store, &["hall"; 3]);
     let round = std::cell::Cell::new(0);
-    soon("servers terminate under the request", || {
+    wait_until("servers terminate under the request", || {
         round.set(round.get() + 1);
         let _ = boxes[round.get() % 3].get(CRASHING_PATH);
-        servers.reached() >= MAX_TERMINATIONS
+        servers.crashing_sends() >= MAX_TERMINATIONS
     });
-    std::thread::sleep(CONTACT);
-    let before = servers.reached();
+    std::thread::sleep(CONVERGENCE_DELAY);
+    let before = servers.crashing_sends();
     let seeds: Vec<SocketAddr> = boxes.iter().take(2).map(|one| one.boxes).collect();
     let later = Process::start(program, &["route"], &store, "hall", free(), &seeds);
-    soon("the later box is ready", || later.is_ready());
-    std::thread::sleep(CONTACT);
+    wait_until("the later box is ready", || later.is_ready());
+    std::thread::sleep(CONVERGENCE_DELAY);
     let arrivals = 32;
     for round in 0..arrivals {
         let one = boxes.iter().chain([&later]).nth(round % 4).expect("four boxes");
         let _ = one.get(CRASHING_PATH);
         std::thread::sleep(Duration::from_millis(100));
     }
-    let sends = servers.reached() - before;
+    let sends = servers.crashing_sends() - before;
     assert!(sends <= MAX_LATER_SENDS, "sent {sends} times more for {arrivals} arrivals");
     for one in &boxes {
-        soon("other requests are served", || one.get("/x/good") == (200, "good id1".to_owned()));
+        wait_until("other requests are served", || one.get("/x/good") == (200, "good id1".to_owned()));
     }
 }
--- a/crates/cleatshelf/tests/eras.rs
+++ b/crates/cleatshelf/tests/eras.rs
@@ -4,7 +4,9 @@
 //! passed the old ones.
 
 use lab::ports::free;
-use platform_lab::{config, entry, server, soon, start_boxes, Mood, Process, Store, CONTACT};
+use platform_lab::{
+    config_json, server_entry, start_boxes, start_server, wait_until, Process, Store, StoreMode, CONVERGENCE_DELAY,
+};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
@@ -15,28 +17,28 @@
 /// Starts a store with a configuration and one server, and boxes in two halls.
 fn start() -> (Store, Vec<Process>) {
     let store = Store::start();
-    store.put("servers/i-1", &entry(server("first", 0), "ready"));
-    store.put("op/config", &config(3, "/x/"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
+    store.put("op/config", &config_json(3, "/x/"));
     let program = Path::new(env!("CARGO_BIN_EXE_cleatshelf"));
     let boxes = start_boxes(program, &["route"], &store, &["hall", "hall", "other", "other"]);
     (store, boxes)
 }
 
 /// Restores the store from a copy after an outage.
-fn restore(store: &Store, copy: &platform_lab::Copy) {
-    store.set(Mood::Away);
+fn restore(store: &Store, copy: &platform_lab::Snapshot) {
+    store.set_mode(StoreMode::Unavailable);
     std::thread::sleep(OUTAGE);
     store.restore(copy);
-    store.set(Mood::Well);
+    store.set_mode(StoreMode::Available);
 }
 
 /// Waits until all boxes have logged that the store was restored.
 fn wait_until_logged(boxes: &[Process]) {
     for one in boxes {
-        soon("the log has the restored directory", || {
+        wait_until("the log has the restored directory", || {
             one.log().contains("\"name\":\"StoreRestored\",\"subject\":\"Directory\"")
         });
-        soon("the log has the restored orders", || {
+        wait_until("the log has the restored orders", || {
             one.log().contains("\"name\":\"StoreRestored\",\"subject\":\"Orders\"")
         });
     }
@@ -53,34 +55,34 @@
 #[test]
 fn boxes_follow_a_store_that_was_restored_from_a_copy() {
     let (store, boxes) = start();
-    let copy = store.copy();
+    let copy = store.snapshot();
     // Servers and a configuration that are written after the copy, and so are lost.
     for number in 0..20 {
-        store.put(&format!("servers/i-lost-{number}"), &entry(server("lost", 0), "draining"));
+        store.put(&format!("servers/i-lost-{number}"), &server_entry(start_server("lost", 0), "draining"));
     }
-    store.put("op/config", &config(5, "/y/"));
-    soon("all boxes have the configuration", || all_respond(&boxes, "/y/1", 200, "first"));
+    store.put("op/config", &config_json(5, "/y/"));
+    wait_until("all boxes have the configuration", || all_respond(&boxes, "/y/1", 200, "first"));
     restore(&store, &copy);
-    std::thread::sleep(CONTACT);
+    std::thread::sleep(CONVERGENCE_DELAY);
     assert!(all_respond(&boxes, "/y/1", 200, "first"), "the configuration in force stays");
     assert!(all_respond(&boxes, "/x/1", 404, ""), "a replaced configuration doesn't come back");
     // The new revisions are still far below the lost ones.
-    store.put("servers/i-2", &entry(server("second", 0), "ready"));
-    store.put("servers/i-1", &entry(server("first", 0), "draining"));
-    soon("all boxes have the changes of servers", || all_respond(&boxes, "/y/1", 200, "second"));
-    store.put("op/config", &config(7, "/z/"));
-    soon("all boxes have the newer configuration", || all_respond(&boxes, "/z/1", 200, "second"));
+    store.put("servers/i-2", &server_entry(start_server("second", 0), "ready"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "draining"));
+    wait_until("all boxes have the changes of servers", || all_respond(&boxes, "/y/1", 200, "second"));
+    store.put("op/config", &config_json(7, "/z/"));
+    wait_until("all boxes have the newer configuration", || all_respond(&boxes, "/z/1", 200, "second"));
     wait_until_logged(&boxes);
 }
 
 #[test]
 fn a_server_that_left_before_the_restore_does_not_come_back_with_the_copy() {
     let (store, boxes) = start();
-    store.put("servers/i-2", &entry(server("second", 0), "ready"));
+    store.put("servers/i-2", &server_entry(start_server("second", 0), "ready"));
     std::thread::sleep(Duration::from_secs(1));
-    let copy = store.copy();
-    store.put("servers/i-1", &entry(server("first", 0), "draining"));
-    soon("only the other is used", || (0..4).all(|_| all_respond(&boxes, "/x/1", 200, "second")));
+    let copy = store.snapshot();
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "draining"));
+    wait_until("only the other is used", || (0..4).all(|_| all_respond(&boxes, "/x/1", 200, "second")));
     store.remove("servers/i-1");
     std::thread::sleep(Duration::from_secs(1));
     restore(&store, &copy);
@@ -94,17 +96,17 @@
 #[test]
 fn a_server_that_the_copy_lacks_stays_in_use_until_its_entry_is_back() {
     let (store, boxes) = start();
-    let copy = store.copy();
-    let address = server("second", 0);
-    store.put("servers/i-2", &entry(address, "ready"));
-    store.put("servers/i-1", &entry(server("first", 0), "draining"));
-    soon("the second server is used", || all_respond(&boxes, "/x/1", 200, "second"));
+    let copy = store.snapshot();
+    let address = start_server("second", 0);
+    store.put("servers/i-2", &server_entry(address, "ready"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "draining"));
+    wait_until("the second server is used", || all_respond(&boxes, "/x/1", 200, "second"));
     restore(&store, &copy);
     let writer = std::thread::spawn({
         let store = store.clone();
         move || {
             std::thread::sleep(Duration::from_millis(1_000));
-            store.put("servers/i-2", &entry(address, "ready"));
+            store.put("servers/i-2", &server_entry(address, "ready"));
         }
     });
     for _ in 0..30 {
@@ -118,11 +120,11 @@
 #[test]
 fn an_evacuation_is_held_after_a_restore_until_the_operator_has_written_again() {
     let (store, boxes) = start();
-    store.put("servers/i-2", &entry_in("other", server("second", 0)));
-    soon("both servers are used", || boxes.iter().any(|one| one.get("/x/1").1 == "second"));
-    let copy = store.copy();
+    store.put("servers/i-2", &entry_in("other", start_server("second", 0)));
+    wait_until("both servers are used", || boxes.iter().any(|one| one.get("/x/1").1 == "second"));
+    let copy = store.snapshot();
     store.put("op/evacuate/hall", "{}");
-    soon("the hall is evacuated", || (0..4).all(|_| all_respond(&boxes, "/x/1", 200, "second")));
+    wait_until("the hall is evacuated", || (0..4).all(|_| all_respond(&boxes, "/x/1", 200, "second")));
     restore(&store, &copy);
     for _ in 0..15 {
         assert!(all_respond(&boxes, "/x/1", 200, "second"), "a request reached an evacuated hall");
@@ -133,24 +135,24 @@
     assert!(all_respond(&boxes, "/x/1", 200, "second"));
     store.remove("op/evacuate/hall");
     wait_until_logged(&boxes);
-    soon("the hall is in service again", || boxes.iter().any(|one| one.get("/x/1").1 == "first"));
+    wait_until("the hall is in service again", || boxes.iter().any(|one| one.get("/x/1").1 == "first"));
 }
 
 #[test]
 fn a_box_that_starts_after_a_restore_receives_from_others_what_the_copy_lacks() {
     let (store, boxes) = start();
-    let copy = store.copy();
-    store.put("op/config", &config(5, "/y/"));
-    soon("all boxes have the configuration", || all_respond(&boxes, "/y/1", 200, "first"));
+    let copy = store.snapshot();
+    store.put("op/config", &config_json(5, "/y/"));
+    wait_until("all boxes have the configuration", || all_respond(&boxes, "/y/1", 200, "first"));
     restore(&store, &copy);
     let seeds: Vec<SocketAddr> = boxes.iter().take(2).map(|one| one.boxes).collect();
     let program = Path::new(env!("CARGO_BIN_EXE_cleatshelf"));
     let late = Process::start(program, &["route"], &store, "hall", free(), &seeds);
-    soon("it has the configuration in force", || late.get("/y/1") == (200, "first".to_owned()));
+    wait_until("it has the configuration in force", || late.get("/y/1") == (200, "first".to_owned()));
     assert_eq!(late.get("/x/1").0, 404);
     // The first write after the restore reaches all boxes.
-    store.put("op/config", &config(6, "/z/"));
-    soon("all boxes have the newer configuration", || {
+    store.put("op/config", &config_json(6, "/z/"));
+    wait_until("all boxes have the newer configuration", || {
         all_respond(&boxes, "/z/1", 200, "first") && late.get("/z/1").0 == 200
     });
 }
@@ -158,32 +160,32 @@
 #[test]
 fn a_box_that_was_suspended_during_a_restore_catches_up() {
     let (store, boxes) = start();
-    let copy = store.copy();
+    let copy = store.snapshot();
     for number in 0..20 {
-        store.put(&format!("servers/i-lost-{number}"), &entry(server("lost", 0), "draining"));
+        store.put(&format!("servers/i-lost-{number}"), &server_entry(start_server("lost", 0), "draining"));
     }
     std::thread::sleep(Duration::from_secs(1));
     boxes[0].signal("-STOP");
     boxes[3].signal("-STOP");
     restore(&store, &copy);
-    store.put("servers/i-2", &entry(server("second", 0), "ready"));
-    store.put("servers/i-1", &entry(server("first", 0), "draining"));
-    store.put("op/config", &config(7, "/z/"));
-    std::thread::sleep(CONTACT);
+    store.put("servers/i-2", &server_entry(start_server("second", 0), "ready"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "draining"));
+    store.put("op/config", &config_json(7, "/z/"));
+    std::thread::sleep(CONVERGENCE_DELAY);
     boxes[0].signal("-CONT");
     boxes[3].signal("-CONT");
-    soon("all boxes have the newest state", || all_respond(&boxes, "/z/1", 200, "second"));
+    wait_until("all boxes have the newest state", || all_respond(&boxes, "/z/1", 200, "second"));
     wait_until_logged(&boxes);
 }
 
 #[test]
 fn a_terminated_server_is_not_used_because_the_copy_still_has_it() {
     let (store, boxes) = start();
-    store.put("servers/i-2", &entry(server("second", 0), "ready"));
+    store.put("servers/i-2", &server_entry(start_server("second", 0), "ready"));
     std::thread::sleep(Duration::from_secs(1));
-    let copy = store.copy();
+    let copy = store.snapshot();
     store.remove("servers/i-1");
-    soon("only the other is used", || (0..4).all(|_| all_respond(&boxes, "/x/1", 200, "second")));
+    wait_until("only the other is used", || (0..4).all(|_| all_respond(&boxes, "/x/1", 200, "second")));
     restore(&store, &copy);
     for _ in 0..25 {
         assert!(
@@ -194,10 +196,10 @@
     }
     wait_until_logged(&boxes);
     store.remove("servers/i-1");
-    std::thread::sleep(CONTACT);
+    std::thread::sleep(CONVERGENCE_DELAY);
     assert!(all_respond(&boxes, "/x/1", 200, "second"));
 }
 
 fn entry_in(hall: &str, address: SocketAddr) -> String {
-    entry(address, "ready").replace("\"zone\":\"hall\"", &format!("\"zone\":\"{hall}\""))
+    server_entry(address, "ready").replace("\"zone\":\"hall\"", &format!("\"zone\":\"{hall}\""))
 }
--- a/crates/cleatshelf/tests/limit.rs
+++ b/crates/cleatshelf/tests/limit.rs
@@ -17,7 +17,7 @@
 mod common;
 
 use common::World;
-use platform_lab::{soon, Limits, Mood, Reply, Word, CONTACT};
+use platform_lab::{wait_until, Hint, LimitChecker, Reply, StoreMode, CONVERGENCE_DELAY};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
@@ -52,8 +52,8 @@
                         return;
                     }
                     let counter = match world.send(index, &format!("{index}-{name}-{number}")) {
-                        Reply::Whole { status: 200, .. } => &outcomes.complete,
-                        Reply::Whole { status: 503, back: true, .. } => &outcomes.refused,
+                        Reply::Complete { status: 200, .. } => &outcomes.complete,
+                        Reply::Complete { status: 503, has_retry_after: true, .. } => &outcomes.refused,
                         _ => &outcomes.lost,
                     };
                     counter.fetch_add(1, Ordering::Relaxed);
@@ -65,14 +65,14 @@
     outcomes
 }
 
-fn limits<'a>(world: &'a World) -> Limits<'a> {
-    let door = &|request: &str| request.split('-').next().and_then(|index| index.parse().ok());
-    Limits { ledger: &world.servers.ledger, door, disturbed: &|_, _, _| false }
+fn limits<'a>(world: &'a World) -> LimitChecker<'a> {
+    let box_of = &|request: &str| request.split('-').next().and_then(|index| index.parse().ok());
+    LimitChecker { ledger: &world.servers.ledger, box_of, disturbed: &|_, _, _| false }
 }
 
 /// Returns the number of requests that reached a server from `from` until `until`.
 fn reached(world: &World, server: &str, from: Instant, until: Instant) -> usize {
-    world.servers.ledger.all().iter().filter(|a| a.server == server && a.at >= from && a.at < until).count()
+    world.servers.ledger.arrivals().iter().filter(|a| a.server == server && a.at >= from && a.at < until).count()
 }
 
 #[test]
@@ -80,20 +80,20 @@
     let world = World::start(3);
     let limited = world.first_choice(0);
     // The publisher is away, so the limit can't be published.
-    world.store.set(Mood::Silent);
-    world.servers.say(&limited, Some(Word::Limits(LIMIT_PER_S)));
+    world.store.set_mode(StoreMode::Unresponsive);
+    world.servers.set_hint(&limited, Some(Hint::Limit(LIMIT_PER_S)));
     let began = Instant::now();
-    let outcomes = send_from_all(&world, "limited", CONTACT + OBSERVATION_TIME);
+    let outcomes = send_from_all(&world, "limited", CONVERGENCE_DELAY + OBSERVATION_TIME);
     let ended = Instant::now();
-    assert_eq!(limits(&world).wrongs(), Vec::<String>::new());
-    let sent = reached(&world, &limited, began + CONTACT, ended) as f64;
-    let allowed = LIMIT_PER_S * (ended - began - CONTACT).as_secs_f64();
+    assert_eq!(limits(&world).violations(), Vec::<String>::new());
+    let sent = reached(&world, &limited, began + CONVERGENCE_DELAY, ended) as f64;
+    let allowed = LIMIT_PER_S * (ended - began - CONVERGENCE_DELAY).as_secs_f64();
     assert!(sent <= allowed + LIMIT_PER_S + 1.0, "{sent} requests sent, {allowed} allowed");
     assert!(sent >= 0.5 * allowed, "the limit is not used: {sent} requests sent, {allowed} allowed");
     assert_eq!((outcomes.refused.into_inner(), outcomes.lost.into_inner()), (0, 0), "other servers respond");
     // Without the hint the server gets its share again.
-    world.servers.say(&limited, None);
-    soon("the server gets its share again", || {
+    world.servers.set_hint(&limited, None);
+    wait_until("the server gets its share again", || {
         let began = Instant::now();
         send_from_all(&world, "after", Duration::from_secs(1));
         reached(&world, &limited, began, Instant::now()) as f64 > 4.0 * LIMIT_PER_S
@@ -104,11 +104,11 @@
 fn when_all_servers_have_limits_the_limits_are_used_and_other_requests_are_refused_with_a_time_to_retry() {
     let world = World::start(2);
     for server in world.servers.names() {
-        world.servers.say(&server, Some(Word::Limits(LIMIT_PER_S)));
+        world.servers.set_hint(&server, Some(Hint::Limit(LIMIT_PER_S)));
     }
-    send_from_all(&world, "told", CONTACT);
+    send_from_all(&world, "told", CONVERGENCE_DELAY);
     let outcomes = send_from_all(&world, "limited", OBSERVATION_TIME);
-    assert_eq!(limits(&world).wrongs(), Vec::<String>::new());
+    assert_eq!(limits(&world).violations(), Vec::<String>::new());
     let allowed = 4.0 * LIMIT_PER_S * OBSERVATION_TIME.as_secs_f64();
     let complete = outcomes.complete.into_inner() as f64;
     assert!(complete >= 0.7 * allowed, "{complete} requests complete, {allowed} allowed");
--- a/crates/cleatshelf/tests/route.rs
+++ b/crates/cleatshelf/tests/route.rs
@@ -1,7 +1,9 @@
 //! Router boxes as separate processes with a simulated store and servers: start, updates, peers and planned stop.
 
 use lab::ports::free;
-use platform_lab::{config, entry, server, soon, Call, Mood, Process, Reply, Store, SOON};
+use platform_lab::{
+    config_json, server_entry, start_server, wait_until, Call, Process, Reply, Store, StoreMode, WAIT_TIMEOUT,
+};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -15,20 +17,20 @@
 fn a_box_is_ready_with_a_configuration_and_follows_changes() {
     let store = Store::start();
     let one = start(&store, free(), &[]);
-    soon("the box responds", || one.readiness() == 503);
+    wait_until("the box responds", || one.readiness() == 503);
     assert_eq!(one.get("/x/1").0, 503, "without a configuration the status is neither 404 nor 401");
-    store.put("servers/i-1", &entry(server("first", 0), "ready"));
-    store.put("op/config", &config(3, "/x/"));
-    soon("the box is ready", || one.is_ready());
-    soon("the box serves", || one.get("/x/1") == (200, "first".to_owned()));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
+    store.put("op/config", &config_json(3, "/x/"));
+    wait_until("the box is ready", || one.is_ready());
+    wait_until("the box serves", || one.get("/x/1") == (200, "first".to_owned()));
     assert_eq!(one.get("/y/1").0, 404);
-    store.put("op/config", &config(9, "/y/"));
-    soon("the new route is in force", || one.get("/y/1").0 == 200);
+    store.put("op/config", &config_json(9, "/y/"));
+    wait_until("the new route is in force", || one.get("/y/1").0 == 200);
     assert_eq!(one.get("/x/1").0, 404);
-    store.put("op/config", &config(8, "/x/"));
-    store.put("servers/i-2", &entry(server("second", 0), "ready"));
-    store.put("servers/i-1", &entry(server("first", 0), "draining"));
-    soon("a draining server gets no requests", || one.get("/y/1") == (200, "second".to_owned()));
+    store.put("op/config", &config_json(8, "/x/"));
+    store.put("servers/i-2", &server_entry(start_server("second", 0), "ready"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "draining"));
+    wait_until("a draining server gets no requests", || one.get("/y/1") == (200, "second".to_owned()));
     assert_eq!(one.get("/x/1").0, 404, "an older version never comes back");
     assert!(one.metrics().contains("cleatshelf_configuration_version 9"));
 }
@@ -36,53 +38,53 @@
 #[test]
 fn a_box_without_access_to_the_store_gets_the_state_from_another_box() {
     let store = Store::start();
-    store.put("servers/i-1", &entry(server("first", 0), "ready"));
-    store.put("op/config", &config(3, "/x/"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
+    store.put("op/config", &config_json(3, "/x/"));
     let (near, far) = (free(), free());
     let one = start(&store, near, &[near, far]);
-    soon("the box is ready", || one.is_ready());
-    store.set(Mood::Away);
+    wait_until("the box is ready", || one.is_ready());
+    store.set_mode(StoreMode::Unavailable);
     let two = start(&store, far, &[near, far]);
-    soon("the second box is ready through the first", || two.is_ready());
-    soon("the second box serves", || two.get("/x/1") == (200, "first".to_owned()));
+    wait_until("the second box is ready through the first", || two.is_ready());
+    wait_until("the second box serves", || two.get("/x/1") == (200, "first".to_owned()));
 }
 
 #[test]
 fn only_one_box_of_a_small_hall_watches() {
     let store = Store::start();
-    store.put("op/config", &config(3, "/x/"));
+    store.put("op/config", &config_json(3, "/x/"));
     let addresses = [free(), free(), free()];
     let boxes = addresses.map(|address| start(&store, address, &addresses));
-    soon("all boxes are ready", || boxes.iter().all(Process::is_ready));
+    wait_until("all boxes are ready", || boxes.iter().all(Process::is_ready));
     std::thread::sleep(Duration::from_secs(4));
-    let before = store.calls();
+    let before = store.call_count();
     std::thread::sleep(Duration::from_secs(8));
     // With watches of four seconds for two subjects, one box makes four or five calls, three boxes twelve or more.
-    let calls = store.calls() - before;
+    let calls = store.call_count() - before;
     assert!(calls <= 6, "{calls} calls in 8 s");
 }
 
 #[test]
 fn a_planned_stop_fails_readiness_checks_and_lets_running_requests_complete() {
     let store = Store::start();
-    store.put("servers/i-1", &entry(server("slow", 1_500), "ready"));
-    store.put("op/config", &config(3, "/x/"));
+    store.put("servers/i-1", &server_entry(start_server("slow", 1_500), "ready"));
+    store.put("op/config", &config_json(3, "/x/"));
     let mut one = start(&store, free(), &[]);
-    soon("the box is ready", || one.is_ready());
+    wait_until("the box is ready", || one.is_ready());
     let call = Call { method: "GET", path: "/x/1".to_owned(), ..Call::default() };
     let callers = one.callers;
     let running = std::thread::spawn(move || call.send(callers));
     std::thread::sleep(Duration::from_millis(300));
     one.signal("-TERM");
-    soon("the box is not ready", || !one.is_ready());
-    let slow = Reply::Whole { status: 200, body: "slow".to_owned(), back: false };
+    wait_until("the box is not ready", || !one.is_ready());
+    let slow = Reply::Complete { status: 200, body: "slow".to_owned(), has_retry_after: false };
     assert_eq!(running.join().expect("a call"), slow);
     let began = Instant::now();
     let clean = loop {
-        if let Some(clean) = one.ended() {
+        if let Some(clean) = one.exited_cleanly() {
             break clean;
         }
-        assert!(began.elapsed() < SOON, "the process does not exit");
+        assert!(began.elapsed() < WAIT_TIMEOUT, "the process does not exit");
         std::thread::sleep(Duration::from_millis(20));
     };
     assert!(clean, "a request was aborted");
@@ -91,14 +93,14 @@
 #[test]
 fn reloaded_settings_with_faults_are_refused_and_the_box_keeps_serving() {
     let store = Store::start();
-    store.put("servers/i-1", &entry(server("first", 0), "ready"));
-    store.put("op/config", &config(3, "/x/"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
+    store.put("op/config", &config_json(3, "/x/"));
     let one = start(&store, free(), &[]);
-    soon("the box is ready", || one.is_ready());
+    wait_until("the box is ready", || one.is_ready());
     std::fs::write(&one.settings, "name = 5").expect("the settings are written");
     one.signal("-HUP");
     let has_counted = || one.metrics().contains("cleatshelf_events_total{event=\"SettingsRefused\"}");
-    soon("the faults are reported", has_counted);
+    wait_until("the faults are reported", has_counted);
     assert_eq!(one.get("/x/1"), (200, "first".to_owned()));
 }
 
@@ -108,27 +110,27 @@
 #[test]
 fn a_box_is_ready_only_with_its_first_list_of_servers_even_if_it_is_empty() {
     let store = Store::start();
-    store.put("op/config", &config(3, "/x/"));
-    store.set(Mood::Unlisted);
+    store.put("op/config", &config_json(3, "/x/"));
+    store.set_mode(StoreMode::ServersUnavailable);
     let address = free();
     let one = start(&store, address, &[address]);
-    soon("the configuration is in force", || one.metrics().contains("ReleaseInForce"));
+    wait_until("the configuration is in force", || one.metrics().contains("ReleaseInForce"));
     for _ in 0..20 {
         assert!(!one.is_ready(), "the box is ready without a list of servers");
         std::thread::sleep(Duration::from_millis(20));
     }
-    store.set(Mood::Well);
-    soon("the box is ready with an empty list", || one.is_ready());
+    store.set_mode(StoreMode::Available);
+    wait_until("the box is ready with an empty list", || one.is_ready());
 }
 
 #[test]
 fn bytes_that_are_not_frames_are_ignored() {
     let store = Store::start();
-    store.put("servers/i-1", &entry(server("first", 0), "ready"));
-    store.put("op/config", &config(3, "/x/"));
+    store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
+    store.put("op/config", &config_json(3, "/x/"));
     let boxes = free();
     let one = start(&store, boxes, &[boxes]);
-    soon("the box is ready", || one.is_ready());
+    wait_until("the box is ready", || one.is_ready());
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 4_096], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"] {
         let mut stream = TcpStream::connect(boxes).expect("the box accepts the connection");
         stream.write_all(bytes).expect("the bytes are sent");
@@ -138,19 +140,23 @@
 
 /// Returns a configuration whose service limits cold servers to `per_s` requests per second.
 fn config_with_cold(version: u64, per_s: u32) -> String {
-    config(version, "/x/").replace(r#""maxConns":100"#, &format!(r#""maxConns":100,"coldS":60.0,"coldPerS":{per_s}"#))
+    config_json(version, "/x/")
+        .replace(r#""maxConns":100"#, &format!(r#""maxConns":100,"coldS":60.0,"coldPerS":{per_s}"#))
 }
 
 #[test]
 fn boxes_together_obey_the_limit_of_a_cold_server_and_send_nothing_to_an_evacuated_hall() {
     let store = Store::start();
     store.put("op/config", &config_with_cold(3, 20));
-    store.put("servers/i-1", &entry(server("first", 0), "ready").replace("\"coldLeftMs\":0", "\"coldLeftMs\":600000"));
+    store.put(
+        "servers/i-1",
+        &server_entry(start_server("first", 0), "ready").replace("\"coldLeftMs\":0", "\"coldLeftMs\":600000"),
+    );
     let addresses = [free(), free()];
     let boxes = addresses.map(|address| start(&store, address, &addresses));
-    soon("all boxes are ready", || boxes.iter().all(Process::is_ready));
+    wait_until("all boxes are ready", || boxes.iter().all(Process::is_ready));
     for one in &boxes {
-        soon("permits are granted once the boxes know each other", || one.get("/x/1").0 == 200);
+        wait_until("permits are granted once the boxes know each other", || one.get("/x/1").0 == 200);
     }
     let began = Instant::now();
     let served: usize = (0..40).map(|round| usize::from(boxes[round % 2].get("/x/1").0 == 200)).sum();
@@ -160,7 +166,7 @@
     assert!(served <= 18 * windows, "{served} requests in {windows} windows");
     store.put("op/evacuate/hall", "{}");
     for one in &boxes {
-        soon("the box knows the evacuation", || one.metrics().contains("HallsEvacuated"));
+        wait_until("the box knows the evacuation", || one.metrics().contains("HallsEvacuated"));
         // Longer than the window in which all permits were used up.
         for _ in 0..6 {
             assert_eq!(one.get("/x/1").0, 503, "a request reached the only server although its hall is evacuated");
--- a/crates/cleatshelf/tests/starting.rs
+++ b/crates/cleatshelf/tests/starting.rs
@@ -1,7 +1,7 @@
 //! Boxes that start with a long list of servers.
 
 use lab::ports::free;
-use platform_lab::{config, entry, server, soon, Process, Store};
+use platform_lab::{config_json, server_entry, start_server, wait_until, Process, Store};
 use routing::{Directory, Freshness, Publisher};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -18,14 +18,14 @@
 /// Starts a store with a long list, in which all entries are the same server.
 fn store() -> Store {
     let store = Store::start();
-    store.page(SERVERS_PER_PAGE);
-    let address = server("first", 0);
+    store.set_page_size(SERVERS_PER_PAGE);
+    let address = start_server("first", 0);
     for number in 0..SERVERS {
         // Evenly distributed names, like those of a platform.
         let name = number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
-        store.put(&format!("servers/i-{name:08x}"), &entry(address, "ready"));
+        store.put(&format!("servers/i-{name:08x}"), &server_entry(address, "ready"));
     }
-    store.put("op/config", &config(3, "/x/"));
+    store.put("op/config", &config_json(3, "/x/"));
     store
 }
 
@@ -44,10 +44,10 @@
         store.allow_pages(Some(5));
         let address = free();
         let one = start(&store, address, &[if alone { address } else { free() }]);
-        soon("the box is ready with a few pages", || one.is_ready());
+        wait_until("the box is ready with a few pages", || one.is_ready());
         assert_eq!(one.get("/x/1"), (200, "first".to_owned()));
         store.allow_pages(None);
-        soon("the full list is known", || knows_servers(&one, SERVERS));
+        wait_until("the full list is known", || knows_servers(&one, SERVERS));
         assert_eq!(one.get("/x/1"), (200, "first".to_owned()));
     }
 }
@@ -61,9 +61,9 @@
 #[test]
 fn samples_are_drawn_from_the_full_list_with_few_calls() {
     let store = store();
-    let before = store.calls();
+    let before = store.call_count();
     let samples: Vec<Directory> = (0..40_u64).map(|draw| sample(&store, draw.wrapping_mul(0x9e37_79b9))).collect();
-    assert_eq!(store.calls() - before, 40 * 5, "a sample is the first page and four prefixes");
+    assert_eq!(store.call_count() - before, 40 * 5, "a sample is the first page and four prefixes");
     for sample in &samples {
         assert!((16..SERVERS as usize / 2).contains(&sample.servers.len()), "{} servers", sample.servers.len());
         assert!(!sample.position.is_known(), "a sample is not the full list");
@@ -75,15 +75,15 @@
 #[test]
 fn a_list_of_one_page_is_read_in_full_and_sampling_works_with_any_names() {
     let store = Store::start();
-    store.put("servers/only", &entry(server("first", 0), "ready"));
+    store.put("servers/only", &server_entry(start_server("first", 0), "ready"));
     let full = sample(&store, 5);
     assert!(full.position.is_known());
-    assert_eq!((full.servers.len(), store.calls()), (1, 1));
+    assert_eq!((full.servers.len(), store.call_count()), (1, 1));
     // Very similar names: every draw must return a page.
     for number in 0..9 {
-        store.put(&format!("servers/{number}-x"), &entry(server("first", 0), "ready"));
+        store.put(&format!("servers/{number}-x"), &server_entry(start_server("first", 0), "ready"));
     }
-    store.page(4);
+    store.set_page_size(4);
     for draw in 0..20 {
         let sample = sample(&store, draw);
         assert!(
