--- a/crates/placement/tests/cache_directory.rs
+++ b/crates/placement/tests/cache_directory.rs
@@ -48,8 +48,8 @@
         let query = StatusQuery { number: 1, server: server.id.clone(), parts: prompt.parts.clone(), gap_ms: 0 };
         let mut status = owner.on_query(&query, now);
         if index < 5 {
-            let reading = Prefill { tokens: 4_000_000, ..Prefill::default() };
-            status.load = Load { running: 60, prefill: reading, ..Load::default() };
+            let prefill = Prefill { tokens: 4_000_000, ..Prefill::default() };
+            status.load = Load { running: 60, prefill, ..Load::default() };
         }
         one.on_status(MODEL, &server.id, status.clone(), now);
         statuses.push((server.id.clone(), status));
--- a/crates/placement/tests/choice.rs
+++ b/crates/placement/tests/choice.rs
@@ -65,9 +65,9 @@
 }
 
 fn status(running: u32, unread: u64, cached: u32, read: u32) -> ServerStatus {
-    let reading = Prefill { tokens: unread, ..Prefill::default() };
+    let prefill = Prefill { tokens: unread, ..Prefill::default() };
     ServerStatus {
-        load: Load { running, prefill: reading, ..Load::default() },
+        load: Load { running, prefill, ..Load::default() },
         cached_tokens: cached,
         confirmed_tokens: read,
         ..ServerStatus::default()
--- a/crates/placement/tests/owner.rs
+++ b/crates/placement/tests/owner.rs
@@ -26,10 +26,10 @@
 }
 
 fn sent() -> SendUpdate {
-    let reading = Prefill::tail(10_500, 10_500, 6_000);
+    let prefill = Prefill::tail(10_500, 10_500, 6_000);
     SendUpdate::Sent {
         parts: parts(),
-        work: Work { prefill: reading, held: 11_000, ..Work::default() },
+        work: Work { prefill, held: 11_000, ..Work::default() },
         memory: CACHE_CAPACITY_TOKENS,
         permitted: false,
     }
@@ -51,8 +51,11 @@
     assert_eq!((waiting.load.running, waiting.load.prefill.tokens, waiting.load.held), (1, 10_500, 11_000));
     assert_eq!((waiting.cached_tokens, waiting.confirmed_tokens), (10_500, 0));
     report(&mut owner, 1, SendUpdate::Read, 2);
-    let reading = status(&mut owner, 3);
-    assert_eq!((reading.load.running, reading.load.prefill.tokens, reading.confirmed_tokens), (1, 0, 10_500));
+    let after_prefill = status(&mut owner, 3);
+    assert_eq!(
+        (after_prefill.load.running, after_prefill.load.prefill.tokens, after_prefill.confirmed_tokens),
+        (1, 0, 10_500)
+    );
     report(&mut owner, 1, ended(Ending::Good), 4);
     let after = status(&mut owner, 5);
     assert_eq!((after.load.running, after.load.held, after.confirmed_tokens), (0, 0, 10_500));
--- a/crates/placement/tests/quarantine.rs
+++ b/crates/placement/tests/quarantine.rs
@@ -119,7 +119,7 @@
     let mut running: Vec<Vec<(Fingerprint, u64)>> = vec![Vec::new(); 40];
     let mut day = Day::default();
     let mut single_held = HashSet::new();
-    let mut lives = 0_u64;
+    let mut instances = 0_u64;
     for now in (0..60_000_u64).step_by(100) {
         for _ in 0..6 {
             let popular = rng.random_bool(0.3);
@@ -156,9 +156,9 @@
                 }
                 continue;
             }
-            lives += 1;
+            instances += 1;
             for (request, sent) in requests.drain(..) {
-                quarantine.record_termination(request, end(&format!("life-{lives}"), sent, now), now);
+                quarantine.record_termination(request, end(&format!("life-{instances}"), sent, now), now);
                 if request != CRASHING && rng.random_bool(0.7) {
                     repeated.push(request);
                 }
