--- a/crates/cleatshelf/src/control.rs
+++ b/crates/cleatshelf/src/control.rs
@@ -332,10 +332,10 @@
     // ------------------------------------------------------------------------
     // Other boxes
 
-    fn on_peer_release(&mut self, from: BoxId, order: Option<ReleaseId>, context: &mut Context<Self>) {
+    fn on_peer_release(&mut self, from: BoxId, release: Option<ReleaseId>, context: &mut Context<Self>) {
         self.received_from_peer = true;
-        self.newest_seen = self.newest_seen.max(order);
-        let actions = self.releases.on_release(from, order, self.now());
+        self.newest_seen = self.newest_seen.max(release);
+        let actions = self.releases.on_release(from, release, self.now());
         self.run_fleet_actions(actions, context);
     }
 
@@ -344,8 +344,8 @@
         let actions = self.detector.on_message(from, message, self.releases.release_id(), now);
         self.run_fleet_actions(actions, context);
         match message {
-            fleet::Message::Ping { order, .. } | fleet::Message::Ack { order, .. } => {
-                self.on_peer_release(from, *order, context);
+            fleet::Message::Ping { order: release, .. } | fleet::Message::Ack { order: release, .. } => {
+                self.on_peer_release(from, *release, context);
             }
             _ => {
                 let actions = self.releases.on_message(from, message, now);
--- a/crates/cleatshelf/src/control/actions.rs
+++ b/crates/cleatshelf/src/control/actions.rs
@@ -115,8 +115,8 @@
                     self.run_policy_actions(actions, context);
                 }
                 fleet::Action::Gossip(change) => self.detector.gossip(change),
-                fleet::Action::RefusedElsewhere(order, reason) => {
-                    let actions = self.releases.on_refused_elsewhere(order, &reason);
+                fleet::Action::RefusedElsewhere(release, reason) => {
+                    let actions = self.releases.on_refused_elsewhere(release, &reason);
                     self.run_fleet_actions(actions, context);
                 }
                 fleet::Action::Adopt(release, catalog) => self.adopt_release(&release, *catalog, context),
@@ -144,10 +144,10 @@
         });
         let actions = self.broker.set_layout(layout, self.now());
         self.run_policy_actions(actions, context);
-        let order = self.releases.release_id();
+        let release_id = self.releases.release_id();
         for to in self.detector.random_alive(RELEASE_FANOUT) {
             // An `Ack` carries the release without requesting a reply.
-            let message = fleet::Message::Ack { number: 0, order, changes: Vec::new() };
+            let message = fleet::Message::Ack { number: 0, order: release_id, changes: Vec::new() };
             self.send(to, &Envelope::Fleet(message), context);
         }
     }
