--- a/crates/cleatshelf/tests/crashing.rs
+++ b/crates/cleatshelf/tests/crashing.rs
@@ -13,7 +13,7 @@
 //!
 //! and so on: 36 terminations under the one request, which reached servers 32 times after the third.
 
-use lab::ports::free;
+use lab::ports::free_address;
 use platform_lab::{config_json, start_boxes, wait_until, Process, Servers, Store, CONVERGENCE_DELAY};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -42,7 +42,7 @@
     std::thread::sleep(CONVERGENCE_DELAY);
     let before = servers.crashing_sends();
     let seeds: Vec<SocketAddr> = boxes.iter().take(2).map(|one| one.boxes).collect();
-    let later = Process::start(program, &["route"], &store, "hall", free(), &seeds);
+    let later = Process::start(program, &["route"], &store, "hall", free_address(), &seeds);
     wait_until("the later box is ready", || later.is_ready());
     std::thread::sleep(CONVERGENCE_DELAY);
     let arrivals = 32;
--- a/crates/cleatshelf/tests/eras.rs
+++ b/crates/cleatshelf/tests/eras.rs
@@ -3,7 +3,7 @@
 //! Guards against boxes that expect revisions to increase forever and so ignore the store until its revisions have
 //! passed the old ones.
 
-use lab::ports::free;
+use lab::ports::free_address;
 use platform_lab::{
     config_json, server_entry, start_boxes, start_server, wait_until, Process, Store, StoreMode, CONVERGENCE_DELAY,
 };
@@ -147,7 +147,7 @@
     restore(&store, &copy);
     let seeds: Vec<SocketAddr> = boxes.iter().take(2).map(|one| one.boxes).collect();
     let program = Path::new(env!("CARGO_BIN_EXE_cleatshelf"));
-    let late = Process::start(program, &["route"], &store, "hall", free(), &seeds);
+    let late = Process::start(program, &["route"], &store, "hall", free_address(), &seeds);
     wait_until("it has the configuration in force", || late.get("/y/1") == (200, "first".to_owned()));
     assert_eq!(late.get("/x/1").0, 404);
     // The first write after the restore reaches all boxes.
--- a/crates/cleatshelf/tests/route.rs
+++ b/crates/cleatshelf/tests/route.rs
@@ -1,6 +1,6 @@
 //! Router boxes as separate processes with a simulated store and servers: start, updates, peers and planned stop.
 
-use lab::ports::free;
+use lab::ports::free_address;
 use platform_lab::{
     config_json, server_entry, start_server, wait_until, Call, Process, Reply, Store, StoreMode, WAIT_TIMEOUT,
 };
@@ -16,7 +16,7 @@
 #[test]
 fn a_box_is_ready_with_a_configuration_and_follows_changes() {
     let store = Store::start();
-    let one = start(&store, free(), &[]);
+    let one = start(&store, free_address(), &[]);
     wait_until("the box responds", || one.readiness() == 503);
     assert_eq!(one.get("/x/1").0, 503, "without a configuration the status is neither 404 nor 401");
     store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
@@ -40,7 +40,7 @@
     let store = Store::start();
     store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
     store.put("op/config", &config_json(3, "/x/"));
-    let (near, far) = (free(), free());
+    let (near, far) = (free_address(), free_address());
     let one = start(&store, near, &[near, far]);
     wait_until("the box is ready", || one.is_ready());
     store.set_mode(StoreMode::Unavailable);
@@ -53,7 +53,7 @@
 fn only_one_box_of_a_small_hall_watches() {
     let store = Store::start();
     store.put("op/config", &config_json(3, "/x/"));
-    let addresses = [free(), free(), free()];
+    let addresses = [free_address(), free_address(), free_address()];
     let boxes = addresses.map(|address| start(&store, address, &addresses));
     wait_until("all boxes are ready", || boxes.iter().all(Process::is_ready));
     std::thread::sleep(Duration::from_secs(4));
@@ -69,7 +69,7 @@
     let store = Store::start();
     store.put("servers/i-1", &server_entry(start_server("slow", 1_500), "ready"));
     store.put("op/config", &config_json(3, "/x/"));
-    let mut one = start(&store, free(), &[]);
+    let mut one = start(&store, free_address(), &[]);
     wait_until("the box is ready", || one.is_ready());
     let call = Call { method: "GET", path: "/x/1".to_owned(), ..Call::default() };
     let callers = one.callers;
@@ -95,7 +95,7 @@
     let store = Store::start();
     store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
     store.put("op/config", &config_json(3, "/x/"));
-    let one = start(&store, free(), &[]);
+    let one = start(&store, free_address(), &[]);
     wait_until("the box is ready", || one.is_ready());
     std::fs::write(&one.settings, "name = 5").expect("the settings are written");
     one.signal("-HUP");
@@ -112,7 +112,7 @@
     let store = Store::start();
     store.put("op/config", &config_json(3, "/x/"));
     store.set_mode(StoreMode::ServersUnavailable);
-    let address = free();
+    let address = free_address();
     let one = start(&store, address, &[address]);
     wait_until("the configuration is in force", || one.metrics().contains("ReleaseInForce"));
     for _ in 0..20 {
@@ -128,7 +128,7 @@
     let store = Store::start();
     store.put("servers/i-1", &server_entry(start_server("first", 0), "ready"));
     store.put("op/config", &config_json(3, "/x/"));
-    let boxes = free();
+    let boxes = free_address();
     let one = start(&store, boxes, &[boxes]);
     wait_until("the box is ready", || one.is_ready());
     for bytes in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[0xff; 4_096], b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"] {
@@ -152,7 +152,7 @@
         "servers/i-1",
         &server_entry(start_server("first", 0), "ready").replace("\"coldLeftMs\":0", "\"coldLeftMs\":600000"),
     );
-    let addresses = [free(), free()];
+    let addresses = [free_address(), free_address()];
     let boxes = addresses.map(|address| start(&store, address, &addresses));
     wait_until("all boxes are ready", || boxes.iter().all(Process::is_ready));
     for one in &boxes {
--- a/crates/cleatshelf/tests/starting.rs
+++ b/crates/cleatshelf/tests/starting.rs
@@ -1,6 +1,6 @@
 //! Boxes that start with a long list of servers.
 
-use lab::ports::free;
+use lab::ports::free_address;
 use platform_lab::{config_json, server_entry, start_server, wait_until, Process, Store};
 use routing::{Directory, Freshness, Publisher};
 use std::collections::HashSet;
@@ -42,8 +42,8 @@
     // With a seed that never responds, and without other boxes.
     for alone in [false, true] {
         store.allow_pages(Some(5));
-        let address = free();
-        let one = start(&store, address, &[if alone { address } else { free() }]);
+        let address = free_address();
+        let one = start(&store, address, &[if alone { address } else { free_address() }]);
         wait_until("the box is ready with a few pages", || one.is_ready());
         assert_eq!(one.get("/x/1"), (200, "first".to_owned()));
         store.allow_pages(None);
--- a/crates/lab/src/answer.rs
+++ b/crates/lab/src/answer.rs
@@ -2,7 +2,7 @@
 
 /// The tokens of the answer to `prompt`, at most `most` of them. The length is the prompt's secret.
 #[must_use]
-pub fn answer(prompt: &str, most: u32) -> Vec<String> {
+pub fn answer_tokens(prompt: &str, most: u32) -> Vec<String> {
     let hash = blake3::hash(prompt.as_bytes());
     let bytes = hash.as_bytes();
     let share = f64::from(u16::from_le_bytes([bytes[0], bytes[1]])) / f64::from(u16::MAX);
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,6 +1,6 @@
 //! A caller: sends one request and says truthfully what came back.
 
-use crate::example::{key_of, MODEL};
+use crate::example_release::{api_key, MODEL};
 use awc::error::{ConnectError, SendRequestError};
 use awc::{Client, Connector};
 use futures_util::StreamExt;
@@ -11,9 +11,9 @@
 
 /// How a request ended, as the caller saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum Outcome {
     /// The whole answer came.
-    Whole,
+    Complete,
     /// A proper error came instead of an answer.
     Refused {
         /// The HTTP status.
@@ -26,16 +26,16 @@
         retry_ms: Option<u64>,
     },
     /// The answer broke off.
-    Broken,
+    Interrupted,
     /// The box couldn't be reached.
-    Unreached,
+    Unreachable,
 }
 
 /// What came back.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// How it ended.
-    pub stop: Stop,
+    pub outcome: Outcome,
     /// The text that came.
     pub text: String,
     /// When each token came.
@@ -51,7 +51,7 @@
     /// The class, or the customer's default.
     pub class: Option<String>,
     /// Marks requests as not to be repeated.
-    pub once: bool,
+    pub non_repeatable: bool,
     /// The request key.
     pub key: Option<String>,
 }
@@ -64,7 +64,7 @@
         let connector =
             Connector::new().limit(0).timeout(Duration::from_secs(1)).conn_keep_alive(Duration::from_secs(1));
         let client = Client::builder().connector(connector).timeout(Duration::from_secs(600)).finish();
-        Self { client, customer: customer.to_owned(), class: None, once: false, key: None }
+        Self { client, customer: customer.to_owned(), class: None, non_repeatable: false, key: None }
     }
 
     /// With this class.
@@ -76,8 +76,8 @@
 
     /// With requests that aren't to be repeated.
     #[must_use]
-    pub fn once(mut self) -> Self {
-        self.once = true;
+    pub fn non_repeatable(mut self) -> Self {
+        self.non_repeatable = true;
         self
     }
 
@@ -89,11 +89,11 @@
     }
 
     fn headers(&self) -> Vec<(&'static str, String)> {
-        let mut headers = vec![("authorization", format!("Bearer {}", key_of(&self.customer)))];
+        let mut headers = vec![("authorization", format!("Bearer {}", api_key(&self.customer)))];
         if let Some(class) = &self.class {
             headers.push((gateway::CLASS_HEADER, class.clone()));
         }
-        if self.once {
+        if self.non_repeatable {
             headers.push((gateway::REPEATABLE_HEADER, "no".to_owned()));
         }
         if let Some(key) = &self.key {
@@ -103,7 +103,7 @@
     }
 
     /// Asks the model `prompt` at the box `door` and takes the streamed answer.
-    pub async fn ask(&self, door: SocketAddr, prompt: &str, most: u32) -> Reply {
+    pub async fn complete(&self, door: SocketAddr, prompt: &str, most: u32) -> Reply {
         let body = json!({"model": MODEL, "stream": true, "max_tokens": most,
             "messages": [{"role": "user", "content": prompt}]});
         self.post(door, "/v1/chat/completions", &body).await
@@ -115,7 +115,7 @@
         for (name, value) in self.headers() {
             request = request.insert_header((name, value));
         }
-        let none = |stop| Reply { stop, text: String::new(), times: Vec::new() };
+        let none = |outcome| Reply { outcome, text: String::new(), times: Vec::new() };
         let response = match request.send_json(body).await {
             Ok(response) => response,
             Err(error) => return none(unanswered(&error)),
@@ -128,19 +128,19 @@
         }
         let mut response = response.timeout(Duration::from_secs(600));
         match response.json::<Value>().limit(64 << 20).await {
-            Ok(value) => Reply { stop: Stop::Whole, text: text_of(&value), times: vec![Instant::now()] },
-            Err(_) => none(Stop::Broken),
+            Ok(value) => Reply { outcome: Outcome::Complete, text: text_of(&value), times: vec![Instant::now()] },
+            Err(_) => none(Outcome::Interrupted),
         }
     }
 
     /// Calls a plain service.
-    pub async fn call(&self, door: SocketAddr, method: &str, path: &str, body: &str) -> Reply {
+    pub async fn request(&self, door: SocketAddr, method: &str, path: &str, body: &str) -> Reply {
         let method = awc::http::Method::from_bytes(method.as_bytes()).unwrap_or(awc::http::Method::GET);
         let mut request = self.client.request(method, format!("http://{door}{path}"));
         for (name, value) in self.headers() {
             request = request.insert_header((name, value));
         }
-        let none = |stop| Reply { stop, text: String::new(), times: Vec::new() };
+        let none = |outcome| Reply { outcome, text: String::new(), times: Vec::new() };
         let mut response = match request.send_body(body.to_owned()).await {
             Ok(response) => response,
             Err(error) => return none(unanswered(&error)),
@@ -151,19 +151,19 @@
         match response.body().limit(64 << 20).await {
             Ok(bytes) => {
                 let text = String::from_utf8_lossy(&bytes).into_owned();
-                Reply { stop: Stop::Whole, text, times: vec![Instant::now()] }
+                Reply { outcome: Outcome::Complete, text, times: vec![Instant::now()] }
             }
-            Err(_) => none(Stop::Broken),
+            Err(_) => none(Outcome::Interrupted),
         }
     }
 }
 
 /// Only a connection that was never made is known to have reached nobody.
-fn unanswered(error: &SendRequestError) -> Stop {
+fn unanswered(error: &SendRequestError) -> Outcome {
     match error {
-        SendRequestError::Connect(ConnectError::Disconnected) => Stop::Broken,
-        SendRequestError::Connect(_) => Stop::Unreached,
-        _ => Stop::Broken,
+        SendRequestError::Connect(ConnectError::Disconnected) => Outcome::Interrupted,
+        SendRequestError::Connect(_) => Outcome::Unreachable,
+        _ => Outcome::Interrupted,
     }
 }
 
@@ -175,7 +175,7 @@
 
 type Response<S> = awc::ClientResponse<S>;
 
-async fn refused<S>(mut response: Response<S>) -> Stop
+async fn refused<S>(mut response: Response<S>) -> Outcome
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -185,7 +185,7 @@
     let retry_ms = header("retry-after-ms").and_then(|v| v.parse().ok());
     let body: Value = response.json().await.unwrap_or_default();
     let code = body["error"]["code"].as_str().unwrap_or_default().to_owned();
-    Stop::Refused { status, code, ran, retry_ms }
+    Outcome::Refused { status, code, ran, retry_ms }
 }
 
 async fn streamed<S>(response: Response<S>) -> Reply
@@ -194,14 +194,14 @@
 {
     let mut body = response.timeout(Duration::from_secs(600));
     let mut events = EventSplitter::default();
-    let mut reply = Reply { stop: Stop::Broken, text: String::new(), times: Vec::new() };
+    let mut reply = Reply { outcome: Outcome::Interrupted, text: String::new(), times: Vec::new() };
     while let Some(Ok(bytes)) = body.next().await {
         if !events.feed(&bytes) {
             return reply;
         }
         while let Some(event) = events.next_event() {
             if EventSplitter::is_done(&event) {
-                reply.stop = Stop::Whole;
+                reply.outcome = Outcome::Complete;
                 continue;
             }
             let value: Value = serde_json::from_slice(EventSplitter::data(&event)).unwrap_or_default();
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,15 +1,15 @@
 //! The ways of deciding, run against each other under the same load and faults.
 
-use crate::load::{run_load, Load};
-use crate::{Deployment, Plan, Profile, Report};
+use crate::load::{run_load, LoadRun};
+use crate::{Deployment, DeploymentSpec, LoadReport, Profile};
 use std::path::Path;
 use std::time::Duration;
 
 /// One run to be compared.
 #[derive(Clone, Debug)]
-pub struct Case {
+pub struct ComparisonCase {
     /// How requests find a server.
-    pub way: String,
+    pub scheduling_mode: String,
     /// Load as a multiple of capacity.
     pub load: f64,
     /// One engine is ten times slower from a third of the run on, and another crashes and comes back.
@@ -20,10 +20,15 @@
 ///
 /// # Errors
 /// When the boxes can't be started or don't become ready.
-pub async fn compare(case: &Case, plan: &Plan, profile: &Profile, program: &Path) -> eyre::Result<Report> {
-    let plan = Plan { way: case.way.clone(), ..plan.clone() };
+pub async fn run_case(
+    case: &ComparisonCase,
+    plan: &DeploymentSpec,
+    profile: &Profile,
+    program: &Path,
+) -> eyre::Result<LoadReport> {
+    let plan = DeploymentSpec { scheduling_mode: case.scheduling_mode.clone(), ..plan.clone() };
     let deployment = Deployment::start(plan, program)?;
-    if !deployment.settled(Duration::from_secs(20)).await {
+    if !deployment.wait_until_ready(Duration::from_secs(20)).await {
         eyre::bail!("the boxes did not become ready");
     }
     let profile = profile.clone().scaled(case.load);
@@ -32,28 +37,28 @@
         let third = Duration::from_secs_f64(profile.seconds / 3.0);
         actix_rt::spawn(async move {
             tokio::time::sleep(third).await;
-            slow.slow(1_000);
+            slow.set_token_time_percent(1_000);
             crash.crash();
             tokio::time::sleep(third).await;
             crash.restart();
         })
     });
-    let name = format!("{}{}", case.way, if case.faults { "+faults" } else { "" });
-    let before = deployment.generated();
-    let load = Load { name: &name, profile: &profile, doors: deployment.doors(), progress: true };
+    let name = format!("{}{}", case.scheduling_mode, if case.faults { "+faults" } else { "" });
+    let before = deployment.generated_tokens();
+    let load = LoadRun { name: &name, profile: &profile, addresses: deployment.caller_addresses(), progress: true };
     let mut report = run_load(load).await;
     if let Some(faults) = faults {
         faults.abort();
     }
     report.load = case.load;
-    account(&mut report, &deployment, before).await;
+    add_server_totals(&mut report, &deployment, before).await;
     Ok(report)
 }
 
 /// Adds what engines and boxes counted.
-pub async fn account(report: &mut Report, deployment: &Deployment, generated_before: u64) {
-    report.generated = deployment.generated() - generated_before;
+pub async fn add_server_totals(report: &mut LoadReport, deployment: &Deployment, generated_before: u64) {
+    report.generated = deployment.generated_tokens() - generated_before;
     let lost = report.generated.saturating_sub(report.delivered);
     report.wasted = if report.generated == 0 { 0.0 } else { lost as f64 / report.generated as f64 };
-    report.broken = deployment.broken().await;
+    report.broken = deployment.invariant_violations().await;
 }
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -1,7 +1,7 @@
 //! Boxes as real processes on loopback, with stand-ins around them.
 
-use crate::example::{lakes, Sizes};
-use crate::{ports, Engine, EngineSpec, Plain, Platform, Relay};
+use crate::example_release::{build_release, ReleaseSpec};
+use crate::{ports, Engine, EngineSpec, PlainService, Platform, Relay};
 use cleatshelf::Status;
 use eyre::WrapErr;
 use fleet::Peer;
@@ -15,15 +15,15 @@
 
 /// What a deployment is made of.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct DeploymentSpec {
     /// Halls with their number of boxes, of engines and of plain services.
     pub halls: Vec<(String, usize, usize, usize)>,
     /// How requests find a server: `owner`, `alone-arrival` or `alone-class`.
-    pub way: String,
+    pub scheduling_mode: String,
     /// Links between boxes, and from halls to the platform, pass through relays that can be cut.
-    pub relayed: bool,
+    pub with_relays: bool,
     /// Settings name no other boxes; the platform's list alone does.
-    pub strangers: bool,
+    pub peers_from_platform_only: bool,
     /// Himalkosh's classes instead of the oversight agency's.
     pub himalkosh: bool,
     /// Slots of each engine.
@@ -31,18 +31,18 @@
     /// Milliseconds between tokens of the fastest engine; others are up to half slower, unless `equal`.
     pub token_ms: u64,
     /// All engines are as fast.
-    pub equal: bool,
+    pub equal_engine_speed: bool,
     /// Milliseconds before the first token.
     pub prefill_ms: u64,
     /// How old the engines' load reports are, in milliseconds.
-    pub lag_ms: u64,
+    pub report_lag_ms: u64,
     /// How old the membership list is, in milliseconds.
-    pub list_lag_ms: u64,
+    pub member_list_lag_ms: u64,
     /// Traffic threads of each box.
-    pub threads: usize,
+    pub traffic_threads: usize,
 }
 
-impl Default for Plan {
+impl Default for DeploymentSpec {
     fn default() -> Self {
         Self {
             halls: vec![
@@ -50,17 +50,17 @@
                 ("hall-toledo".into(), 3, 3, 1),
                 ("hall-erie".into(), 2, 3, 1),
             ],
-            way: "owner".into(),
-            relayed: false,
-            strangers: false,
+            scheduling_mode: "owner".into(),
+            with_relays: false,
+            peers_from_platform_only: false,
             himalkosh: false,
             slots: 8,
             token_ms: 10,
-            equal: false,
+            equal_engine_speed: false,
             prefill_ms: 40,
-            lag_ms: 500,
-            list_lag_ms: 500,
-            threads: 1,
+            report_lag_ms: 500,
+            member_list_lag_ms: 500,
+            traffic_threads: 1,
         }
     }
 }
@@ -79,14 +79,14 @@
 
 /// Boxes, stand-ins and relays. Everything ends when it is dropped.
 pub struct Deployment {
-    /// The plan.
-    pub plan: Plan,
+    /// The spec.
+    pub spec: DeploymentSpec,
     /// The boxes by name.
     pub boxes: BTreeMap<String, BoxProcess>,
     /// Engines with the hall of each.
     pub engines: Vec<(String, Engine)>,
     /// Plain services: hall, service name, stand-in.
-    pub plains: Vec<(String, String, Plain)>,
+    pub plain_services: Vec<(String, String, PlainService)>,
     /// The platform.
     pub platform: Platform,
     /// Relays by the names of both boxes.
@@ -94,7 +94,7 @@
     /// Relays from halls to the platform.
     pub platform_relays: BTreeMap<String, Relay>,
     /// The release last published.
-    pub release: u64,
+    pub release_number: u64,
     /// Names of engines that the next release says are leaving.
     pub leaving: Vec<String>,
     program: PathBuf,
@@ -106,12 +106,12 @@
     ///
     /// # Errors
     /// When something can't be started.
-    pub fn start(plan: Plan, program: &Path) -> eyre::Result<Self> {
-        let mut deployment = Self::prepare(plan, program)?;
+    pub fn start(spec: DeploymentSpec, program: &Path) -> eyre::Result<Self> {
+        let mut deployment = Self::prepare(spec, program)?;
         deployment.publish()?;
         let names: Vec<String> = deployment.boxes.keys().cloned().collect();
         for name in names {
-            deployment.run_box(&name)?;
+            deployment.start_box(&name)?;
         }
         Ok(deployment)
     }
@@ -120,36 +120,36 @@
     ///
     /// # Errors
     /// When something can't be started.
-    pub fn prepare(plan: Plan, program: &Path) -> eyre::Result<Self> {
-        let platform = Platform::start(plan.list_lag_ms);
+    pub fn prepare(spec: DeploymentSpec, program: &Path) -> eyre::Result<Self> {
+        let platform = Platform::start(spec.member_list_lag_ms);
         let mut engines = Vec::new();
-        let mut plains = Vec::new();
+        let mut plain_services = Vec::new();
         let mut boxes = BTreeMap::new();
-        for (hall, box_count, engine_count, plain_count) in &plan.halls {
+        for (hall, box_count, engine_count, plain_count) in &spec.halls {
             for i in 0..*engine_count {
                 // Engines are unequal: each next one is a quarter slower than the first.
-                let slower = if plan.equal { 0 } else { i as u64 % 3 };
-                let token_ms = plan.token_ms * (4 + slower) / 4;
+                let slower = if spec.equal_engine_speed { 0 } else { i as u64 % 3 };
+                let token_ms = spec.token_ms * (4 + slower) / 4;
                 let spec = EngineSpec {
                     name: format!("{hall}-llm-{}", i + 1),
-                    slots: plan.slots,
+                    slots: spec.slots,
                     token_ms,
-                    prefill_ms: plan.prefill_ms,
-                    lag_ms: plan.lag_ms,
+                    prefill_ms: spec.prefill_ms,
+                    report_lag_ms: spec.report_lag_ms,
                 };
                 engines.push((hall.clone(), Engine::start(spec)));
             }
             for i in 0..*plain_count {
-                let plain = Plain::start(&format!("{hall}-registry-{}", i + 1), 5);
-                plains.push((hall.clone(), "registry".to_owned(), plain));
+                let plain = PlainService::start(&format!("{hall}-registry-{}", i + 1), 5);
+                plain_services.push((hall.clone(), "registry".to_owned(), plain));
             }
             for i in 0..*box_count {
                 let name = format!("{hall}-box-{}", i + 1);
-                let peer = Peer { name: name.clone(), hall: hall.clone(), address: ports::free() };
+                let peer = Peer { name: name.clone(), hall: hall.clone(), address: ports::free_address() };
                 let process = BoxProcess {
                     peer,
-                    callers: ports::free(),
-                    operators: ports::free(),
+                    callers: ports::free_address(),
+                    operators: ports::free_address(),
                     settings: PathBuf::new(),
                     child: None,
                 };
@@ -157,29 +157,29 @@
             }
         }
         let mut deployment = Self {
-            plan,
+            spec,
             boxes,
             engines,
-            plains,
+            plain_services,
             platform,
             relays: BTreeMap::new(),
             platform_relays: BTreeMap::new(),
-            release: 0,
+            release_number: 0,
             leaving: Vec::new(),
             program: program.to_owned(),
             folder: tempfile::tempdir()?,
         };
         deployment.wire_up();
         deployment.write_settings()?;
-        deployment.list_all();
+        deployment.publish_members();
         Ok(deployment)
     }
 
     fn wire_up(&mut self) {
-        if !self.plan.relayed {
+        if !self.spec.with_relays {
             return;
         }
-        for (hall, ..) in &self.plan.halls {
+        for (hall, ..) in &self.spec.halls {
             self.platform_relays.insert(hall.clone(), Relay::start(self.platform.address()));
         }
         for from in self.boxes.keys() {
@@ -212,10 +212,10 @@
             "name = \"{name}\"\nhall = \"{}\"\nlisten_callers = \"{}\"\nlisten_boxes = \"{}\"\nlisten_operators = \"{}\"\n\
              platform_config = \"{platform}\"\nplatform_members = \"{platform}\"\nlink_key = \"a-key-for-stand-ins-only\"\n\
              traffic_threads = {}\nway = \"{}\"\nstop_seconds = 60\nbody_bytes = 1000000\nbody_seconds = 2\n",
-            this.peer.hall, this.callers, this.peer.address, this.operators, self.plan.threads, self.plan.way
+            this.peer.hall, this.callers, this.peer.address, this.operators, self.spec.traffic_threads, self.spec.scheduling_mode
         );
         for (other, process) in &self.boxes {
-            if other == name || self.plan.strangers {
+            if other == name || self.spec.peers_from_platform_only {
                 continue;
             }
             let relay = self.relays.get(&(name.to_owned(), other.clone()));
@@ -231,12 +231,12 @@
     }
 
     /// Puts every box and engine on the platform's list, engines that are leaving marked so.
-    pub fn list_all(&self) {
+    pub fn publish_members(&self) {
         let boxes: Vec<(Peer, bool)> = self.boxes.values().map(|b| (b.peer.clone(), false)).collect();
         let upstreams: Vec<(String, bool)> = self.engines.iter().map(|(_, e)| (e.name().to_owned(), false)).collect();
         // With relays the list would show boxes the way around them.
-        let boxes = if self.plan.relayed { Vec::new() } else { boxes };
-        self.platform.list(&boxes, &upstreams);
+        let boxes = if self.spec.with_relays { Vec::new() } else { boxes };
+        self.platform.set_members(&boxes, &upstreams);
     }
 
     /// Publishes the next release.
@@ -244,32 +244,32 @@
     /// # Errors
     /// When the release has faults.
     pub fn publish(&mut self) -> eyre::Result<u64> {
-        self.release += 1;
-        let release = self.release_of(self.release)?;
+        self.release_number += 1;
+        let release = self.build_release(self.release_number)?;
         self.platform.publish(&release);
-        Ok(self.release)
+        Ok(self.release_number)
     }
 
     /// The release that would be published under `number`.
     ///
     /// # Errors
     /// When the release has faults.
-    pub fn release_of(&self, number: u64) -> eyre::Result<catalog::Release> {
-        let sizes = Sizes {
-            himalkosh: self.plan.himalkosh,
+    pub fn build_release(&self, number: u64) -> eyre::Result<catalog::Release> {
+        let sizes = ReleaseSpec {
+            himalkosh: self.spec.himalkosh,
             engines: &self.engines,
-            plains: &self.plains,
-            slots: self.plan.slots,
+            plain_services: &self.plain_services,
+            slots: self.spec.slots,
             leaving: &self.leaving,
         };
-        lakes(number, &sizes).map_err(|faults| eyre::eyre!("{faults:?}"))
+        build_release(number, &sizes).map_err(|faults| eyre::eyre!("{faults:?}"))
     }
 
     /// Starts a box's process.
     ///
     /// # Errors
     /// When the process can't be started.
-    pub fn run_box(&mut self, name: &str) -> eyre::Result<()> {
+    pub fn start_box(&mut self, name: &str) -> eyre::Result<()> {
         let log = self.folder.path().join(format!("{name}.log"));
         let out = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
         let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("no box {name}"))?;
@@ -288,13 +288,13 @@
     ///
     /// # Errors
     /// When the settings can't be written.
-    pub fn move_box(&mut self, name: &str) -> eyre::Result<()> {
+    pub fn reassign_addresses(&mut self, name: &str) -> eyre::Result<()> {
         let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("no box {name}"))?;
-        process.peer.address = ports::free();
-        process.callers = ports::free();
-        process.operators = ports::free();
+        process.peer.address = ports::free_address();
+        process.callers = ports::free_address();
+        process.operators = ports::free_address();
         self.write_settings()?;
-        self.list_all();
+        self.publish_members();
         Ok(())
     }
 
@@ -322,11 +322,11 @@
     /// Kills a box at once and waits until it is gone.
     pub fn kill(&mut self, name: &str) {
         self.signal(name, Signal::KILL);
-        self.wait(name, Duration::from_secs(5));
+        self.wait_for_exit(name, Duration::from_secs(5));
     }
 
     /// Waits for a box's process to end; its exit status, if it did in time.
-    pub fn wait(&mut self, name: &str, most: Duration) -> Option<i32> {
+    pub fn wait_for_exit(&mut self, name: &str, most: Duration) -> Option<i32> {
         let began = Instant::now();
         let child = self.boxes.get_mut(name)?.child.as_mut()?;
         while began.elapsed() < most {
@@ -348,11 +348,11 @@
     }
 
     /// Waits until `fits` holds for the state of every running box.
-    pub async fn until(&self, most: Duration, fits: impl Fn(&Status) -> bool) -> bool {
+    pub async fn wait_until(&self, most: Duration, fits: impl Fn(&Status) -> bool) -> bool {
         let began = Instant::now();
         while began.elapsed() < most {
             let mut all = true;
-            for name in self.running() {
+            for name in self.running_boxes() {
                 all &= self.status(&name).await.is_some_and(|s| fits(&s));
             }
             if all {
@@ -364,22 +364,24 @@
     }
 
     /// Waits until every running box is ready with the release last published and sees all the others.
-    pub async fn settled(&self, most: Duration) -> bool {
-        let others = self.running().len() - 1;
-        self.until(most, |s| {
-            s.ready && s.release >= self.release && s.peers.iter().filter(|p| p.state == "alive").count() >= others
+    pub async fn wait_until_ready(&self, most: Duration) -> bool {
+        let others = self.running_boxes().len() - 1;
+        self.wait_until(most, |s| {
+            s.ready
+                && s.release >= self.release_number
+                && s.peers.iter().filter(|p| p.state == "alive").count() >= others
         })
         .await
     }
 
     /// Names of the boxes that were started and not waited for.
     #[must_use]
-    pub fn running(&self) -> Vec<String> {
+    pub fn running_boxes(&self) -> Vec<String> {
         self.boxes.iter().filter(|(_, b)| b.child.is_some()).map(|(name, _)| name.clone()).collect()
     }
 
     /// Forgets a box's ended process, so that it no longer counts as running.
-    pub fn forget(&mut self, name: &str) {
+    pub fn forget_process(&mut self, name: &str) {
         if let Some(process) = self.boxes.get_mut(name) {
             process.child = None;
         }
@@ -387,13 +389,13 @@
 
     /// Where callers come, of every running box.
     #[must_use]
-    pub fn doors(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         self.boxes.values().filter(|b| b.child.is_some()).map(|b| b.callers).collect()
     }
 
     /// The owner of the shard that serves `serves` in `hall`, by its own word.
-    pub async fn owner(&self, hall: &str, serves: &str) -> Option<String> {
-        for name in self.running() {
+    pub async fn shard_owner(&self, hall: &str, serves: &str) -> Option<String> {
+        for name in self.running_boxes() {
             let status = self.status(&name).await;
             let owns = |s: &Status| s.shards.iter().any(|row| row.hall == hall && row.serves == serves);
             if status.is_some_and(|s| owns(&s)) {
@@ -404,20 +406,20 @@
     }
 
     /// Sets every relay between two halls, both ways.
-    pub fn relay_halls(&self, one: &str, other: &str, mode: crate::Mode) {
+    pub fn set_relays_between(&self, one: &str, other: &str, mode: crate::RelayMode) {
         let hall = |name: &String| self.boxes[name].peer.hall.as_str();
         for ((from, to), relay) in &self.relays {
             let between = (hall(from) == one && hall(to) == other) || (hall(from) == other && hall(to) == one);
             if between {
-                relay.set(mode);
+                relay.set_mode(mode);
             }
         }
     }
 
     /// Broken invariants that all running boxes counted.
-    pub async fn broken(&self) -> u64 {
+    pub async fn invariant_violations(&self) -> u64 {
         let mut sum = 0;
-        for name in self.running() {
+        for name in self.running_boxes() {
             sum += self.status(&name).await.map_or(0, |s| s.broken);
         }
         sum
@@ -425,7 +427,7 @@
 
     /// Tokens that all engines generated.
     #[must_use]
-    pub fn generated(&self) -> u64 {
+    pub fn generated_tokens(&self) -> u64 {
         self.engines.iter().map(|(_, e)| e.tokens()).sum()
     }
 }
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -1,6 +1,6 @@
 //! A stand-in for a model engine.
 
-use crate::{answer, Serving};
+use crate::{answer_tokens, StandInServer};
 use actix_web::web::{self, Bytes, Data, Json, ServiceConfig};
 use actix_web::{HttpRequest, HttpResponse};
 use serde_json::{json, Value};
@@ -31,18 +31,18 @@
     /// Milliseconds before the first token.
     pub prefill_ms: u64,
     /// How old its load report is, in milliseconds.
-    pub lag_ms: u64,
+    pub report_lag_ms: u64,
 }
 
 /// What the engine did for one prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Run {
+pub struct PromptRuns {
     /// How often it was begun from the first token.
     pub starts: u32,
     /// How often it was resumed.
     pub resumes: u32,
     /// How often the whole answer was sent.
-    pub whole: u32,
+    pub completed: u32,
     /// Tokens generated.
     pub tokens: u64,
 }
@@ -52,7 +52,7 @@
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
     next: u64,
     cache: VecDeque<Vec<u8>>,
-    runs: HashMap<String, Run>,
+    runs: HashMap<String, PromptRuns>,
     reports: VecDeque<(Instant, u32, u32)>,
 }
 
@@ -72,7 +72,7 @@
 #[derive(Clone)]
 pub struct Engine {
     inner: Arc<Inner>,
-    serving: Arc<Serving>,
+    serving: Arc<StandInServer>,
 }
 
 /// A place in the batch, freed when dropped.
@@ -113,7 +113,7 @@
             life: AtomicU64::new(0),
             tokens: AtomicU64::new(0),
         });
-        let serving = Arc::new(Serving::start(routes(&inner)));
+        let serving = Arc::new(StandInServer::start(routes(&inner)));
         Self { inner, serving }
     }
 
@@ -130,17 +130,17 @@
     }
 
     /// Takes `percent` of the usual time for each token from now on.
-    pub fn slow(&self, percent: u32) {
+    pub fn set_token_time_percent(&self, percent: u32) {
         self.inner.slowness.store(percent, Ordering::Relaxed);
     }
 
     /// Stops or goes on generating; connections stay.
-    pub fn freeze(&self, frozen: bool) {
+    pub fn set_frozen(&self, frozen: bool) {
         self.inner.frozen.store(frozen, Ordering::Relaxed);
     }
 
     /// Says in its report that it is leaving, or no longer.
-    pub fn leave(&self, leaving: bool) {
+    pub fn set_leaving(&self, leaving: bool) {
         self.inner.leaving.store(leaving, Ordering::Relaxed);
     }
 
@@ -157,7 +157,7 @@
 
     /// What it did for the prompt `text`.
     #[must_use]
-    pub fn run_of(&self, text: &str) -> Run {
+    pub fn runs_of(&self, text: &str) -> PromptRuns {
         self.inner.batch.lock().expect("no thread died").runs.get(text).copied().unwrap_or_default()
     }
 
@@ -176,13 +176,13 @@
 
     /// Requests in its batch now.
     #[must_use]
-    pub fn running(&self) -> u32 {
+    pub fn running_requests(&self) -> u32 {
         self.inner.batch.lock().expect("no thread died").running
     }
 
     /// Most starts of any one prompt.
     #[must_use]
-    pub fn most_starts(&self) -> u32 {
+    pub fn max_starts(&self) -> u32 {
         let batch = self.inner.batch.lock().expect("no thread died");
         batch.runs.values().map(|run| run.starts).max().unwrap_or(0)
     }
@@ -205,7 +205,7 @@
     let now = Instant::now();
     let present = (now, batch.running, batch.waiting.len() as u32);
     batch.reports.push_back(present);
-    let lag = Duration::from_millis(inner.spec.lag_ms);
+    let lag = Duration::from_millis(inner.spec.report_lag_ms);
     while batch.reports.len() > 1 && now.duration_since(batch.reports[1].0) >= lag {
         batch.reports.pop_front();
     }
@@ -225,7 +225,7 @@
     let text = text_of(&body);
     let most = body["max_tokens"].as_u64().unwrap_or(64) as u32;
     let resume = body["resume"]["tokens"].as_u64().unwrap_or(0) as usize;
-    let tokens = answer(&text, most);
+    let tokens = answer_tokens(&text, most);
     let known: String = tokens.iter().take(resume).map(String::as_str).collect();
     if resume > 0 && body["resume"]["text"].as_str() != Some(&known) {
         return HttpResponse::BadRequest().json(json!({"error": {"message": "resume doesn't fit"}}));
@@ -346,13 +346,13 @@
         state.count(|run| run.tokens += 1);
         return Some((Ok(Bytes::from(event)), Some(state)));
     }
-    state.count(|run| run.whole += 1);
+    state.count(|run| run.completed += 1);
     let last = format!("{}data: [DONE]\n\n", state.shape.event("", Some("stop")));
     Some((Ok(Bytes::from(last)), None))
 }
 
 impl Generation {
-    fn count(&self, change: impl FnOnce(&mut Run)) {
+    fn count(&self, change: impl FnOnce(&mut PromptRuns)) {
         let mut batch = self.inner.batch.lock().expect("no thread died");
         change(batch.runs.entry(self.text.clone()).or_default());
     }
--- a/crates/lab/src/example.rs
+++ b/crates/lab/src/example_release.rs
@@ -1,6 +1,6 @@
 //! The users' deployments of today as files, with the stand-ins' addresses filled in.
 
-use crate::{Engine, Plain};
+use crate::{Engine, PlainService};
 use catalog::{ApiKeyHasher, Digest, Fault, Release};
 use std::fmt::Write as _;
 
@@ -8,13 +8,13 @@
 const HIMALKOSH_CLASSES: &str = include_str!("../../../examples/himalkosh/classes.toml");
 
 /// Which of the two users' classes, and what stands behind the boxes.
-pub struct Sizes<'a> {
+pub struct ReleaseSpec<'a> {
     /// Himalkosh's classes instead of the oversight agency's.
     pub himalkosh: bool,
     /// Engines with the hall of each.
     pub engines: &'a [(String, Engine)],
     /// Plain services: hall, service name, stand-in.
-    pub plains: &'a [(String, String, Plain)],
+    pub plain_services: &'a [(String, String, PlainService)],
     /// Slots by the file, of each engine.
     pub slots: u32,
     /// Names of engines that the file says are leaving.
@@ -40,12 +40,12 @@
 
 /// The API key of a customer of [`lakes`].
 #[must_use]
-pub fn key_of(customer: &str) -> String {
+pub fn api_key(customer: &str) -> String {
     format!("key-of-{customer}-0123456789")
 }
 
 /// The names of the customers of [`lakes`].
-pub fn customers() -> impl Iterator<Item = &'static str> {
+pub fn customer_names() -> impl Iterator<Item = &'static str> {
     CUSTOMERS.iter().map(|(name, _, _)| *name)
 }
 
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// Every fault; none unless the stand-ins' names clash.
-pub fn lakes(number: u64, sizes: &Sizes<'_>) -> Result<Release, Vec<Fault>> {
+pub fn build_release(number: u64, sizes: &ReleaseSpec<'_>) -> Result<Release, Vec<Fault>> {
     let classes = if sizes.himalkosh { HIMALKOSH_CLASSES } else { LAKES_CLASSES };
     Release::pack(number, classes, &customers_file(classes), &upstreams_file(sizes))
 }
@@ -65,7 +65,7 @@
     let key = ApiKeyHasher::new(salt);
     let mut text = String::new();
     for (name, weight, concurrent) in CUSTOMERS {
-        let hash: Digest = key.hash(&key_of(name));
+        let hash: Digest = key.hash(&api_key(name));
         // Writing to a String can't fail.
         let _ = write!(
             text,
@@ -75,9 +75,9 @@
     text
 }
 
-fn upstreams_file(sizes: &Sizes<'_>) -> String {
+fn upstreams_file(sizes: &ReleaseSpec<'_>) -> String {
     let mut text = String::new();
-    let mut services: Vec<&str> = sizes.plains.iter().map(|(_, service, _)| service.as_str()).collect();
+    let mut services: Vec<&str> = sizes.plain_services.iter().map(|(_, service, _)| service.as_str()).collect();
     services.sort_unstable();
     services.dedup();
     for service in services {
@@ -93,7 +93,7 @@
             sizes.slots
         );
     }
-    for (hall, service, plain) in sizes.plains {
+    for (hall, service, plain) in sizes.plain_services {
         let _ = write!(
             text,
             "[[upstream]]\nname = \"{}\"\nhall = \"{hall}\"\nservice = \"{service}\"\naddress = \"{}\"\nslots = 64\n\n",
--- a/crates/lab/src/exchange.rs
+++ b/crates/lab/src/exchange.rs
@@ -1,7 +1,7 @@
 //! What boxes and a shard's owner say to each other for each request: the real code of all of them in
 //! virtual time, without a network.
 
-use crate::ownerlet::layout;
+use crate::owner_benchmark::layout;
 use catalog::{BoxId, ClassId, CustomerId};
 use cleatshelf::Envelope;
 use policy::{Acquire, Action, Broker, Cause, Message, Report, SchedulingMode, Time};
@@ -31,22 +31,22 @@
     /// Slots of each of the twelve servers.
     pub slots: usize,
     /// Requests a second, over all boxes.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// How long answers take, in milliseconds.
     pub length_ms: Range<u64>,
     /// Beginnings of prompts, all as often; 0 is for prompts too short to have one.
     pub prefixes: u32,
     /// How long it goes on before it is looked at, in seconds.
-    pub warm_s: u64,
+    pub warmup_s: u64,
     /// How long it is looked at, in seconds.
-    pub seconds: u64,
+    pub duration_s: u64,
 }
 
 impl Default for Exchange {
     /// Today's slots, two thirds of them in use.
     fn default() -> Self {
         let (slots, length_ms) = (8, 500..2_500);
-        Self { boxes: 8, slots, rate: 43.0, length_ms, prefixes: 1, warm_s: 5, seconds: 20 }
+        Self { boxes: 8, slots, requests_per_s: 43.0, length_ms, prefixes: 1, warmup_s: 5, duration_s: 20 }
     }
 }
 
@@ -55,16 +55,16 @@
     #[must_use]
     pub fn planned() -> Self {
         let length_ms = 10_000..35_000;
-        Self { boxes: 27, slots: 200, rate: 95.0, length_ms, prefixes: 8, warm_s: 60, seconds: 30 }
+        Self { boxes: 27, slots: 200, requests_per_s: 95.0, length_ms, prefixes: 8, warmup_s: 60, duration_s: 30 }
     }
 
     /// Runs it.
     #[must_use]
-    pub fn run(&self, seed: u64) -> Exchanged {
+    pub fn run(&self, seed: u64) -> ExchangeStats {
         let mut world = World::new(self, seed);
-        for step in 0..(self.warm_s + self.seconds) * 1_000 / STEP_MS {
-            if step == self.warm_s * 1_000 / STEP_MS {
-                world.seen = Exchanged::default();
+        for step in 0..(self.warmup_s + self.duration_s) * 1_000 / STEP_MS {
+            if step == self.warmup_s * 1_000 / STEP_MS {
+                world.seen = ExchangeStats::default();
             }
             world.step(self, step);
         }
@@ -74,7 +74,7 @@
 
 /// What was seen.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Exchanged {
+pub struct ExchangeStats {
     /// Requests that boxes were asked for.
     pub requests: u64,
     /// Messages between boxes.
@@ -85,16 +85,16 @@
     pub refused: u64,
 }
 
-impl Exchanged {
+impl ExchangeStats {
     /// Messages for each request.
     #[must_use]
-    pub fn messages_each(&self) -> f64 {
+    pub fn messages_per_request(&self) -> f64 {
         self.messages as f64 / self.requests.max(1) as f64
     }
 
     /// Bytes of frames for each request.
     #[must_use]
-    pub fn bytes_each(&self) -> f64 {
+    pub fn bytes_per_request(&self) -> f64 {
         self.bytes as f64 / self.requests.max(1) as f64
     }
 }
@@ -108,7 +108,7 @@
     /// When which box's request ends.
     ends: Vec<(Time, usize, u64)>,
     length_ms: Range<u64>,
-    seen: Exchanged,
+    seen: ExchangeStats,
 }
 
 impl World {
@@ -124,7 +124,7 @@
             mail: Vec::new(),
             ends: Vec::new(),
             length_ms: exchange.length_ms.clone(),
-            seen: Exchanged::default(),
+            seen: ExchangeStats::default(),
         };
         let layout = layout(SERVERS, exchange.slots, CLASSES);
         let view = BTreeMap::from([("h".to_owned(), ids)]);
@@ -163,7 +163,7 @@
             let actions = self.brokers[target].receive(self.ids[from], message, self.now);
             self.take(target, actions);
         }
-        if self.random.random_bool((exchange.rate * STEP_MS as f64 / 1_000.0).min(1.0)) {
+        if self.random.random_bool((exchange.requests_per_s * STEP_MS as f64 / 1_000.0).min(1.0)) {
             self.request(exchange);
         }
         self.end_some();
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -12,20 +12,20 @@
 const DRAWN_MACHINES: usize = 400;
 
 /// What an experiment brought.
-pub struct Results {
+pub struct ExperimentResults {
     /// Each play.
     pub played: Vec<Played>,
     /// Each arm beside the first.
     pub compared: Vec<Compared>,
     /// How long all plays took together, in seconds; no part of what repeats.
-    pub seconds: f64,
+    pub elapsed_s: f64,
 }
 
 /// Runs the experiment of a file on half of the machine's cores, with a progress bar.
 ///
 /// # Errors
 /// When a file can't be read or has faults.
-pub fn run_experiment(file: &Path) -> eyre::Result<Results> {
+pub fn run_experiment(file: &Path) -> eyre::Result<ExperimentResults> {
     let experiment = Experiment::parse(&file.display().to_string(), &read(file)?).map_err(|faults| all(&faults))?;
     let folder = file.parent().unwrap_or(Path::new("."));
     let deployments: Vec<Deployment> =
@@ -38,7 +38,7 @@
     let played = pool.install(|| experiment.play(&deployments, &|| bar.inc(1)));
     bar.finish_and_clear();
     let compared = experiment.compare(&played);
-    Ok(Results { played, compared, seconds: began.elapsed().as_secs_f64() })
+    Ok(ExperimentResults { played, compared, elapsed_s: began.elapsed().as_secs_f64() })
 }
 
 fn deployment(experiment: &Experiment, source: &Source, folder: &Path) -> eyre::Result<Deployment> {
@@ -65,16 +65,16 @@
 ///
 /// # Errors
 /// When it can't be written as a text.
-pub fn drawn(seed: u64) -> eyre::Result<String> {
+pub fn draw_deployment(seed: u64) -> eyre::Result<String> {
     Ok(Deployment::draw(seed, DRAWN_SECONDS, DRAWN_MACHINES).to_text()?)
 }
 
-impl Results {
+impl ExperimentResults {
     /// A line for each play, and one for each arm; the same for the same file.
     ///
     /// # Errors
     /// When a figure can't be written.
-    pub fn lines(&self) -> eyre::Result<String> {
+    pub fn json_lines(&self) -> eyre::Result<String> {
         let mut lines = String::new();
         for played in &self.played {
             writeln!(lines, "{}", serde_json::to_string(played)?)?;
@@ -112,7 +112,7 @@
                 outcomes().map(|outcome| outcome.moved_tokens).sum::<u64>() as f64 / 1e6,
             );
         }
-        let _ = writeln!(table, "{} plays in {:.1} s", self.played.len(), self.seconds);
+        let _ = writeln!(table, "{} plays in {:.1} s", self.played.len(), self.elapsed_s);
         table
     }
 }
--- a/crates/lab/src/fleetrun.rs
+++ b/crates/lab/src/fleet_measurement.rs
@@ -1,8 +1,8 @@
 //! The fleet on real processes: how fast releases are in force, what an idle box costs, and what callers
 //! see of a killed owner.
 
-use crate::client::{Caller, Stop};
-use crate::{Deployment, Mode, Plan};
+use crate::client::{Caller, Outcome};
+use crate::{Deployment, DeploymentSpec, RelayMode};
 use serde::Serialize;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -25,7 +25,7 @@
 
 /// What was measured.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct FleetRun {
+pub struct FleetReport {
     /// Boxes.
     pub boxes: usize,
     /// Milliseconds from publishing to in force on the last box: half, 99 in 100, worst.
@@ -53,13 +53,13 @@
 async fn publish(deployment: &mut Deployment) -> eyre::Result<u64> {
     let began = Instant::now();
     let number = deployment.publish()?;
-    if !deployment.until(MOST, |s| s.release >= number).await {
+    if !deployment.wait_until(MOST, |s| s.release >= number).await {
         eyre::bail!("release {number} is not in force everywhere");
     }
     Ok(began.elapsed().as_millis() as u64)
 }
 
-async fn idle(deployment: &Deployment, run: &mut FleetRun) {
+async fn idle(deployment: &Deployment, run: &mut FleetReport) {
     let sums = |statuses: &[cleatshelf::Status]| {
         let bytes: u64 = statuses.iter().map(|s| s.sent_bytes).sum();
         let messages: u64 = statuses.iter().map(|s| s.sent_messages).sum();
@@ -76,16 +76,16 @@
 
 async fn all(deployment: &Deployment) -> Vec<cleatshelf::Status> {
     let mut statuses = Vec::new();
-    for name in deployment.running() {
+    for name in deployment.running_boxes() {
         statuses.extend(deployment.status(&name).await);
     }
     statuses
 }
 
 /// Kills the owner of the first hall's engines under hotline calls and starts it again.
-async fn kill_owner(deployment: &mut Deployment, run: &mut FleetRun) -> eyre::Result<()> {
-    let hall = deployment.plan.halls[0].0.clone();
-    let owner = deployment.owner(&hall, crate::MODEL).await.ok_or_else(|| eyre::eyre!("no owner"))?;
+async fn kill_owner(deployment: &mut Deployment, run: &mut FleetReport) -> eyre::Result<()> {
+    let hall = deployment.spec.halls[0].0.clone();
+    let owner = deployment.shard_owner(&hall, crate::MODEL).await.ok_or_else(|| eyre::eyre!("no owner"))?;
     let near = deployment.boxes.values().filter(|b| b.peer.hall == hall && b.peer.name != owner);
     let doors: Vec<_> = near.map(|b| b.callers).collect();
     let mut calls = Vec::new();
@@ -93,9 +93,13 @@
         let door = doors[i as usize % doors.len()];
         calls.push(actix_rt::spawn(async move {
             let sent = Instant::now();
-            let reply = Caller::new("large-1").class("hotline").once().ask(door, &format!("failover {i}"), 8).await;
+            let reply = Caller::new("large-1")
+                .class("hotline")
+                .non_repeatable()
+                .complete(door, &format!("failover {i}"), 8)
+                .await;
             let first = reply.times.first().map(|at| at.duration_since(sent).as_millis() as u64);
-            first.filter(|_| reply.stop == Stop::Whole)
+            first.filter(|_| reply.outcome == Outcome::Complete)
         }));
         if i == CALLS / 3 {
             deployment.kill(&owner);
@@ -110,8 +114,8 @@
         }
     }
     run.failover_worst_ms.push(worst);
-    deployment.run_box(&owner)?;
-    if !deployment.settled(MOST).await {
+    deployment.start_box(&owner)?;
+    if !deployment.wait_until_ready(MOST).await {
         eyre::bail!("the boxes did not become ready again");
     }
     Ok(())
@@ -121,25 +125,25 @@
 ///
 /// # Errors
 /// When boxes can't be started or don't become ready.
-pub async fn fleet_run(program: &Path) -> eyre::Result<FleetRun> {
-    let plan = Plan { relayed: true, ..Plan::default() };
+pub async fn measure_fleet(program: &Path) -> eyre::Result<FleetReport> {
+    let plan = DeploymentSpec { with_relays: true, ..DeploymentSpec::default() };
     let mut deployment = Deployment::start(plan, program)?;
-    if !deployment.settled(MOST).await {
+    if !deployment.wait_until_ready(MOST).await {
         eyre::bail!("the boxes did not become ready");
     }
-    let mut run = FleetRun { boxes: deployment.boxes.len(), ..FleetRun::default() };
+    let mut run = FleetReport { boxes: deployment.boxes.len(), ..FleetReport::default() };
     idle(&deployment, &mut run).await;
     let mut times = Vec::new();
     for _ in 0..RELEASES {
         times.push(publish(&mut deployment).await?);
     }
     run.in_force_ms = summary(std::mem::take(&mut times));
-    deployment.platform_relays[&deployment.plan.halls[0].0].set(Mode::Cut);
+    deployment.platform_relays[&deployment.spec.halls[0].0].set_mode(RelayMode::Cut);
     for _ in 0..RELEASES {
         times.push(publish(&mut deployment).await?);
     }
     run.through_peers_ms = summary(times);
-    deployment.platform_relays[&deployment.plan.halls[0].0].set(Mode::Pass(0));
+    deployment.platform_relays[&deployment.spec.halls[0].0].set_mode(RelayMode::Pass(0));
     for _ in 0..DEATHS {
         kill_owner(&mut deployment, &mut run).await?;
     }
--- a/crates/lab/src/fleetlet.rs
+++ b/crates/lab/src/fleet_simulation.rs
@@ -23,21 +23,21 @@
 
 /// What one run showed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Outcome {
+pub struct FleetOutcome {
     /// Publishing to in force, half of the boxes.
-    pub half_ms: f64,
+    pub p50_ms: f64,
     /// Publishing to in force, 99 in 100.
-    pub most_ms: f64,
+    pub p99_ms: f64,
     /// Publishing to in force, the last box.
-    pub last_ms: f64,
+    pub max_ms: f64,
     /// The same with one hall cut from the platform.
-    pub cut_ms: f64,
+    pub hall_cut_ms: f64,
     /// Bytes a second and box, nothing changing.
-    pub quiet_bytes: f64,
+    pub idle_bytes: f64,
     /// Messages a second and box, nothing changing.
-    pub quiet_messages: f64,
+    pub idle_messages: f64,
     /// Processor microseconds a second and box, nothing changing.
-    pub quiet_micros: f64,
+    pub idle_micros: f64,
     /// A box's death to the last of its hall knowing.
     pub death_ms: f64,
     /// Bytes a second and box while one dies.
@@ -253,7 +253,7 @@
 
 /// One run with `boxes` boxes in `halls` halls.
 #[must_use]
-pub fn run(boxes: usize, halls: usize, seed: u64) -> Outcome {
+pub fn run(boxes: usize, halls: usize, seed: u64) -> FleetOutcome {
     const QUIET_MS: u64 = 5_000;
     let halls = halls.min(boxes / 2).max(1);
     let mut fleet = Fleet::new(boxes, halls, seed);
@@ -263,15 +263,15 @@
     let began = Instant::now();
     fleet.run(QUIET_MS);
     let share = boxes as f64 * QUIET_MS as f64 / 1e3;
-    let mut outcome = Outcome {
-        quiet_micros: began.elapsed().as_secs_f64() * 1e6 / share,
-        quiet_bytes: fleet.bytes as f64 / share,
-        quiet_messages: fleet.messages as f64 / share,
-        ..Outcome::default()
+    let mut outcome = FleetOutcome {
+        idle_micros: began.elapsed().as_secs_f64() * 1e6 / share,
+        idle_bytes: fleet.bytes as f64 / share,
+        idle_messages: fleet.messages as f64 / share,
+        ..FleetOutcome::default()
     };
-    (outcome.half_ms, outcome.most_ms, outcome.last_ms) = fleet.publish(release(2, CUSTOMERS, 1));
+    (outcome.p50_ms, outcome.p99_ms, outcome.max_ms) = fleet.publish(release(2, CUSTOMERS, 1));
     fleet.nodes.iter_mut().filter(|n| n.peer.hall == "hall-0").for_each(|n| n.platform = false);
-    (_, _, outcome.cut_ms) = fleet.publish(release(3, CUSTOMERS, 2));
+    (_, _, outcome.hall_cut_ms) = fleet.publish(release(3, CUSTOMERS, 2));
     fleet.run(2_000);
     fleet.bytes = 0;
     outcome.death_ms = fleet.death_ms();
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -1,8 +1,8 @@
 //! Open-loop load: requests come when they come, however slow the answers are.
 
-use crate::client::{Caller, Reply, Stop};
-use crate::example::customers;
-use crate::{answer, Profile, Report, Row, Stream};
+use crate::client::{Caller, Outcome, Reply};
+use crate::example_release::customer_names;
+use crate::{answer_tokens, ClassReport, LoadReport, Profile, RequestStream};
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,19 +13,19 @@
 use std::time::{Duration, Instant};
 
 /// A run of load against some boxes.
-pub struct Load<'a> {
+pub struct LoadRun<'a> {
     /// What the report is called.
     pub name: &'a str,
     /// The profile.
     pub profile: &'a Profile,
     /// Where callers come; asked at random, as a balancer would.
-    pub doors: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// Shows progress on standard error.
     pub progress: bool,
 }
 
 struct Tally {
-    row: Row,
+    row: ClassReport,
     first: Histogram<u64>,
     between: Histogram<u64>,
     tokens_whole: u64,
@@ -37,7 +37,7 @@
     fn new(class: &str) -> Self {
         let histogram = || Histogram::new_with_max(3_600_000, 3).expect("valid bounds");
         Self {
-            row: Row { class: class.to_owned(), ..Row::default() },
+            row: ClassReport { class: class.to_owned(), ..ClassReport::default() },
             first: histogram(),
             between: histogram(),
             tokens_whole: 0,
@@ -46,7 +46,7 @@
         }
     }
 
-    fn close(mut self) -> (Row, Self) {
+    fn close(mut self) -> (ClassReport, Self) {
         let at = |h: &Histogram<u64>, q| h.value_at_quantile(q);
         self.row.first_ms = (at(&self.first, 0.5), at(&self.first, 0.99), self.first.max());
         self.row.between_p95_ms = at(&self.between, 0.95) as f64 / 10.0;
@@ -58,7 +58,7 @@
 
 /// One intended request.
 struct Shot {
-    stream: Rc<Stream>,
+    stream: Rc<RequestStream>,
     caller: Caller,
     prompt: String,
     doors: Rc<Vec<SocketAddr>>,
@@ -67,9 +67,9 @@
 }
 
 /// Runs the load and waits for its answers; wasted work and broken invariants are the caller's to add.
-pub async fn run_load(load: Load<'_>) -> Report {
+pub async fn run_load(load: LoadRun<'_>) -> LoadReport {
     let began = Instant::now();
-    let doors = Rc::new(load.doors);
+    let doors = Rc::new(load.addresses);
     let mut tallies = Vec::new();
     let mut feeds = Vec::new();
     for (index, stream) in load.profile.streams.iter().enumerate() {
@@ -109,8 +109,8 @@
     sum_up(load.name, load.profile, &tallies)
 }
 
-fn sum_up(name: &str, profile: &Profile, tallies: &[Shared]) -> Report {
-    let mut report = Report { name: name.to_owned(), seconds: profile.seconds, ..Report::default() };
+fn sum_up(name: &str, profile: &Profile, tallies: &[Shared]) -> LoadReport {
+    let mut report = LoadReport { name: name.to_owned(), seconds: profile.seconds, ..LoadReport::default() };
     let mut codes: BTreeMap<String, u64> = BTreeMap::new();
     let mut tokens_in_time = 0;
     for tally in tallies {
@@ -130,9 +130,16 @@
     report
 }
 
-async fn feed(stream: Rc<Stream>, seed: u64, seconds: f64, doors: Rc<Vec<SocketAddr>>, tally: Shared, began: Instant) {
+async fn feed(
+    stream: Rc<RequestStream>,
+    seed: u64,
+    seconds: f64,
+    doors: Rc<Vec<SocketAddr>>,
+    tally: Shared,
+    began: Instant,
+) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let names: Vec<&str> = customers().filter(|c| *c != "limited").collect();
+    let names: Vec<&str> = customer_names().filter(|c| *c != "limited").collect();
     // Connections are kept by customer, as a customer's own client would.
     let callers: Vec<Caller> = names.iter().map(|name| Caller::new(name).class(&stream.class)).collect();
     let mut at = 0.0;
@@ -156,8 +163,8 @@
         prompt.extend(std::iter::repeat_n('x', stream.prompt_bytes.saturating_sub(prompt.len())));
         count += 1;
         let mut caller = callers[index].clone();
-        if stream.once {
-            caller = caller.once().key(&uuid::Uuid::now_v7().to_string());
+        if stream.non_repeatable {
+            caller = caller.non_repeatable().key(&uuid::Uuid::now_v7().to_string());
         }
         let shot = Shot {
             stream: Rc::clone(&stream),
@@ -177,10 +184,10 @@
     loop {
         let door = shot.doors[shot.random.random_range(0..shot.doors.len())];
         let reply = match &shot.stream.service {
-            None => shot.caller.ask(door, &shot.prompt, shot.stream.tokens).await,
+            None => shot.caller.complete(door, &shot.prompt, shot.stream.max_tokens).await,
             Some(service) => {
                 let path = format!("/services/{service}/records/{}", shot.prompt.trim_end_matches('x').trim_end());
-                shot.caller.call(door, "GET", &path, "").await
+                shot.caller.request(door, "GET", &path, "").await
             }
         };
         let wait = match after(&reply, &tally) {
@@ -208,8 +215,8 @@
 }
 
 fn after(reply: &Reply, tally: &Shared) -> Next {
-    let Stop::Refused { code, ran, retry_ms, .. } = &reply.stop else {
-        return if reply.stop == Stop::Unreached { Next::Elsewhere } else { Next::Ended };
+    let Outcome::Refused { code, ran, retry_ms, .. } = &reply.outcome else {
+        return if reply.outcome == Outcome::Unreachable { Next::Elsewhere } else { Next::Ended };
     };
     let mut tally = tally.borrow_mut();
     *tally.codes.entry(code.clone()).or_default() += 1;
@@ -230,9 +237,9 @@
 
 fn ended(shot: &Shot, reply: &Reply, tally: &Shared) {
     let mut tally = tally.borrow_mut();
-    match &reply.stop {
-        Stop::Whole => {}
-        Stop::Refused { ran, .. } if ran == "no" => {
+    match &reply.outcome {
+        Outcome::Complete => {}
+        Outcome::Refused { ran, .. } if ran == "no" => {
             tally.row.refused += 1;
             return;
         }
@@ -243,7 +250,7 @@
     }
     tally.row.whole += 1;
     let right = match &shot.stream.service {
-        None => answer(&shot.prompt, shot.stream.tokens).concat() == reply.text,
+        None => answer_tokens(&shot.prompt, shot.stream.max_tokens).concat() == reply.text,
         Some(_) => reply.text.contains(shot.prompt.trim_end_matches('x').trim_end()),
     };
     tally.row.mismatched += u64::from(!right);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! The lab's command line.
 
 use argh::FromArgs;
-use lab::{compare, plot, run_load, Case, Deployment, Load, Plan, Profile, Report, Soak};
+use lab::{plot, run_case, run_load, ComparisonCase, Deployment, DeploymentSpec, LoadReport, LoadRun, Profile, Soak};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -223,13 +223,13 @@
     Ok(std::env::current_exe()?)
 }
 
-fn plan(himalkosh: bool) -> Plan {
+fn plan(himalkosh: bool) -> DeploymentSpec {
     if !himalkosh {
-        return Plan::default();
+        return DeploymentSpec::default();
     }
     let halls = [("lalitpur-a", 2, 3, 1), ("lalitpur-b", 2, 2, 1), ("bhaktapur", 2, 2, 1), ("kirtipur", 2, 2, 1)];
     let halls = halls.iter().map(|(h, b, e, p)| ((*h).to_owned(), *b, *e, *p)).collect();
-    Plan { halls, himalkosh: true, ..Plan::default() }
+    DeploymentSpec { halls, himalkosh: true, ..DeploymentSpec::default() }
 }
 
 fn parse(file: &str, text: &str, himalkosh: bool) -> eyre::Result<Profile> {
@@ -240,7 +240,7 @@
     })
 }
 
-fn show(report: &Report, json: bool) -> eyre::Result<()> {
+fn show(report: &LoadReport, json: bool) -> eyre::Result<()> {
     if json {
         println!("{}", serde_json::to_string(report)?);
     } else {
@@ -252,26 +252,26 @@
 async fn demo(args: &DemoArgs) -> eyre::Result<()> {
     let profile = parse("demo", DEMO_PROFILE, false)?;
     eprintln!("starting 8 boxes in 3 halls, 9 engines, 3 plain services on loopback");
-    let deployment = Deployment::start(Plan::default(), &program()?)?;
-    if !deployment.settled(Duration::from_secs(20)).await {
+    let deployment = Deployment::start(DeploymentSpec::default(), &program()?)?;
+    if !deployment.wait_until_ready(Duration::from_secs(20)).await {
         eyre::bail!("the boxes did not become ready");
     }
     eprintln!("all boxes are ready; {} s of mixed load with a burst of hotline calls", profile.seconds);
-    let load = Load { name: "demo", profile: &profile, doors: deployment.doors(), progress: true };
+    let load = LoadRun { name: "demo", profile: &profile, addresses: deployment.caller_addresses(), progress: true };
     let mut report = run_load(load).await;
-    lab::account(&mut report, &deployment, 0).await;
+    lab::add_server_totals(&mut report, &deployment, 0).await;
     show(&report, args.json)
 }
 
 async fn up(args: &UpArgs) -> eyre::Result<()> {
-    let deployment = Deployment::start(Plan::default(), &program()?)?;
-    if !deployment.settled(Duration::from_secs(20)).await {
+    let deployment = Deployment::start(DeploymentSpec::default(), &program()?)?;
+    if !deployment.wait_until_ready(Duration::from_secs(20)).await {
         eyre::bail!("the boxes did not become ready");
     }
     for (name, process) in &deployment.boxes {
         println!("{name:<20} callers http://{}  operators http://{}", process.callers, process.operators);
     }
-    println!("API key: {}", lab::key_of("large-1"));
+    println!("API key: {}", lab::api_key("large-1"));
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
         () = tokio::time::sleep(Duration::from_secs(args.seconds)) => {}
@@ -282,8 +282,8 @@
 async fn load(args: &LoadArgs) -> eyre::Result<()> {
     let text = std::fs::read_to_string(&args.profile)?;
     let profile = parse(&args.profile.display().to_string(), &text, args.himalkosh)?;
-    let case = Case { way: args.way.clone(), load: args.load, faults: args.faults };
-    let report = compare(&case, &plan(args.himalkosh), &profile, &program()?).await?;
+    let case = ComparisonCase { scheduling_mode: args.way.clone(), load: args.load, faults: args.faults };
+    let report = run_case(&case, &plan(args.himalkosh), &profile, &program()?).await?;
     show(&report, args.json)
 }
 
@@ -298,8 +298,8 @@
                 continue;
             }
             for way in args.ways.split(',') {
-                let case = Case { way: way.to_owned(), load, faults };
-                let report = compare(&case, &plan(args.himalkosh), &profile, &program()?).await?;
+                let case = ComparisonCase { scheduling_mode: way.to_owned(), load, faults };
+                let report = run_case(&case, &plan(args.himalkosh), &profile, &program()?).await?;
                 println!("\n== {} at load {load}\n{}", report.name, report.table());
                 lines.push_str(&serde_json::to_string(&report)?);
                 lines.push('\n');
@@ -311,18 +311,18 @@
 }
 
 async fn measure_fleet() -> eyre::Result<()> {
-    println!("{}", serde_json::to_string_pretty(&lab::fleet_run(&program()?).await?)?);
+    println!("{}", serde_json::to_string_pretty(&lab::measure_fleet(&program()?).await?)?);
     Ok(())
 }
 
 async fn measure_overhead() -> eyre::Result<()> {
-    let overhead = lab::overhead(&program()?).await?;
+    let overhead = lab::measure_overhead(&program()?).await?;
     println!("{}", serde_json::to_string_pretty(&overhead)?);
     Ok(())
 }
 
 fn measure_slopes(args: &SlopesArgs) -> eyre::Result<()> {
-    let slopes = lab::slopes(args.only.as_deref()).map_err(|why| eyre::eyre!(why))?;
+    let slopes = lab::measure_slopes(args.only.as_deref()).map_err(|why| eyre::eyre!(why))?;
     if args.json {
         println!("{}", serde_json::to_string(&slopes)?);
     } else {
@@ -332,32 +332,32 @@
 }
 
 async fn soak(args: &SoakArgs) -> eyre::Result<()> {
-    let soak = Soak { seed: args.seed, length: Duration::from_secs(args.seconds) };
+    let soak = Soak { seed: args.seed, duration: Duration::from_secs(args.seconds) };
     let soaked = soak.run(&program()?).await?;
     println!("{}", serde_json::to_string_pretty(&soaked)?);
-    if soaked.wrongs.is_empty() {
+    if soaked.violations.is_empty() {
         Ok(())
     } else {
-        eyre::bail!("{} things that must never happen", soaked.wrongs.len())
+        eyre::bail!("{} things that must never happen", soaked.violations.len())
     }
 }
 
 fn experiment(args: &ExperimentArgs) -> eyre::Result<()> {
     let results = lab::run_experiment(&args.file)?;
     if let Some(out) = &args.out {
-        std::fs::write(out, results.lines()?)?;
+        std::fs::write(out, results.json_lines()?)?;
     }
     print!("{}", results.table());
     Ok(())
 }
 
 fn draw(args: &DrawArgs) -> eyre::Result<()> {
-    print!("{}", lab::drawn(args.seed)?);
+    print!("{}", lab::draw_deployment(args.seed)?);
     Ok(())
 }
 
 fn draw_plot(args: &PlotArgs) -> eyre::Result<()> {
     let text = std::fs::read_to_string(&args.from)?;
-    let reports: Vec<Report> = text.lines().map(serde_json::from_str).collect::<Result<_, _>>()?;
+    let reports: Vec<LoadReport> = text.lines().map(serde_json::from_str).collect::<Result<_, _>>()?;
     plot(&reports, &args.class, &args.out)
 }
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -1,8 +1,8 @@
 //! What a box adds: time to the first token, time for each token, and processor time, against calling
 //! the engine stand-in directly in the same run.
 
-use crate::client::{Caller, Reply, Stop};
-use crate::{Deployment, Plan};
+use crate::client::{Caller, Outcome, Reply};
+use crate::{Deployment, DeploymentSpec};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -64,7 +64,7 @@
     }
 
     fn take(&mut self, sent: Instant, reply: &Reply) {
-        if reply.stop != Stop::Whole || reply.times.is_empty() {
+        if reply.outcome != Outcome::Complete || reply.times.is_empty() {
             return;
         }
         let first = reply.times[0];
@@ -99,9 +99,9 @@
     direct: &mut Way,
     through: &mut Way,
 ) -> (f64, u64, u64, u32) {
-    let door = deployment.doors()[0];
+    let door = deployment.caller_addresses()[0];
     let engines: Vec<SocketAddr> = deployment.engines.iter().map(|(_, e)| e.address()).collect();
-    let name = deployment.running()[0].clone();
+    let name = deployment.running_boxes()[0].clone();
     let pid = deployment.pid(&name).unwrap_or(0);
     let caller = Caller::new("large-1").class("contract-check");
     let (began, before) = (Instant::now(), cpu_seconds(pid));
@@ -117,7 +117,7 @@
             tasks.push(actix_rt::spawn(async move {
                 let sent = Instant::now();
                 // The same prompt both ways, so that both answers are of the same length.
-                (is_direct, sent, caller.ask(to, &format!("overhead {tokens} {i}"), tokens).await)
+                (is_direct, sent, caller.complete(to, &format!("overhead {tokens} {i}"), tokens).await)
             }));
         }
         if i % RATE == 0 {
@@ -138,7 +138,7 @@
 async fn requests_per_second(deployment: &Deployment) -> f64 {
     const CALLERS: usize = 64;
     const LENGTH: Duration = Duration::from_secs(5);
-    let door = deployment.doors()[0];
+    let door = deployment.caller_addresses()[0];
     let began = Instant::now();
     let callers: Vec<_> = (0..CALLERS)
         .map(|_| {
@@ -146,8 +146,8 @@
                 let caller = Caller::new("large-1").class("lookup");
                 let mut whole = 0u64;
                 while began.elapsed() < LENGTH {
-                    let reply = caller.call(door, "GET", "/services/registry/short", "").await;
-                    whole += u64::from(reply.stop == Stop::Whole);
+                    let reply = caller.request(door, "GET", "/services/registry/short", "").await;
+                    whole += u64::from(reply.outcome == Outcome::Complete);
                 }
                 whole
             })
@@ -164,14 +164,22 @@
 ///
 /// # Errors
 /// When the box can't be started or doesn't become ready.
-pub async fn overhead(program: &Path) -> eyre::Result<Overhead> {
+pub async fn measure_overhead(program: &Path) -> eyre::Result<Overhead> {
     let halls = vec![("hall-lansing".to_owned(), 1, 4, 2)];
-    let plan = Plan { halls, slots: 200, token_ms: 40, equal: true, prefill_ms: 0, threads: 2, ..Plan::default() };
+    let plan = DeploymentSpec {
+        halls,
+        slots: 200,
+        token_ms: 40,
+        equal_engine_speed: true,
+        prefill_ms: 0,
+        traffic_threads: 2,
+        ..DeploymentSpec::default()
+    };
     let deployment = Deployment::start(plan, program)?;
-    if !deployment.settled(Duration::from_secs(20)).await {
+    if !deployment.wait_until_ready(Duration::from_secs(20)).await {
         eyre::bail!("the box did not become ready");
     }
-    let pid = deployment.pid(&deployment.running()[0]).unwrap_or(0);
+    let pid = deployment.pid(&deployment.running_boxes()[0]).unwrap_or(0);
     let before = cpu_seconds(pid);
     tokio::time::sleep(IDLE).await;
     let idle = (cpu_seconds(pid) - before) / IDLE.as_secs_f64();
--- a/crates/lab/src/ownerlet.rs
+++ b/crates/lab/src/owner_benchmark.rs
@@ -69,7 +69,7 @@
 
 /// Processor microseconds of an owner for one request, asked, granted and handed back, all slots full.
 #[must_use]
-pub fn owner_micros(servers: usize, slots: usize, classes: usize, seed: u64) -> f64 {
+pub fn request_micros(servers: usize, slots: usize, classes: usize, seed: u64) -> f64 {
     let layout = layout(servers, slots, classes);
     let mut shard = owner(&layout);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain_service.rs
@@ -1,6 +1,6 @@
 //! A stand-in for a plain service: answers with what it was asked, and counts.
 
-use crate::Serving;
+use crate::StandInServer;
 use actix_web::web::{self, Bytes, Data, ServiceConfig};
 use actix_web::{HttpRequest, HttpResponse};
 use std::collections::HashMap;
@@ -16,12 +16,12 @@
 
 /// A running stand-in for a plain service.
 #[derive(Clone)]
-pub struct Plain {
+pub struct PlainService {
     inner: Arc<Inner>,
-    serving: Arc<Serving>,
+    serving: Arc<StandInServer>,
 }
 
-impl Plain {
+impl PlainService {
     /// Starts a service on a loopback port that takes `delay_ms` for each answer.
     #[must_use]
     pub fn start(name: &str, delay_ms: u64) -> Self {
@@ -30,7 +30,7 @@
             delay_ms: AtomicU64::new(delay_ms),
             ran: Mutex::new(HashMap::new()),
         });
-        let serving = Arc::new(Serving::start(routes(&inner)));
+        let serving = Arc::new(StandInServer::start(routes(&inner)));
         Self { inner, serving }
     }
 
@@ -48,19 +48,19 @@
 
     /// How often a request with this path and body ran.
     #[must_use]
-    pub fn ran(&self, path: &str, body: &str) -> u32 {
+    pub fn runs(&self, path: &str, body: &str) -> u32 {
         let ran = self.inner.ran.lock().expect("no thread died");
         ran.get(&format!("{path}|{body}")).copied().unwrap_or(0)
     }
 
     /// Requests that ran in all.
     #[must_use]
-    pub fn total(&self) -> u32 {
+    pub fn total_runs(&self) -> u32 {
         self.inner.ran.lock().expect("no thread died").values().sum()
     }
 
     /// Sets the time for each answer.
-    pub fn delay(&self, ms: u64) {
+    pub fn set_delay_ms(&self, ms: u64) {
         self.inner.delay_ms.store(ms, Ordering::Relaxed);
     }
 
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,6 +1,6 @@
 //! A stand-in for the platform: a read-only configuration service with watches, and a lagging list.
 
-use crate::Serving;
+use crate::StandInServer;
 use actix_web::web::{self, Data, Path, Query, ServiceConfig};
 use actix_web::HttpResponse;
 use catalog::Release;
@@ -37,7 +37,7 @@
 #[derive(Clone)]
 pub struct Platform {
     inner: Arc<Inner>,
-    serving: Arc<Serving>,
+    serving: Arc<StandInServer>,
 }
 
 #[derive(Deserialize)]
@@ -57,7 +57,7 @@
             calls: AtomicU64::new(0),
             watching: AtomicU64::new(0),
         });
-        let serving = Arc::new(Serving::start(routes(&inner)));
+        let serving = Arc::new(StandInServer::start(routes(&inner)));
         Self { inner, serving }
     }
 
@@ -89,23 +89,23 @@
     }
 
     /// Stands still as a replica that lags, or catches up.
-    pub fn stale(&self, stale: bool) {
+    pub fn set_stale(&self, stale: bool) {
         let mut state = self.inner.state.lock().expect("no thread died");
         state.stale = stale.then(|| state.values.clone());
     }
 
     /// Breaks every connection and refuses new ones.
-    pub fn down(&self) {
+    pub fn stop(&self) {
         self.serving.stop();
     }
 
     /// Comes back.
-    pub fn up(&self) {
+    pub fn restart(&self) {
         self.serving.restart(routes(&self.inner));
     }
 
     /// Sets the list; shown after the lag.
-    pub fn list(&self, boxes: &[(Peer, bool)], upstreams: &[(String, bool)]) {
+    pub fn set_members(&self, boxes: &[(Peer, bool)], upstreams: &[(String, bool)]) {
         let mut state = self.inner.state.lock().expect("no thread died");
         state.boxes = boxes.to_vec();
         state.upstreams = upstreams.to_vec();
@@ -129,7 +129,7 @@
 
     /// Watches now waiting.
     #[must_use]
-    pub fn watching(&self) -> u64 {
+    pub fn open_watches(&self) -> u64 {
         self.inner.watching.load(Ordering::Relaxed)
     }
 }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,6 +1,6 @@
 //! Attainment against load, by way, as SVG.
 
-use crate::Report;
+use crate::LoadReport;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 /// When the file can't be written.
-pub fn plot(reports: &[Report], class: &str, out: &Path) -> eyre::Result<()> {
+pub fn plot(reports: &[LoadReport], class: &str, out: &Path) -> eyre::Result<()> {
     let mut lines: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
     for report in reports {
         if let Some(row) = report.row(class) {
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -16,7 +16,7 @@
 /// # Panics
 /// When no port is free: no test can go on without.
 #[must_use]
-pub fn listener() -> TcpListener {
+pub fn bind_listener() -> TcpListener {
     let offset = std::process::id().wrapping_mul(STRIDE);
     for _ in 0..COUNT {
         let port = FIRST + offset.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % COUNT;
@@ -32,6 +32,6 @@
 /// # Panics
 /// When no port is free.
 #[must_use]
-pub fn free() -> SocketAddr {
-    listener().local_addr().expect("a bound listener has an address")
+pub fn free_address() -> SocketAddr {
+    bind_listener().local_addr().expect("a bound listener has an address")
 }
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -4,13 +4,13 @@
 
 /// One class's stream of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Stream {
+pub struct RequestStream {
     /// The class.
     pub class: String,
     /// Requests a second on average.
     pub rate: f64,
     /// Most tokens of an answer; answers have a quarter to all of that.
-    pub tokens: u32,
+    pub max_tokens: u32,
     /// Bytes of the prompt.
     pub prompt_bytes: usize,
     /// Requests of a burst come this many times as often.
@@ -18,7 +18,7 @@
     /// The burst's begin and end, in seconds from the start.
     pub burst: (f64, f64),
     /// Requests are marked as not to be repeated and carry a key.
-    pub once: bool,
+    pub non_repeatable: bool,
     /// Calls a plain service instead of the model.
     pub service: Option<String>,
     /// A caller that is told to come back gives up after this many seconds.
@@ -39,7 +39,7 @@
     /// How long answers are waited for after that, in seconds.
     pub drain_s: f64,
     /// One stream for each class.
-    pub streams: Vec<Stream>,
+    pub streams: Vec<RequestStream>,
 }
 
 fn number(reader: &mut TableReader<'_>, key: &str, default: Option<f64>) -> f64 {
@@ -57,16 +57,16 @@
     }
 }
 
-impl Stream {
+impl RequestStream {
     fn read(reader: &mut TableReader<'_>) -> Self {
         Self {
             class: reader.name("class"),
             rate: number(reader, "rate", None),
-            tokens: reader.integer_opt("tokens", &(1..=100_000)).unwrap_or(64) as u32,
+            max_tokens: reader.integer_opt("tokens", &(1..=100_000)).unwrap_or(64) as u32,
             prompt_bytes: reader.integer_opt("prompt_bytes", &(1..=1_000_000)).unwrap_or(200) as usize,
             burst_factor: number(reader, "burst_factor", Some(1.0)),
             burst: (number(reader, "burst_from_s", Some(0.0)), number(reader, "burst_to_s", Some(0.0))),
-            once: reader.flag("once", false),
+            non_repeatable: reader.flag("once", false),
             service: reader.string_opt("service"),
             patience_s: number(reader, "patience_s", Some(5.0)),
             first_token_ms: 0,
@@ -86,7 +86,7 @@
             seed: reader.integer_opt("seed", &(0..=u64::MAX / 2)).unwrap_or(1),
             seconds: reader.integer_opt("seconds", &(1..=86_400)).unwrap_or(20) as f64,
             drain_s: reader.integer_opt("drain_s", &(0..=86_400)).unwrap_or(10) as f64,
-            streams: reader.tables("stream", Stream::read),
+            streams: reader.tables("stream", RequestStream::read),
         };
         let mut faults = reader.finish();
         let table: toml::Table = classes.parse().unwrap_or_default();
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -10,7 +10,7 @@
 
 /// What the relay does with the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum RelayMode {
     /// Passes bytes on, each this many milliseconds after it came.
     Pass(u64),
     /// Breaks connections and takes no new ones.
@@ -24,7 +24,7 @@
 pub struct Relay {
     /// Where it listens.
     pub address: SocketAddr,
-    mode: watch::Sender<Mode>,
+    mode: watch::Sender<RelayMode>,
     target: Arc<Mutex<SocketAddr>>,
 }
 
@@ -35,10 +35,10 @@
     /// When no loopback port can be had.
     #[must_use]
     pub fn start(target: SocketAddr) -> Self {
-        let listener = crate::ports::listener();
+        let listener = crate::ports::bind_listener();
         listener.set_nonblocking(true).expect("a socket option");
         let address = listener.local_addr().expect("a bound address");
-        let (mode, modes) = watch::channel(Mode::Pass(0));
+        let (mode, modes) = watch::channel(RelayMode::Pass(0));
         let target = Arc::new(Mutex::new(target));
         let to = Arc::clone(&target);
         std::thread::spawn(move || actix_rt::System::new().block_on(accept(listener, to, modes)));
@@ -46,20 +46,20 @@
     }
 
     /// Changes what the relay does, for open connections as well.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: RelayMode) {
         self.mode.send_replace(mode);
     }
 
     /// Sets where new connections go.
-    pub fn retarget(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         *self.target.lock().expect("no thread died") = target;
     }
 }
 
-async fn accept(listener: TcpListener, target: Arc<Mutex<SocketAddr>>, modes: watch::Receiver<Mode>) {
+async fn accept(listener: TcpListener, target: Arc<Mutex<SocketAddr>>, modes: watch::Receiver<RelayMode>) {
     let listener = tokio::net::TcpListener::from_std(listener).expect("a non-blocking listener");
     while let Ok((from, _)) = listener.accept().await {
-        if *modes.borrow() == Mode::Cut {
+        if *modes.borrow() == RelayMode::Cut {
             continue;
         }
         let to = *target.lock().expect("no thread died");
@@ -81,17 +81,17 @@
 /// Bytes on their way, and when they arrive.
 type Line = mpsc::UnboundedReceiver<(Instant, Vec<u8>)>;
 
-async fn pass(mut from: OwnedReadHalf, to: OwnedWriteHalf, mut modes: watch::Receiver<Mode>) {
+async fn pass(mut from: OwnedReadHalf, to: OwnedWriteHalf, mut modes: watch::Receiver<RelayMode>) {
     let (line, arriving) = mpsc::unbounded_channel();
     let writer = actix_rt::spawn(arrive(to, arriving, modes.clone()));
     let mut buffer = vec![0; 64 * 1024];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            _ = modes.wait_for(|mode| *mode == Mode::Cut) => break,
+            _ = modes.wait_for(|mode| *mode == RelayMode::Cut) => break,
         };
         let Ok(count @ 1..) = read else { break };
-        let delay = if let Mode::Pass(ms) = *modes.borrow() { ms } else { 0 };
+        let delay = if let RelayMode::Pass(ms) = *modes.borrow() { ms } else { 0 };
         let at = Instant::now() + Duration::from_millis(delay);
         if line.send((at, buffer[..count].to_vec())).is_err() {
             break;
@@ -102,11 +102,11 @@
     let _ = writer.await;
 }
 
-async fn arrive(mut to: OwnedWriteHalf, mut line: Line, mut modes: watch::Receiver<Mode>) {
+async fn arrive(mut to: OwnedWriteHalf, mut line: Line, mut modes: watch::Receiver<RelayMode>) {
     while let Some((at, bytes)) = line.recv().await {
         tokio::time::sleep_until(at.into()).await;
-        let mode = modes.wait_for(|mode| *mode != Mode::Freeze).await.map(|m| *m);
-        if !matches!(mode, Ok(Mode::Pass(_))) || to.write_all(&bytes).await.is_err() {
+        let mode = modes.wait_for(|mode| *mode != RelayMode::Freeze).await.map(|m| *m);
+        if !matches!(mode, Ok(RelayMode::Pass(_))) || to.write_all(&bytes).await.is_err() {
             return;
         }
     }
--- a/crates/lab/src/releases.rs
+++ b/crates/lab/src/release_monitor.rs
@@ -14,7 +14,7 @@
 const ANSWER_MOST: Duration = Duration::from_millis(300);
 
 /// Watches the release of every box, and its count of broken invariants, for as long as it isn't ended.
-pub struct Releases {
+pub struct ReleaseMonitor {
     seen: Rc<Seen>,
     task: actix_rt::task::JoinHandle<()>,
 }
@@ -27,10 +27,10 @@
     wrongs: RefCell<Vec<String>>,
 }
 
-impl Releases {
+impl ReleaseMonitor {
     /// Begins to watch every box of the deployment, running or not.
     #[must_use]
-    pub fn over(deployment: &Deployment) -> Self {
+    pub fn start(deployment: &Deployment) -> Self {
         let doors = deployment.boxes.iter().map(|(name, b)| (name.clone(), b.operators)).collect();
         let seen = Rc::<Seen>::default();
         let task = actix_rt::spawn(watch(doors, Rc::clone(&seen)));
@@ -39,7 +39,7 @@
 
     /// Ends it, and gives what was wrong; that nothing was seen at all is wrong as well.
     #[must_use]
-    pub fn end(self) -> Vec<String> {
+    pub fn finish(self) -> Vec<String> {
         self.task.abort();
         let mut wrongs = self.seen.wrongs.take();
         if self.seen.looks.get() == 0 {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -4,7 +4,7 @@
 
 /// What a run showed of one class.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Row {
+pub struct ClassReport {
     /// The class.
     pub class: String,
     /// Requests that callers intended.
@@ -37,7 +37,7 @@
 
 /// What a run showed in all.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Report {
+pub struct LoadReport {
     /// What was run.
     pub name: String,
     /// Load as a multiple of capacity, where that is known.
@@ -45,7 +45,7 @@
     /// How long requests came, in seconds.
     pub seconds: f64,
     /// By class.
-    pub rows: Vec<Row>,
+    pub rows: Vec<ClassReport>,
     /// Answers in time a second.
     pub goodput: f64,
     /// Tokens of answers in time a second.
@@ -62,7 +62,7 @@
     pub codes: Vec<(String, u64)>,
 }
 
-impl Row {
+impl ClassReport {
     /// Share of the intended requests that met both targets.
     #[must_use]
     pub fn attainment(&self) -> f64 {
@@ -73,10 +73,10 @@
     }
 }
 
-impl Report {
+impl LoadReport {
     /// The row of a class.
     #[must_use]
-    pub fn row(&self, class: &str) -> Option<&Row> {
+    pub fn row(&self, class: &str) -> Option<&ClassReport> {
         self.rows.iter().find(|row| row.class == class)
     }
 
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -4,8 +4,8 @@
 //! nodes (probing and spread of releases) run in virtual time, so hundreds fit; their bytes are those
 //! of the frames that would be sent.
 
-use crate::fleetlet::{self, Outcome};
-use crate::ownerlet;
+use crate::fleet_simulation::{self, FleetOutcome};
+use crate::owner_benchmark;
 use crate::Exchange;
 use catalog::{Catalog, Release};
 use policy::{KeyHistory, Quota, Time, Usage, UsageMeter, UsageTable};
@@ -52,7 +52,7 @@
     (mean_y - slope * mean_x, slope)
 }
 
-fn measure(
+fn measure_slope(
     role: &'static str,
     what: &'static str,
     size: &'static str,
@@ -113,7 +113,7 @@
     let sizes = [3_500, 7_000, 14_000, 28_000];
     // First of all, while nothing that was freed can be used again. Each size adds to what is kept.
     let mut kept = Vec::new();
-    out.push(measure("release", "bytes of memory for a release in force", "customers", &sizes, |size, _| {
+    out.push(measure_slope("release", "bytes of memory for a release in force", "customers", &sizes, |size, _| {
         let before = resident_bytes();
         let release = release(1, size, 0);
         let catalog: Catalog = release.check().expect("a good release");
@@ -122,78 +122,92 @@
         (resident_bytes() - before).max(0.0)
     }));
     drop(kept);
-    out.push(measure("release", "ms to check a release", "customers", &sizes, |size, _| {
+    out.push(measure_slope("release", "ms to check a release", "customers", &sizes, |size, _| {
         let release = release(1, size, 0);
         let began = Instant::now();
         let checked = release.check();
         assert!(checked.is_ok());
         began.elapsed().as_secs_f64() * 1e3
     }));
-    out.push(measure("release", "ms to take a change of one customer into force", "customers", &sizes, |size, _| {
-        fleetlet::change_ms(size)
-    }));
-    out.push(measure("release", "bytes that one changed customer moves to a box", "customers", &sizes, |size, _| {
-        fleetlet::change_bytes(size) as f64
-    }));
+    out.push(measure_slope(
+        "release",
+        "ms to take a change of one customer into force",
+        "customers",
+        &sizes,
+        |size, _| fleet_simulation::change_ms(size),
+    ));
+    out.push(measure_slope(
+        "release",
+        "bytes that one changed customer moves to a box",
+        "customers",
+        &sizes,
+        |size, _| fleet_simulation::change_bytes(size) as f64,
+    ));
 }
 
 fn spread_slopes(out: &mut Vec<Slope>) {
     let sizes = [8, 78, 195, 390];
-    let runs: Vec<(usize, Vec<Outcome>)> =
-        sizes.iter().map(|n| (*n, (0..REPEATS).map(|seed| fleetlet::run(*n, 5, seed as u64)).collect())).collect();
-    let mut push = |role, what, value: &dyn Fn(&Outcome) -> f64| {
-        out.push(measure(role, what, "boxes in 5 halls", &sizes, |size, seed| {
+    let runs: Vec<(usize, Vec<FleetOutcome>)> = sizes
+        .iter()
+        .map(|n| (*n, (0..REPEATS).map(|seed| fleet_simulation::run(*n, 5, seed as u64)).collect()))
+        .collect();
+    let mut push = |role, what, value: &dyn Fn(&FleetOutcome) -> f64| {
+        out.push(measure_slope(role, what, "boxes in 5 halls", &sizes, |size, seed| {
             let found = runs.iter().find(|(n, _)| *n == size).map(|(_, outcomes)| &outcomes[seed as usize - 1]);
             found.map_or(0.0, value)
         }));
     };
-    push("spread", "ms from publishing to in force, half of the boxes", &|o| o.half_ms);
-    push("spread", "ms from publishing to in force, 99 in 100", &|o| o.most_ms);
-    push("spread", "ms from publishing to in force, last box", &|o| o.last_ms);
-    push("spread", "ms from publishing to in force, last box, hall cut from the platform", &|o| o.cut_ms);
-    push("probe", "bytes a second sent by a box, nothing changing", &|o| o.quiet_bytes);
-    push("probe", "messages a second sent by a box, nothing changing", &|o| o.quiet_messages);
-    push("probe", "processor us a second of a box, nothing changing", &|o| o.quiet_micros);
+    push("spread", "ms from publishing to in force, half of the boxes", &|o| o.p50_ms);
+    push("spread", "ms from publishing to in force, 99 in 100", &|o| o.p99_ms);
+    push("spread", "ms from publishing to in force, last box", &|o| o.max_ms);
+    push("spread", "ms from publishing to in force, last box, hall cut from the platform", &|o| o.hall_cut_ms);
+    push("probe", "bytes a second sent by a box, nothing changing", &|o| o.idle_bytes);
+    push("probe", "messages a second sent by a box, nothing changing", &|o| o.idle_messages);
+    push("probe", "processor us a second of a box, nothing changing", &|o| o.idle_micros);
     push("probe", "ms from a box's death to the last box of its hall knowing", &|o| o.death_ms);
     push("probe", "bytes a second sent by a box while one box dies", &|o| o.death_bytes);
 }
 
 fn owner_slopes(out: &mut Vec<Slope>) {
     let servers = [3, 6, 12, 24];
-    out.push(measure(
+    out.push(measure_slope(
         "shard owner",
         "processor us a request, full, 8 classes",
         "servers of 8 slots",
         &servers,
-        |n, seed| ownerlet::owner_micros(n, 8, 8, seed),
+        |n, seed| owner_benchmark::request_micros(n, 8, 8, seed),
     ));
     let slots = [8, 45, 90, 180];
-    out.push(measure(
+    out.push(measure_slope(
         "shard owner",
         "processor us a request, full, 12 servers, 8 classes",
         "slots of a server",
         &slots,
-        |n, seed| ownerlet::owner_micros(12, n, 8, seed),
+        |n, seed| owner_benchmark::request_micros(12, n, 8, seed),
     ));
     let classes = [2, 4, 8, 16];
-    out.push(measure("shard owner", "processor us a request, full, 12 servers", "classes", &classes, |n, seed| {
-        ownerlet::owner_micros(12, 8, n, seed)
-    }));
+    out.push(measure_slope(
+        "shard owner",
+        "processor us a request, full, 12 servers",
+        "classes",
+        &classes,
+        |n, seed| owner_benchmark::request_micros(12, 8, n, seed),
+    ));
     let waiting = [100, 400, 1_600, 3_200];
-    out.push(measure(
+    out.push(measure_slope(
         "shard owner",
         "processor us a tick with so many waiting",
         "asks",
         &waiting,
-        ownerlet::tick_micros,
+        owner_benchmark::tick_micros,
     ));
     let held = [100, 400, 1_600, 6_400];
-    out.push(measure(
+    out.push(measure_slope(
         "shard owner",
         "processor us to renew a lessee's leases",
         "leases held",
         &held,
-        ownerlet::renew_micros,
+        owner_benchmark::renew_micros,
     ));
 }
 
@@ -201,25 +215,29 @@
     let role = "owner and lessee";
     let boxes = [8, 26, 52, 78];
     let today = |n, seed| Exchange { boxes: n, ..Exchange::default() }.run(seed);
-    out.push(measure(role, "messages a request, 8 slots a server", "boxes at a shard", &boxes, |n, seed| {
-        today(n, seed).messages_each()
-    }));
-    out.push(measure(role, "bytes of frames a request, 8 slots a server", "boxes at a shard", &boxes, |n, seed| {
-        today(n, seed).bytes_each()
+    out.push(measure_slope(role, "messages a request, 8 slots a server", "boxes at a shard", &boxes, |n, seed| {
+        today(n, seed).messages_per_request()
     }));
+    out.push(measure_slope(
+        role,
+        "bytes of frames a request, 8 slots a server",
+        "boxes at a shard",
+        &boxes,
+        |n, seed| today(n, seed).bytes_per_request(),
+    ));
     let boxes = [9, 18, 27, 36];
     let planned = |n, seed| Exchange { boxes: n, ..Exchange::planned() }.run(seed);
-    out.push(measure(role, "messages a request, planned size", "boxes at a shard", &boxes, |n, seed| {
-        planned(n, seed).messages_each()
+    out.push(measure_slope(role, "messages a request, planned size", "boxes at a shard", &boxes, |n, seed| {
+        planned(n, seed).messages_per_request()
     }));
-    out.push(measure(role, "bytes of frames a request, planned size", "boxes at a shard", &boxes, |n, seed| {
-        planned(n, seed).bytes_each()
+    out.push(measure_slope(role, "bytes of frames a request, planned size", "boxes at a shard", &boxes, |n, seed| {
+        planned(n, seed).bytes_per_request()
     }));
 }
 
 fn keeper_slopes(out: &mut Vec<Slope>) {
     let sizes = [100, 1_000, 7_000, 28_000];
-    out.push(measure(
+    out.push(measure_slope(
         "limit keeper",
         "processor us for all boxes' words of a second",
         "active customers",
@@ -233,19 +251,25 @@
             began.elapsed().as_secs_f64() * 1e6
         },
     ));
-    out.push(measure("limit meter", "processor us to tell a second's use", "active customers", &sizes, |n, _| {
-        let mut meter = UsageMeter::default();
-        let none = Quota { weight: 1, max_concurrent: 0, max_tokens_per_minute: 0 };
-        for i in 0..n {
-            assert!(meter.admit(catalog::CustomerId(i as u32), none, Time(1)));
-        }
-        let began = Instant::now();
-        let told = meter.usage_to_report(Time(2)).len();
-        assert_eq!(told, n);
-        began.elapsed().as_secs_f64() * 1e6
-    }));
+    out.push(measure_slope(
+        "limit meter",
+        "processor us to tell a second's use",
+        "active customers",
+        &sizes,
+        |n, _| {
+            let mut meter = UsageMeter::default();
+            let none = Quota { weight: 1, max_concurrent: 0, max_tokens_per_minute: 0 };
+            for i in 0..n {
+                assert!(meter.admit(catalog::CustomerId(i as u32), none, Time(1)));
+            }
+            let began = Instant::now();
+            let told = meter.usage_to_report(Time(2)).len();
+            assert_eq!(told, n);
+            began.elapsed().as_secs_f64() * 1e6
+        },
+    ));
     let keys = [10_000, 50_000, 100_000, 400_000];
-    out.push(measure("key keeper", "processor us a claim", "keys remembered", &keys, |n, _| {
+    out.push(measure_slope("key keeper", "processor us a claim", "keys remembered", &keys, |n, _| {
         let mut memory = KeyHistory::new(Time(0));
         let claim = |key: u64| policy::Claim { key: key.wrapping_mul(0x9e37_79b9), delivery: key, age_ms: Some(0) };
         (0..n as u64).for_each(|key| {
@@ -275,7 +299,7 @@
 ///
 /// # Errors
 /// When there is no such group; says which there are.
-pub fn slopes(only: Option<&str>) -> Result<Vec<Slope>, String> {
+pub fn measure_slopes(only: Option<&str>) -> Result<Vec<Slope>, String> {
     let wanted = |name: &str| only.is_none_or(|only| only == name);
     let mut out = Vec::new();
     let chosen: Vec<&Group> = GROUPS.iter().filter(|(name, _)| wanted(name)).collect();
@@ -291,7 +315,7 @@
 
 /// Slopes as a table for people.
 #[must_use]
-pub fn table(slopes: &[Slope]) -> String {
+pub fn slopes_table(slopes: &[Slope]) -> String {
     let mut text = String::new();
     for slope in slopes {
         let _ = writeln!(text, "{}: {} by {}", slope.role, slope.what, slope.size);
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -7,7 +7,7 @@
 mod callers;
 mod fault;
 
-use crate::{Deployment, Plan, Releases};
+use crate::{Deployment, DeploymentSpec, ReleaseMonitor};
 use callers::Callers;
 use fault::Faults;
 use rand::SeedableRng;
@@ -31,18 +31,18 @@
     /// What the faults and requests are drawn from. Processes don't repeat exactly what they did.
     pub seed: u64,
     /// How long faults and requests come.
-    pub length: Duration,
+    pub duration: Duration,
 }
 
 impl Default for Soak {
     fn default() -> Self {
-        Self { seed: 1, length: Duration::from_secs(60) }
+        Self { seed: 1, duration: Duration::from_secs(60) }
     }
 }
 
 /// What a run showed.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Soaked {
+pub struct SoakReport {
     /// What was drawn from.
     pub seed: u64,
     /// Seconds of faults and requests.
@@ -60,43 +60,44 @@
     /// Couldn't be brought to a box.
     pub unreached: u64,
     /// What must never happen, and did. Must be empty.
-    pub wrongs: Vec<String>,
+    #[serde(rename = "wrongs")]
+    pub violations: Vec<String>,
 }
 
 impl Soak {
     /// Two halls of three boxes with relays between them, two engines and a plain service each.
     #[must_use]
-    pub fn plan() -> Plan {
+    pub fn plan() -> DeploymentSpec {
         let halls = vec![("hall-lansing".into(), 3, 2, 1), ("hall-toledo".into(), 3, 2, 1)];
-        Plan { halls, relayed: true, threads: 1, ..Plan::default() }
+        DeploymentSpec { halls, with_relays: true, traffic_threads: 1, ..DeploymentSpec::default() }
     }
 
     /// Runs it.
     ///
     /// # Errors
     /// When the boxes can't be started or don't become ready at first.
-    pub async fn run(&self, program: &Path) -> eyre::Result<Soaked> {
+    pub async fn run(&self, program: &Path) -> eyre::Result<SoakReport> {
         let mut deployment = Deployment::start(Self::plan(), program)?;
-        if !deployment.settled(REST_MOST).await {
+        if !deployment.wait_until_ready(REST_MOST).await {
             eyre::bail!("the boxes did not become ready");
         }
         // Long enough that some calls are under way when their service crashes.
-        deployment.plains.iter().for_each(|(_, _, plain)| plain.delay(SERVICE_MS));
+        deployment.plain_services.iter().for_each(|(_, _, plain)| plain.set_delay_ms(SERVICE_MS));
         let mut faults = Faults::new(ChaCha8Rng::seed_from_u64(self.seed));
         let mut callers = Callers::new(&deployment, self.seed);
-        let releases = Releases::over(&deployment);
+        let releases = ReleaseMonitor::start(&deployment);
         let began = Instant::now();
-        while began.elapsed() < self.length {
+        while began.elapsed() < self.duration {
             faults.step(&mut deployment)?;
             callers.step();
             tokio::time::sleep(STEP).await;
         }
         faults.end(&mut deployment)?;
         let mut soaked = callers.end(&deployment).await;
-        soaked.wrongs.extend(at_rest(&deployment).await);
-        soaked.wrongs.extend(releases.end());
-        soaked.wrongs.extend(broken(&deployment));
-        (soaked.seed, soaked.seconds) = (self.seed, self.length.as_secs());
+        soaked.violations.extend(at_rest(&deployment).await);
+        soaked.violations.extend(releases.finish());
+        soaked.violations.extend(broken(&deployment));
+        (soaked.seed, soaked.seconds) = (self.seed, self.duration.as_secs());
         soaked.faults = faults.counts;
         Ok(soaked)
     }
@@ -107,12 +108,12 @@
     let idle = |s: &cleatshelf::Status| {
         s.held == 0 && s.pending == 0 && s.running == 0 && s.shards.iter().all(|row| row.held == 0)
     };
-    let rest = |s: &cleatshelf::Status| s.ready && s.release >= deployment.release && idle(s);
-    if deployment.until(REST_MOST, rest).await {
+    let rest = |s: &cleatshelf::Status| s.ready && s.release >= deployment.release_number && idle(s);
+    if deployment.wait_until(REST_MOST, rest).await {
         return None;
     }
     let mut left = Vec::new();
-    for name in deployment.running() {
+    for name in deployment.running_boxes() {
         let Some(s) = deployment.status(&name).await else {
             left.push(format!("{name} doesn't answer"));
             continue;
--- a/crates/lab/src/soak/callers.rs
+++ b/crates/lab/src/soak/callers.rs
@@ -1,7 +1,7 @@
 //! Callers whose every request must have one true end.
 
-use super::Soaked;
-use crate::{answer, Caller, Deployment, Engine, Plain, Reply, Stop};
+use super::SoakReport;
+use crate::{answer_tokens, Caller, Deployment, Engine, Outcome, PlainService, Reply};
 use actix_rt::task::JoinHandle;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -45,7 +45,7 @@
         let classes = ["hotline", "contract-check", "review", "lookup"];
         let callers = classes.iter().map(|class| Caller::new("large-1").class(class)).collect();
         let random = ChaCha8Rng::seed_from_u64(!seed);
-        Self { seed, random, doors: deployment.doors(), callers, sent: Vec::new() }
+        Self { seed, random, doors: deployment.caller_addresses(), callers, sent: Vec::new() }
     }
 
     /// Perhaps one more request, at any box: the balancer may not know yet that it is gone.
@@ -68,15 +68,15 @@
     }
 
     /// Waits for every end and asks the stand-ins what ran.
-    pub(super) async fn end(self, deployment: &Deployment) -> Soaked {
-        let mut soaked = Soaked::default();
+    pub(super) async fn end(self, deployment: &Deployment) -> SoakReport {
+        let mut soaked = SoakReport::default();
         for (wish, task) in self.sent {
             soaked.sent += 1;
             let reply = task.await.ok().flatten();
             count(&mut soaked, reply.as_ref());
             let engines = deployment.engines.iter().map(|(_, engine)| engine);
-            let plains = deployment.plains.iter().map(|(_, _, plain)| plain);
-            soaked.wrongs.extend(wish.judge(reply.as_ref(), engines, plains));
+            let plain_services = deployment.plain_services.iter().map(|(_, _, plain)| plain);
+            soaked.violations.extend(wish.judge(reply.as_ref(), engines, plain_services));
         }
         soaked
     }
@@ -86,21 +86,21 @@
     let asked = async {
         match wish {
             Wish::Answer { prompt, tokens, once } => {
-                let caller = if once { caller.once().key(&uuid::Uuid::now_v7().to_string()) } else { caller };
-                caller.ask(door, &prompt, tokens).await
+                let caller = if once { caller.non_repeatable().key(&uuid::Uuid::now_v7().to_string()) } else { caller };
+                caller.complete(door, &prompt, tokens).await
             }
-            Wish::Call { body } => caller.call(door, "POST", PATH, &body).await,
+            Wish::Call { body } => caller.request(door, "POST", PATH, &body).await,
         }
     };
     tokio::time::timeout(END_MOST, asked).await.ok()
 }
 
-fn count(soaked: &mut Soaked, reply: Option<&Reply>) {
-    match reply.map(|reply| &reply.stop) {
-        Some(Stop::Whole) => soaked.whole += 1,
-        Some(Stop::Refused { ran, .. }) if ran == "no" => soaked.not_run += 1,
-        Some(Stop::Unreached) => soaked.unreached += 1,
-        Some(Stop::Refused { .. } | Stop::Broken) => soaked.failed += 1,
+fn count(soaked: &mut SoakReport, reply: Option<&Reply>) {
+    match reply.map(|reply| &reply.outcome) {
+        Some(Outcome::Complete) => soaked.whole += 1,
+        Some(Outcome::Refused { ran, .. }) if ran == "no" => soaked.not_run += 1,
+        Some(Outcome::Unreachable) => soaked.unreached += 1,
+        Some(Outcome::Refused { .. } | Outcome::Interrupted) => soaked.failed += 1,
         None => {}
     }
 }
@@ -111,38 +111,38 @@
         &self,
         reply: Option<&Reply>,
         engines: impl Iterator<Item = &'a Engine>,
-        plains: impl Iterator<Item = &'a Plain>,
+        plain_services: impl Iterator<Item = &'a PlainService>,
     ) -> Vec<String> {
-        let mut wrongs = Vec::new();
+        let mut violations = Vec::new();
         let Some(reply) = reply else { return vec![format!("{self:?} got no end")] };
         let (ran, once, right) = match self {
             Self::Answer { prompt, tokens, once } => {
-                let runs = engines.map(|engine| engine.run_of(prompt));
+                let runs = engines.map(|engine| engine.runs_of(prompt));
                 let ran: u32 = runs.map(|run| run.starts + run.resumes).sum();
-                (ran, *once, reply.text == answer(prompt, *tokens).concat())
+                (ran, *once, reply.text == answer_tokens(prompt, *tokens).concat())
             }
             Self::Call { body } => {
-                let ran: u32 = plains.map(|plain| plain.ran("/pay", body)).sum();
+                let ran: u32 = plain_services.map(|plain| plain.runs("/pay", body)).sum();
                 (ran, true, reply.text.contains(body.as_str()))
             }
         };
         if once && ran > 1 {
-            wrongs.push(format!("{self:?} ran {ran} times"));
+            violations.push(format!("{self:?} ran {ran} times"));
         }
-        if reply.stop == Stop::Whole && !right {
-            wrongs.push(format!("{self:?} got another answer: {}", reply.text));
+        if reply.outcome == Outcome::Complete && !right {
+            violations.push(format!("{self:?} got another answer: {}", reply.text));
         }
-        if reply.stop == Stop::Whole && ran == 0 {
-            wrongs.push(format!("{self:?} has an answer but never ran"));
+        if reply.outcome == Outcome::Complete && ran == 0 {
+            violations.push(format!("{self:?} has an answer but never ran"));
         }
-        if let Stop::Refused { ran: word, retry_ms, .. } = &reply.stop {
+        if let Outcome::Refused { ran: word, retry_ms, .. } = &reply.outcome {
             if word == "no" && ran > 0 {
-                wrongs.push(format!("{self:?} was refused as not run but ran"));
+                violations.push(format!("{self:?} was refused as not run but ran"));
             }
             if word == "no" && retry_ms.is_none() {
-                wrongs.push(format!("{self:?} was refused without a time to come back"));
+                violations.push(format!("{self:?} was refused without a time to come back"));
             }
         }
-        wrongs
+        violations
     }
 }
--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -1,6 +1,6 @@
 //! Faults drawn at random, each with its end.
 
-use crate::{Deployment, Mode};
+use crate::{Deployment, RelayMode};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -94,9 +94,9 @@
         match self.random.random_range(0..11) {
             0 => self.kill(deployment),
             1 => self.freeze(deployment),
-            2 => self.link(deployment, "link cut", Mode::Cut),
-            3 => self.link(deployment, "link frozen", Mode::Freeze),
-            4 => self.link(deployment, "link slow", Mode::Pass(DELAY_MS)),
+            2 => self.link(deployment, "link cut", RelayMode::Cut),
+            3 => self.link(deployment, "link frozen", RelayMode::Freeze),
+            4 => self.link(deployment, "link slow", RelayMode::Pass(DELAY_MS)),
             5 => self.halls(deployment),
             6 => self.platform(deployment),
             7 => self.engine(deployment),
@@ -111,7 +111,7 @@
     }
 
     fn well_box(&mut self, deployment: &Deployment) -> Option<String> {
-        let well: Vec<String> = deployment.running().into_iter().filter(|name| !self.is_ill(name)).collect();
+        let well: Vec<String> = deployment.running_boxes().into_iter().filter(|name| !self.is_ill(name)).collect();
         // One box at least goes on.
         (well.len() > 1).then(|| well.choose(&mut self.random).cloned()).flatten()
     }
@@ -119,7 +119,7 @@
     fn kill(&mut self, deployment: &mut Deployment) {
         let Some(name) = self.well_box(deployment) else { return };
         deployment.kill(&name);
-        deployment.forget(&name);
+        deployment.forget_process(&name);
         self.lasts("box killed", Cure::Start(name));
     }
 
@@ -129,16 +129,16 @@
         self.lasts("box frozen", Cure::Wake(name));
     }
 
-    fn link(&mut self, deployment: &Deployment, kind: &str, mode: Mode) {
+    fn link(&mut self, deployment: &Deployment, kind: &str, mode: RelayMode) {
         let links: Vec<&(String, String)> = deployment.relays.keys().collect();
         let Some((from, to)) = links.choose(&mut self.random).copied().cloned() else { return };
         // One way only: the way back goes through another relay.
-        deployment.relays[&(from.clone(), to.clone())].set(mode);
+        deployment.relays[&(from.clone(), to.clone())].set_mode(mode);
         self.lasts(kind, Cure::Link(from, to));
     }
 
     fn halls(&mut self, deployment: &Deployment) {
-        set_all_links(deployment, Mode::Cut);
+        set_all_links(deployment, RelayMode::Cut);
         self.lasts("halls cut off", Cure::Halls);
     }
 
@@ -146,23 +146,23 @@
         if self.cures.iter().any(|(_, cure)| matches!(cure, Cure::Platform)) {
             return;
         }
-        deployment.platform.down();
+        deployment.platform.stop();
         self.lasts("platform down", Cure::Platform);
     }
 
     fn platform_link(&mut self, deployment: &Deployment) {
         let halls: Vec<&String> = deployment.platform_relays.keys().collect();
         let Some(hall) = halls.choose(&mut self.random).map(|hall| (*hall).clone()) else { return };
-        deployment.platform_relays[&hall].set(Mode::Cut);
+        deployment.platform_relays[&hall].set_mode(RelayMode::Cut);
         self.lasts("hall cut from the platform", Cure::PlatformLink(hall));
     }
 
     fn service(&mut self, deployment: &Deployment) {
-        let index = self.random.random_range(0..deployment.plains.len());
+        let index = self.random.random_range(0..deployment.plain_services.len());
         if self.cures.iter().any(|(_, cure)| matches!(cure, Cure::ServiceStart(i) if *i == index)) {
             return;
         }
-        deployment.plains[index].2.crash();
+        deployment.plain_services[index].2.crash();
         self.lasts("service crashed", Cure::ServiceStart(index));
     }
 
@@ -178,33 +178,33 @@
                 self.lasts("engine crashed", Cure::EngineStart(index));
             }
             1 => {
-                engine.slow(1_000);
+                engine.set_token_time_percent(1_000);
                 self.lasts("engine slow", Cure::EngineSpeed(index));
             }
             _ => {
-                engine.freeze(true);
+                engine.set_frozen(true);
                 self.lasts("engine frozen", Cure::EngineWake(index));
             }
         }
     }
 }
 
-fn set_all_links(deployment: &Deployment, mode: Mode) {
-    deployment.relay_halls("hall-lansing", "hall-toledo", mode);
+fn set_all_links(deployment: &Deployment, mode: RelayMode) {
+    deployment.set_relays_between("hall-lansing", "hall-toledo", mode);
 }
 
 fn end(cure: Cure, deployment: &mut Deployment) -> eyre::Result<()> {
     match cure {
-        Cure::Start(name) => deployment.run_box(&name)?,
+        Cure::Start(name) => deployment.start_box(&name)?,
         Cure::Wake(name) => deployment.signal(&name, Signal::CONT),
-        Cure::Link(from, to) => deployment.relays[&(from, to)].set(Mode::Pass(0)),
-        Cure::Halls => set_all_links(deployment, Mode::Pass(0)),
-        Cure::PlatformLink(hall) => deployment.platform_relays[&hall].set(Mode::Pass(0)),
-        Cure::Platform => deployment.platform.up(),
+        Cure::Link(from, to) => deployment.relays[&(from, to)].set_mode(RelayMode::Pass(0)),
+        Cure::Halls => set_all_links(deployment, RelayMode::Pass(0)),
+        Cure::PlatformLink(hall) => deployment.platform_relays[&hall].set_mode(RelayMode::Pass(0)),
+        Cure::Platform => deployment.platform.restart(),
         Cure::EngineStart(index) => deployment.engines[index].1.restart(),
-        Cure::EngineSpeed(index) => deployment.engines[index].1.slow(100),
-        Cure::EngineWake(index) => deployment.engines[index].1.freeze(false),
-        Cure::ServiceStart(index) => deployment.plains[index].2.restart(),
+        Cure::EngineSpeed(index) => deployment.engines[index].1.set_token_time_percent(100),
+        Cure::EngineWake(index) => deployment.engines[index].1.set_frozen(false),
+        Cure::ServiceStart(index) => deployment.plain_services[index].2.restart(),
     }
     Ok(())
 }
--- a/crates/lab/src/serving.rs
+++ b/crates/lab/src/stand_in_server.rs
@@ -7,13 +7,13 @@
 use std::sync::Mutex;
 
 /// A server that can be taken away and brought back under the same address.
-pub struct Serving {
+pub struct StandInServer {
     /// Where it listens.
     pub address: SocketAddr,
     handle: Mutex<Option<ServerHandle>>,
 }
 
-impl Serving {
+impl StandInServer {
     /// Binds a free loopback port and serves `routes` on it.
     ///
     /// # Panics
@@ -23,14 +23,14 @@
     where
         F: Fn(&mut ServiceConfig) + Send + Clone + 'static,
     {
-        let listener = crate::ports::listener();
+        let listener = crate::ports::bind_listener();
         let address = listener.local_addr().expect("a bound address");
         let serving = Self { address, handle: Mutex::new(None) };
         serving.serve(listener, routes);
         serving
     }
 
-    /// Serves again after [`Serving::stop`].
+    /// Serves again after [`StandInServer::stop`].
     ///
     /// # Panics
     /// When the address can't be bound again.
@@ -69,7 +69,7 @@
     }
 }
 
-impl Drop for Serving {
+impl Drop for StandInServer {
     fn drop(&mut self) {
         self.stop();
     }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests on processes share.
 #![allow(dead_code, missing_docs)]
 
-use lab::{answer, Caller, Deployment, Plan, Reply, Stop};
+use lab::{answer_tokens, Caller, Deployment, DeploymentSpec, Outcome, Reply};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,19 +14,19 @@
 }
 
 /// One hall with three boxes and two engines.
-pub fn small() -> Plan {
-    Plan { halls: vec![("hall-lansing".into(), 3, 2, 1)], threads: 1, ..Plan::default() }
+pub fn small() -> DeploymentSpec {
+    DeploymentSpec { halls: vec![("hall-lansing".into(), 3, 2, 1)], traffic_threads: 1, ..DeploymentSpec::default() }
 }
 
 /// Two halls that can be cut off, with two boxes and one engine each.
-pub fn halls() -> Plan {
+pub fn halls() -> DeploymentSpec {
     let halls = vec![("hall-lansing".into(), 2, 1, 1), ("hall-toledo".into(), 2, 1, 1)];
-    Plan { halls, relayed: true, ..small() }
+    DeploymentSpec { halls, with_relays: true, ..small() }
 }
 
-pub async fn start(plan: Plan) -> Deployment {
+pub async fn start(plan: DeploymentSpec) -> Deployment {
     let deployment = Deployment::start(plan, program()).expect("a deployment");
-    assert!(deployment.settled(NEVER).await, "the boxes did not become ready: {}", logs(&deployment));
+    assert!(deployment.wait_until_ready(NEVER).await, "the boxes did not become ready: {}", logs(&deployment));
     deployment
 }
 
@@ -36,11 +36,11 @@
 }
 
 pub fn first_door(deployment: &Deployment) -> SocketAddr {
-    deployment.doors()[0]
+    deployment.caller_addresses()[0]
 }
 
 pub fn is_whole(reply: &Reply, prompt: &str, most: u32) -> bool {
-    reply.stop == Stop::Whole && reply.text == answer(prompt, most).concat()
+    reply.outcome == Outcome::Complete && reply.text == answer_tokens(prompt, most).concat()
 }
 
 /// What the platform's balancer asks before it sends a call to a box.
@@ -62,11 +62,11 @@
             assert!(began.elapsed() < NEVER, "no box is ready");
             continue;
         }
-        let reply = caller.ask(door, prompt, most).await;
-        let wait = match &reply.stop {
-            Stop::Unreached => 20,
-            Stop::Refused { ran, code, .. } if ran == "no" && code == "not_ready" => 20,
-            Stop::Refused { ran, retry_ms: Some(ms), .. } if ran == "no" => *ms,
+        let reply = caller.complete(door, prompt, most).await;
+        let wait = match &reply.outcome {
+            Outcome::Unreachable => 20,
+            Outcome::Refused { ran, code, .. } if ran == "no" && code == "not_ready" => 20,
+            Outcome::Refused { ran, retry_ms: Some(ms), .. } if ran == "no" => *ms,
             _ => return reply,
         };
         if began.elapsed() > NEVER {
@@ -77,8 +77,8 @@
 }
 
 pub fn code_of(reply: &Reply) -> (u16, String, String) {
-    match &reply.stop {
-        Stop::Refused { status, code, ran, .. } => (*status, code.clone(), ran.clone()),
+    match &reply.outcome {
+        Outcome::Refused { status, code, ran, .. } => (*status, code.clone(), ran.clone()),
         other => (0, format!("{other:?}"), String::new()),
     }
 }
@@ -88,7 +88,7 @@
     let idle = |s: &cleatshelf::Status| {
         s.held == 0 && s.pending == 0 && s.running == 0 && s.shards.iter().all(|row| row.held == 0)
     };
-    deployment.until(NEVER, idle).await
+    deployment.wait_until(NEVER, idle).await
 }
 
 pub async fn until(what: impl Fn() -> bool) -> bool {
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use lab::{Caller, Plan, Stop, MODEL};
+use lab::{Caller, DeploymentSpec, Outcome, MODEL};
 use rustix::process::Signal;
 use serde_json::json;
 use std::time::Duration;
@@ -15,14 +15,14 @@
 #[actix_rt::test]
 async fn each_of_many_concurrent_callers_gets_its_own_whole_answer() {
     let deployment = start(small()).await;
-    let doors = deployment.doors();
+    let doors = deployment.caller_addresses();
     let mut tasks = Vec::new();
     for i in 0..120usize {
         let class = CLASSES[i % CLASSES.len()];
-        let customer = lab::customers().nth(i % 9).expect("nine customers");
+        let customer = lab::customer_names().nth(i % 9).expect("nine customers");
         let mut caller = Caller::new(customer).class(class);
         if i % 5 == 0 {
-            caller = caller.once().key(&uuid::Uuid::now_v7().to_string());
+            caller = caller.non_repeatable().key(&uuid::Uuid::now_v7().to_string());
         }
         let doors = doors.clone();
         tasks.push(actix_rt::spawn(async move {
@@ -32,11 +32,11 @@
     }
     for task in tasks {
         let (reply, prompt) = task.await.expect("no panic");
-        assert!(is_whole(&reply, &prompt, 30), "{prompt}: {:?}", reply.stop);
+        assert!(is_whole(&reply, &prompt, 30), "{prompt}: {:?}", reply.outcome);
     }
     assert!(at_rest(&deployment).await, "something leaked");
-    assert_eq!(deployment.broken().await, 0);
-    let starts = |prompt: &str| deployment.engines.iter().map(|(_, e)| e.run_of(prompt).starts).sum::<u32>();
+    assert_eq!(deployment.invariant_violations().await, 0);
+    let starts = |prompt: &str| deployment.engines.iter().map(|(_, e)| e.runs_of(prompt).starts).sum::<u32>();
     for i in 0..120usize {
         let class = CLASSES[i % CLASSES.len()];
         let starts = starts(&format!("{class} {i}"));
@@ -57,7 +57,7 @@
     let body = json!({"model": MODEL, "max_tokens": 20, "prompt": "as text", "stream": true});
     let reply = caller.post(door, "/v1/completions", &body).await;
     assert!(is_whole(&reply, "as text", 20), "{reply:?}");
-    let reply = caller.call(door, "GET", "/v1/models", "").await;
+    let reply = caller.request(door, "GET", "/v1/models", "").await;
     assert!(reply.text.contains(MODEL));
 }
 
@@ -66,12 +66,12 @@
     let deployment = start(small()).await;
     let door = first_door(&deployment);
     let caller = Caller::new("large-1").class("lookup");
-    let reply = caller.call(door, "GET", "/services/registry/lenders/7?full=1", "").await;
+    let reply = caller.request(door, "GET", "/services/registry/lenders/7?full=1", "").await;
     assert_eq!(reply.text, "GET /lenders/7 ");
-    let reply = caller.call(door, "PUT", "/services/registry/notes", "a note").await;
+    let reply = caller.request(door, "PUT", "/services/registry/notes", "a note").await;
     assert_eq!(reply.text, "PUT /notes a note");
-    assert_eq!(deployment.plains[0].2.ran("/notes", "a note"), 1);
-    let reply = caller.call(door, "GET", "/services/nowhere/x", "").await;
+    assert_eq!(deployment.plain_services[0].2.runs("/notes", "a note"), 1);
+    let reply = caller.request(door, "GET", "/services/nowhere/x", "").await;
     assert_eq!(code_of(&reply), (404, "not_found".into(), "no".into()));
 }
 
@@ -83,7 +83,7 @@
     let good = json!({"model": MODEL, "messages": [{"role": "user", "content": "x"}]});
     let chat = "/v1/chat/completions";
 
-    let reply = caller.call(door, "POST", chat, "{not json").await;
+    let reply = caller.request(door, "POST", chat, "{not json").await;
     assert_eq!(code_of(&reply), (400, "invalid_json".into(), "no".into()));
     let reply = caller.post(door, chat, &json!({"messages": [1]})).await;
     assert_eq!(code_of(&reply), (400, "invalid_request".into(), "no".into()));
@@ -95,12 +95,12 @@
     assert_eq!(code_of(&reply), (401, "invalid_api_key".into(), "no".into()));
     let reply = caller.clone().class("no-class").post(door, chat, &good).await;
     assert_eq!(code_of(&reply), (400, "unknown_class".into(), "no".into()));
-    let reply = caller.clone().once().key(&"k".repeat(500)).post(door, chat, &good).await;
+    let reply = caller.clone().non_repeatable().key(&"k".repeat(500)).post(door, chat, &good).await;
     assert_eq!(code_of(&reply), (400, "invalid_request".into(), "no".into()));
     let large = "y".repeat(1_200_000);
     let reply = caller.post(door, chat, &json!({"model": MODEL, "messages": [large]})).await;
     assert_eq!(code_of(&reply), (413, "body_too_large".into(), "no".into()));
-    let reply = caller.call(door, "GET", "/elsewhere", "").await;
+    let reply = caller.request(door, "GET", "/elsewhere", "").await;
     assert_eq!(code_of(&reply), (404, "not_found".into(), "no".into()));
 
     assert!(at_rest(&deployment).await, "something leaked");
@@ -116,7 +116,7 @@
 
 /// The first box's metrics.
 async fn scrape(deployment: &lab::Deployment) -> String {
-    let name = &deployment.running()[0];
+    let name = &deployment.running_boxes()[0];
     let url = format!("http://{}/metrics", deployment.boxes[name].operators);
     let mut response = awc::Client::default().get(url).send().await.expect("metrics");
     let body = response.body().limit(16 << 20).await.expect("a body");
@@ -127,7 +127,7 @@
 async fn a_served_request_shows_in_the_histograms_of_its_class_and_customer() {
     let deployment = start(small()).await;
     let door = first_door(&deployment);
-    let reply = Caller::new("large-1").class("review").ask(door, "measured", 10).await;
+    let reply = Caller::new("large-1").class("review").complete(door, "measured", 10).await;
     assert!(is_whole(&reply, "measured", 10));
     let text = scrape(&deployment).await;
     for name in ["first_token", "between_tokens", "whole_answer"] {
@@ -141,7 +141,7 @@
 async fn a_slow_sender_is_told_so_and_holds_nothing() {
     let deployment = start(small()).await;
     let mut socket = tokio::net::TcpStream::connect(first_door(&deployment)).await.expect("a connection");
-    let key = lab::key_of("large-1");
+    let key = lab::api_key("large-1");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {key}\r\ncontent-length: 1000\r\n\r\n{{\"model\""
     );
@@ -156,7 +156,7 @@
 
 #[actix_rt::test]
 async fn a_caller_that_goes_away_cancels_its_work() {
-    let plan = lab::Plan { token_ms: 50, ..small() };
+    let plan = lab::DeploymentSpec { token_ms: 50, ..small() };
     let deployment = start(plan).await;
     let door = first_door(&deployment);
     // One goes while the answer streams, one while it waits for an answer in one piece.
@@ -166,10 +166,10 @@
         let caller = Caller::new("large-1");
         let task = actix_rt::spawn(async move { caller.post(door, "/v1/chat/completions", &body).await });
         let engines = deployment.engines.clone();
-        assert!(until(|| engines.iter().any(|(_, e)| e.running() > 0)).await, "it began");
+        assert!(until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "it began");
         tokio::time::sleep(Duration::from_millis(300)).await;
         task.abort();
-        let idle = until(|| engines.iter().all(|(_, e)| e.running() == 0)).await;
+        let idle = until(|| engines.iter().all(|(_, e)| e.running_requests() == 0)).await;
         assert!(idle, "the engine still works for a caller that is gone (streamed: {streamed})");
     }
     assert!(at_rest(&deployment).await, "something leaked");
@@ -178,13 +178,14 @@
 #[actix_rt::test]
 async fn callers_that_go_away_leave_no_connection_open() {
     const GONE: usize = 40;
-    let deployment = start(Plan { token_ms: 20, ..small() }).await;
+    let deployment = start(DeploymentSpec { token_ms: 20, ..small() }).await;
     let door = first_door(&deployment);
-    let pid = deployment.pid(&deployment.running()[0]).expect("a process");
+    let pid = deployment.pid(&deployment.running_boxes()[0]).expect("a process");
     let handles = || std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
     let before = handles();
     for i in 0..GONE {
-        let task = actix_rt::spawn(async move { Caller::new("large-1").ask(door, &format!("gone {i}"), 400).await });
+        let task =
+            actix_rt::spawn(async move { Caller::new("large-1").complete(door, &format!("gone {i}"), 400).await });
         tokio::time::sleep(Duration::from_millis(30)).await;
         task.abort();
     }
@@ -195,47 +196,47 @@
 
 #[actix_rt::test]
 async fn a_planned_stop_cuts_nothing_off_and_takes_nothing_new() {
-    let plan = lab::Plan { token_ms: 20, ..small() };
+    let plan = lab::DeploymentSpec { token_ms: 20, ..small() };
     let mut deployment = start(plan).await;
-    let name = deployment.running()[0].clone();
+    let name = deployment.running_boxes()[0].clone();
     let door = first_door(&deployment);
     let running: Vec<_> = (0..6)
         .map(|i| {
             let caller = Caller::new("large-1");
-            actix_rt::spawn(async move { caller.ask(door, &format!("stopping {i}"), 200).await })
+            actix_rt::spawn(async move { caller.complete(door, &format!("stopping {i}"), 200).await })
         })
         .collect();
     let engines = deployment.engines.clone();
-    assert!(until(|| engines.iter().map(|(_, e)| e.running()).sum::<u32>() == 6).await, "all began");
+    assert!(until(|| engines.iter().map(|(_, e)| e.running_requests()).sum::<u32>() == 6).await, "all began");
     deployment.signal(&name, Signal::TERM);
     let refused = loop {
-        let reply = Caller::new("large-1").ask(door, "too late", 5).await;
-        if reply.stop != Stop::Whole {
+        let reply = Caller::new("large-1").complete(door, "too late", 5).await;
+        if reply.outcome != Outcome::Complete {
             break reply;
         }
     };
     assert_eq!(code_of(&refused), (503, "not_ready".into(), "no".into()));
     for (i, task) in running.into_iter().enumerate() {
         let reply = task.await.expect("no panic");
-        assert!(is_whole(&reply, &format!("stopping {i}"), 200), "{:?}", reply.stop);
+        assert!(is_whole(&reply, &format!("stopping {i}"), 200), "{:?}", reply.outcome);
     }
-    assert_eq!(deployment.wait(&name, NEVER), Some(0), "{}", deployment.log(&name));
+    assert_eq!(deployment.wait_for_exit(&name, NEVER), Some(0), "{}", deployment.log(&name));
     assert!(deployment.log(&name).contains("E103 StopClean"));
 }
 
 #[actix_rt::test]
 async fn a_second_signal_ends_a_stop_and_says_what_was_cut() {
-    let plan = lab::Plan { token_ms: 50, ..small() };
+    let plan = lab::DeploymentSpec { token_ms: 50, ..small() };
     let mut deployment = start(plan).await;
-    let name = deployment.running()[0].clone();
+    let name = deployment.running_boxes()[0].clone();
     let door = first_door(&deployment);
-    let task = actix_rt::spawn(async move { Caller::new("large-1").ask(door, "cut", 4_000).await });
+    let task = actix_rt::spawn(async move { Caller::new("large-1").complete(door, "cut", 4_000).await });
     let engines = deployment.engines.clone();
-    assert!(until(|| engines.iter().any(|(_, e)| e.running() > 0)).await, "it began");
+    assert!(until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "it began");
     deployment.signal(&name, Signal::TERM);
     assert!(until(|| deployment.log(&name).contains("E102 StopBegun")).await);
     deployment.signal(&name, Signal::TERM);
-    assert_eq!(deployment.wait(&name, NEVER), Some(1));
+    assert_eq!(deployment.wait_for_exit(&name, NEVER), Some(1));
     assert!(deployment.log(&name).contains("E104 StopCut cut=1"), "{}", deployment.log(&name));
-    assert_ne!(task.await.expect("no panic").stop, Stop::Whole, "a cut answer never looks whole");
+    assert_ne!(task.await.expect("no panic").outcome, Outcome::Complete, "a cut answer never looks whole");
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -9,9 +9,9 @@
 /// Two halls of three boxes, two engines each.
 #[actix_rt::test]
 async fn nothing_wrong_comes_of_random_faults() {
-    let soak = Soak { seed: 21, length: Duration::from_secs(15) };
+    let soak = Soak { seed: 21, duration: Duration::from_secs(15) };
     let soaked = soak.run(program()).await.expect("boxes that become ready");
-    assert!(soaked.wrongs.is_empty(), "{:#?}", soaked.wrongs);
+    assert!(soaked.violations.is_empty(), "{:#?}", soaked.violations);
     let faults: u64 = soaked.faults.values().sum();
     assert!(faults >= 5 && soaked.whole > 0, "{soaked:#?}");
     assert_eq!(
