--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -2,7 +2,7 @@
 
 use eyre::WrapErr;
 use indicatif::{ProgressBar, ProgressStyle};
-use model::{Compared, Deployment, Experiment, Played, Source};
+use model::{ArmComparison, Deployment, Experiment, RunResult, Source};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Instant;
@@ -14,9 +14,9 @@
 /// What an experiment brought.
 pub struct ExperimentResults {
     /// Each play.
-    pub played: Vec<Played>,
+    pub played: Vec<RunResult>,
     /// Each arm beside the first.
-    pub compared: Vec<Compared>,
+    pub compared: Vec<ArmComparison>,
     /// How long all plays took together, in seconds; no part of what repeats.
     pub elapsed_s: f64,
 }
@@ -30,12 +30,12 @@
     let folder = file.parent().unwrap_or(Path::new("."));
     let deployments: Vec<Deployment> =
         experiment.sources.iter().map(|source| deployment(&experiment, source, folder)).collect::<Result<_, _>>()?;
-    let bar = ProgressBar::new(experiment.plays() as u64);
+    let bar = ProgressBar::new(experiment.run_count() as u64);
     bar.set_style(ProgressStyle::with_template("{wide_bar} {pos} of {len} plays, {eta} left")?);
     let threads = std::thread::available_parallelism().map_or(1, |cores| cores.get().div_ceil(2));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build()?;
     let began = Instant::now();
-    let played = pool.install(|| experiment.play(&deployments, &|| bar.inc(1)));
+    let played = pool.install(|| experiment.run(&deployments, &|| bar.inc(1)));
     bar.finish_and_clear();
     let compared = experiment.compare(&played);
     Ok(ExperimentResults { played, compared, elapsed_s: began.elapsed().as_secs_f64() })
@@ -43,7 +43,7 @@
 
 fn deployment(experiment: &Experiment, source: &Source, folder: &Path) -> eyre::Result<Deployment> {
     match source {
-        Source::Drawn(seed) => Ok(Deployment::draw(*seed, experiment.seconds, experiment.machines_most)),
+        Source::Drawn(seed) => Ok(Deployment::draw(*seed, experiment.seconds, experiment.max_machines)),
         Source::File(file) => {
             let file = folder.join(file);
             Deployment::parse(&file.display().to_string(), &read(&file)?).map_err(|faults| all(&faults))
@@ -92,24 +92,24 @@
             "{:<18} {:>6} {:>16} {:>6} {:>6} {:>7} {:>6} {:>7} {:>6} {:>9} {:>9}\n",
             "arm", "worth", "more", "better", "worse", "in time", "late", "refused", "lost", "again Mt", "moved Mt"
         );
-        for Compared { arm, worth, more, within, better, worse } in &self.compared {
+        for ArmComparison { arm, worth, mean_difference, half_width, better, worse } in &self.compared {
             let outcomes = || self.played.iter().filter(|played| played.arm == *arm).map(|played| &played.outcome);
             let classes = || outcomes().flat_map(|outcome| &outcome.classes);
-            let asked = classes().map(|class| class.asked).sum::<u64>().max(1) as f64;
+            let asked = classes().map(|class| class.requests).sum::<u64>().max(1) as f64;
             let part = |count: u64| count as f64 / asked;
-            let within = within.map_or_else(String::new, |within| format!(" ±{within:.4}"));
+            let half_width = half_width.map_or_else(String::new, |half_width| format!(" ±{half_width:.4}"));
             // Writing to memory can't fail.
             let _ = writeln!(
                 table,
                 "{:<18} {worth:>6.4} {:>16} {better:>6} {worse:>6} {:>7.4} {:>6.4} {:>7.4} {:>6.4} {:>9.2} {:>9.2}",
-                arm.name(),
-                format!("{more:+.4}{within}"),
+                arm.as_str(),
+                format!("{mean_difference:+.4}{half_width}"),
                 part(classes().map(|class| class.in_time).sum()),
                 part(classes().map(|class| class.late).sum()),
                 part(classes().map(|class| class.refused).sum()),
                 part(classes().map(|class| class.lost).sum()),
-                outcomes().map(|outcome| outcome.again_tokens).sum::<u64>() as f64 / 1e6,
-                outcomes().map(|outcome| outcome.moved_tokens).sum::<u64>() as f64 / 1e6,
+                outcomes().map(|outcome| outcome.recomputed_tokens).sum::<u64>() as f64 / 1e6,
+                outcomes().map(|outcome| outcome.fetched_tokens).sum::<u64>() as f64 / 1e6,
             );
         }
         let _ = writeln!(table, "{} plays in {:.1} s", self.played.len(), self.elapsed_s);
--- a/crates/model/src/arm.rs
+++ b/crates/model/src/arm.rs
@@ -49,7 +49,7 @@
 
     /// Its name in files and tables.
     #[must_use]
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Placement => "placement",
             Self::WithoutOwners => "without-owners",
@@ -75,8 +75,8 @@
     type Err = String;
 
     fn from_str(name: &str) -> Result<Self, String> {
-        let names = Self::ALL.map(Self::name).join(", ");
-        let arm = Self::ALL.into_iter().find(|arm| arm.name() == name);
+        let names = Self::ALL.map(Self::as_str).join(", ");
+        let arm = Self::ALL.into_iter().find(|arm| arm.as_str() == name);
         arm.ok_or_else(|| format!("'{name}' is none of {names}"))
     }
 }
--- a/crates/model/src/deployment.rs
+++ b/crates/model/src/deployment.rs
@@ -5,7 +5,7 @@
 
 /// What all engines of a deployment are.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Make {
+pub struct EngineSpec {
     /// Requests that one runs at once.
     pub slots: u32,
     /// Tokens that its memory holds.
@@ -119,7 +119,8 @@
     /// Milliseconds of a way between halls.
     pub far_ms: f64,
     /// What its engines are.
-    pub make: Make,
+    #[serde(rename = "make")]
+    pub engine_spec: EngineSpec,
     /// Its callers.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
@@ -136,8 +137,8 @@
 const MOST_MACHINES: u64 = 1_000;
 const LONGEST_MS: f64 = 600_000.0;
 
-fn make(reader: &mut TableReader<'_>) -> Make {
-    Make {
+fn engine_spec(reader: &mut TableReader<'_>) -> EngineSpec {
+    EngineSpec {
         slots: reader.integer("slots", &(1..=4_096)) as u32,
         memory_tokens: reader.integer("memory_tokens", &(1_000..=1_000_000_000)),
         token_bytes: reader.integer("token_bytes", &(1..=10_000_000)),
@@ -205,7 +206,7 @@
     /// Every fault at once, unknown keys included.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Wrong>> {
         let mut reader = TableReader::parse(file, text);
-        let makes = reader.tables("make", make);
+        let engine_specs = reader.tables("make", engine_spec);
         let deployment = Self {
             name: reader.name("name"),
             seconds: reader.number("seconds", &(1.0..=LONGEST_S)),
@@ -214,12 +215,12 @@
             engines: reader.integer("engines", &(1..=MOST_MACHINES)) as usize,
             near_ms: reader.number("near_ms", &(0.0..=1_000.0)),
             far_ms: reader.number("far_ms", &(0.0..=1_000.0)),
-            make: makes.first().cloned().unwrap_or_else(Make::none),
+            engine_spec: engine_specs.first().cloned().unwrap_or_else(EngineSpec::none),
             classes: reader.tables("class", class),
             bursts: reader.tables("burst", burst),
             faults: reader.tables("fault", fault),
         };
-        if makes.len() != 1 {
+        if engine_specs.len() != 1 {
             reader.fault("make", "must stand there once, as [[make]]");
         }
         if deployment.classes.is_empty() {
@@ -253,7 +254,7 @@
             engines: usize,
             near_ms: f64,
             far_ms: f64,
-            make: [&'a Make; 1],
+            make: [&'a EngineSpec; 1],
             class: &'a [Class],
             burst: &'a [Burst],
             fault: &'a [Fault],
@@ -266,7 +267,7 @@
             engines: self.engines,
             near_ms: self.near_ms,
             far_ms: self.far_ms,
-            make: [&self.make],
+            make: [&self.engine_spec],
             class: &self.classes,
             burst: &self.bursts,
             fault: &self.faults,
@@ -274,7 +275,7 @@
     }
 }
 
-impl Make {
+impl EngineSpec {
     /// Stands in where a file has none, which is a fault.
     fn none() -> Self {
         Self {
--- a/crates/model/src/draw.rs
+++ b/crates/model/src/draw.rs
@@ -2,7 +2,7 @@
 //!
 //! Ranges are wide: deployments that we know are points in them, and most of what is drawn is like none of these.
 
-use crate::{Burst, Class, Deployment, Fault, FaultKind, Make};
+use crate::{Burst, Class, Deployment, EngineSpec, Fault, FaultKind};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -21,8 +21,8 @@
     (value * digits).round() / digits
 }
 
-fn make(rng: &mut ChaCha8Rng) -> Make {
-    Make {
+fn engine_spec(rng: &mut ChaCha8Rng) -> EngineSpec {
+    EngineSpec {
         slots: wide(rng, 8.0..=256.0) as u32,
         memory_tokens: wide(rng, 100_000.0..=2_000_000.0) as u64,
         token_bytes: wide(rng, 8_000.0..=200_000.0) as u64,
@@ -37,18 +37,19 @@
 }
 
 /// A class whose engines' share of time is `busy` of all `engines`.
-fn class(rng: &mut ChaCha8Rng, index: usize, make: &Make, busy: f64, engines: usize) -> Class {
+fn class(rng: &mut ChaCha8Rng, index: usize, engine_spec: &EngineSpec, busy: f64, engines: usize) -> Class {
     let shared_tokens = if rng.random_bool(0.8) { wide(rng, 100.0..=16_000.0) as u32 } else { 0 };
     let own_tokens = rounded(wide(rng, 30.0..=4_000.0));
     let out_tokens = rounded(wide(rng, 20.0..=400.0));
-    let read_ms = (own_tokens + 0.2 * f64::from(shared_tokens)) / make.read_per_ms;
+    let read_ms = (own_tokens + 0.2 * f64::from(shared_tokens)) / engine_spec.read_per_ms;
     // Beside as many others as half of the places hold.
-    let beside = f64::from(make.slots) / 2.0;
-    let token_ms = (make.step_ms + make.run_ms * beside) / beside;
+    let beside = f64::from(engine_spec.slots) / 2.0;
+    let token_ms = (engine_spec.step_ms + engine_spec.run_ms * beside) / beside;
     let takes_ms = read_ms + out_tokens * token_ms;
-    let step_ms = (make.step_ms + make.run_ms * f64::from(make.slots)) * f64::from(make.stride);
-    let piece_ms = f64::from(make.piece_tokens) / make.read_per_ms;
-    let whole_ms = (f64::from(shared_tokens) + own_tokens) / make.read_per_ms;
+    let step_ms =
+        (engine_spec.step_ms + engine_spec.run_ms * f64::from(engine_spec.slots)) * f64::from(engine_spec.stride);
+    let piece_ms = f64::from(engine_spec.piece_tokens) / engine_spec.read_per_ms;
+    let whole_ms = (f64::from(shared_tokens) + own_tokens) / engine_spec.read_per_ms;
     let aim_ms = rounded((whole_ms * wide(rng, 1.5..=6.0) + step_ms).max(300.0));
     let gap_ms = rounded(step_ms + piece_ms * wide(rng, 0.7..=6.0));
     Class {
@@ -85,14 +86,14 @@
 impl Deployment {
     /// Draws a deployment of `seconds`, with at most so many boxes and engines.
     #[must_use]
-    pub fn draw(seed: u64, seconds: f64, machines_most: usize) -> Self {
+    pub fn draw(seed: u64, seconds: f64, max_machines: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let rng = &mut rng;
-        let most = machines_most.max(3) as f64;
+        let most = max_machines.max(3) as f64;
         let halls = rng.random_range(1..=4);
         let boxes = (wide(rng, 3.0..=most) as usize).max(halls);
         let engines = (wide(rng, 3.0..=most) as usize).max(halls);
-        let make = make(rng);
+        let engine_spec = engine_spec(rng);
         let count = rng.random_range(2..=5);
         let busy = rng.random_range(BUSY);
         let parts: Vec<f64> = (0..count).map(|_| rng.random_range(0.2..=1.0)).collect();
@@ -100,7 +101,7 @@
         let classes: Vec<Class> = parts
             .iter()
             .enumerate()
-            .map(|(index, part)| class(rng, index, &make, busy * part / whole, engines))
+            .map(|(index, part)| class(rng, index, &engine_spec, busy * part / whole, engines))
             .collect();
         let bursts = (0..rng.random_range(0..=2)).map(|_| Burst {
             class: classes.choose(rng).expect("not empty").name.clone(),
@@ -119,7 +120,7 @@
             engines,
             near_ms: rounded(rng.random_range(0.1..=0.5)),
             far_ms: rounded(wide(rng, 0.5..=8.0)),
-            make,
+            engine_spec,
             classes,
             bursts,
             faults,
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -4,7 +4,7 @@
 //! requests that run and with what is read, so that reading holds up everybody's tokens.
 
 use crate::memory::Memory;
-use crate::{Make, Micros};
+use crate::{EngineSpec, Micros};
 use placement::Part;
 
 /// A request as an engine sees it.
@@ -38,7 +38,7 @@
 /// One engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
-    make: Make,
+    engine_spec: EngineSpec,
     /// How many times as long as the make says everything takes.
     pub(crate) slowness: f64,
     pub(crate) memory: Memory,
@@ -47,22 +47,22 @@
     /// True while a step is under way.
     pub(crate) stepping: bool,
     /// Prompt tokens that were read, and those of them that this or another engine had read before.
-    pub(crate) read_tokens: u64,
+    pub(crate) prefilled_tokens: u64,
     /// Requests that were put back for want of memory.
-    pub(crate) put_back: u64,
+    pub(crate) preempted: u64,
 }
 
 impl Engine {
-    pub(crate) fn new(make: &Make, slowness: f64) -> Self {
+    pub(crate) fn new(engine_spec: &EngineSpec, slowness: f64) -> Self {
         Self {
-            make: make.clone(),
+            engine_spec: engine_spec.clone(),
             slowness,
             memory: Memory::default(),
             running: Vec::new(),
             queue: Vec::new(),
             stepping: false,
-            read_tokens: 0,
-            put_back: 0,
+            prefilled_tokens: 0,
+            preempted: 0,
         }
     }
 
@@ -93,23 +93,23 @@
         }
         self.stepping = true;
         let generating = self.running.iter().filter(|run| run.unread == 0).count();
-        let tokens = if generating > 0 { f64::from(self.make.stride) } else { 1.0 };
-        let step = (self.make.step_ms + self.make.run_ms * self.running.len() as f64) * tokens;
-        let reading = f64::from(self.piece()) / self.make.read_per_ms;
+        let tokens = if generating > 0 { f64::from(self.engine_spec.stride) } else { 1.0 };
+        let step = (self.engine_spec.step_ms + self.engine_spec.run_ms * self.running.len() as f64) * tokens;
+        let reading = f64::from(self.piece()) / self.engine_spec.read_per_ms;
         Some(((step + reading) * self.slowness * 1e3).max(1.0) as Micros)
     }
 
     /// Prompt tokens that the step under way reads: of the request that came first.
     fn piece(&self) -> u32 {
         let first = self.running.iter().find(|run| run.unread > 0);
-        first.map_or(0, |run| run.unread.min(self.make.piece_tokens))
+        first.map_or(0, |run| run.unread.min(self.engine_spec.piece_tokens))
     }
 
     /// Lets in what has a place and room, the most urgent first.
     fn admit(&mut self) {
         self.queue.sort_by_key(|job| (job.urgency, job.send));
-        while self.running.len() < self.make.slots as usize && !self.queue.is_empty() {
-            if !self.memory.pin(&self.queue[0].parts, self.make.memory_tokens) {
+        while self.running.len() < self.engine_spec.slots as usize && !self.queue.is_empty() {
+            if !self.memory.pin(&self.queue[0].parts, self.engine_spec.memory_tokens) {
                 return;
             }
             let job = self.queue.remove(0);
@@ -125,11 +125,11 @@
         let piece = self.piece();
         let first = self.running.iter().position(|run| run.unread > 0);
         let mut made = Vec::new();
-        let (stride, most) = (self.make.stride, self.make.memory_tokens);
+        let (stride, most) = (self.engine_spec.stride, self.engine_spec.memory_tokens);
         let generating: Vec<u64> = self.running.iter().filter(|run| run.unread == 0).map(|run| run.job.send).collect();
         if let Some(run) = first.map(|index| &mut self.running[index]) {
             run.unread -= piece;
-            self.read_tokens += u64::from(piece);
+            self.prefilled_tokens += u64::from(piece);
             if run.unread == 0 {
                 self.memory.read(&run.job.parts);
                 let last = run.job.out <= run.made + 1;
@@ -165,7 +165,7 @@
         let Some(index) = least else { return false };
         let run = self.running.remove(index);
         self.memory.release(&run.job.parts, run.made);
-        self.put_back += 1;
+        self.preempted += 1;
         let out = run.job.out.saturating_sub(run.made).max(1);
         self.queue.push(Job { out, ..run.job });
         true
--- a/crates/model/src/experiment.rs
+++ b/crates/model/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Arms compared on many deployments.
 
-use crate::{Arm, Deployment, Outcome, World};
+use crate::{Arm, Deployment, Outcome, Simulation};
 use catalog::{Fault, TableReader};
 use rayon::prelude::*;
 use serde::Serialize;
@@ -33,12 +33,12 @@
     /// How long drawn deployments are played, in seconds.
     pub seconds: f64,
     /// Most boxes and engines of drawn deployments.
-    pub machines_most: usize,
+    pub max_machines: usize,
 }
 
 /// One play.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Played {
+pub struct RunResult {
     /// Name of the deployment.
     pub deployment: String,
     /// The seed.
@@ -53,15 +53,17 @@
 
 /// An arm beside the first one, over the same deployments and seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Compared {
+pub struct ArmComparison {
     /// The arm.
     pub arm: Arm,
     /// Its mean worth.
     pub worth: f64,
     /// How much more that is than the first arm's, and half of the width of the interval around it, over deployments.
-    pub more: f64,
+    #[serde(rename = "more")]
+    pub mean_difference: f64,
     /// See `more`; nothing where there is one deployment.
-    pub within: Option<f64>,
+    #[serde(rename = "within")]
+    pub half_width: Option<f64>,
     /// Deployments on which it is worth more by a hundredth, and less.
     pub better: usize,
     /// See `better`.
@@ -97,7 +99,7 @@
             sources,
             seeds: (1..=seeds).collect(),
             seconds: reader.number_opt("seconds", &(1.0..=3_600.0)).unwrap_or(30.0),
-            machines_most: reader.integer_opt("machines_most", &(3..=1_000)).unwrap_or(40) as usize,
+            max_machines: reader.integer_opt("machines_most", &(3..=1_000)).unwrap_or(40) as usize,
         };
         if experiment.arms.is_empty() {
             reader.fault("arms", "is missing: nothing is compared");
@@ -115,14 +117,14 @@
 
     /// How many plays there are.
     #[must_use]
-    pub fn plays(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         self.sources.len() * self.seeds.len() * self.arms.len()
     }
 
     /// Plays all on the threads of the pool that this runs in; `done` is told after each play. In the order of deployments, seeds and
     /// arms, whichever ended first.
     #[must_use]
-    pub fn play(&self, deployments: &[Deployment], done: &(dyn Fn() + Sync)) -> Vec<Played> {
+    pub fn run(&self, deployments: &[Deployment], done: &(dyn Fn() + Sync)) -> Vec<RunResult> {
         let mut plays = Vec::new();
         for deployment in deployments {
             for seed in &self.seeds {
@@ -130,9 +132,9 @@
             }
         }
         let play = |(deployment, seed, arm): (&Deployment, u64, Arm)| {
-            let outcome = World::new(deployment, arm, seed).play();
+            let outcome = Simulation::new(deployment, arm, seed).run();
             done();
-            Played { deployment: deployment.name.clone(), seed, arm, worth: outcome.worth(), outcome }
+            RunResult { deployment: deployment.name.clone(), seed, arm, worth: outcome.worth(), outcome }
         };
         plays.into_par_iter().map(play).collect()
     }
@@ -140,7 +142,7 @@
     /// Compares each arm with the first: of each deployment the mean over its seeds counts, so that seeds of one deployment don't pass for
     /// many deployments.
     #[must_use]
-    pub fn compare(&self, played: &[Played]) -> Vec<Compared> {
+    pub fn compare(&self, played: &[RunResult]) -> Vec<ArmComparison> {
         let Some(base) = self.arms.first() else { return Vec::new() };
         let mut names: Vec<&str> = played.iter().map(|played| played.deployment.as_str()).collect();
         names.dedup();
@@ -150,14 +152,15 @@
         };
         let compare = |arm: &Arm| {
             let worths: Vec<f64> = names.iter().map(|name| mean(name, *arm)).collect();
-            let more: Vec<f64> = names.iter().zip(&worths).map(|(name, worth)| worth - mean(name, *base)).collect();
-            Compared {
+            let differences: Vec<f64> =
+                names.iter().zip(&worths).map(|(name, worth)| worth - mean(name, *base)).collect();
+            ArmComparison {
                 arm: *arm,
                 worth: average(&worths),
-                more: average(&more),
-                within: half_width(&more),
-                better: more.iter().filter(|more| **more >= APART).count(),
-                worse: more.iter().filter(|more| **more <= -APART).count(),
+                mean_difference: average(&differences),
+                half_width: half_width(&differences),
+                better: differences.iter().filter(|difference| **difference >= APART).count(),
+                worse: differences.iter().filter(|difference| **difference <= -APART).count(),
             }
         };
         self.arms.iter().map(compare).collect()
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,6 +1,6 @@
 //! Deployments in virtual time, and policies compared on them.
 //!
-//! A [`World`] plays one [`Deployment`] with one [`Arm`] and one seed. Boxes decide with the program's own `placement`. An
+//! A [`Simulation`] plays one [`Deployment`] with one [`Arm`] and one seed. Boxes decide with the program's own `placement`. An
 //! [`Experiment`] compares arms on many drawn deployments.
 
 mod arm;
@@ -16,10 +16,10 @@
 mod world;
 
 pub use arm::Arm;
-pub use deployment::{Burst, Class, Deployment, Fault, FaultKind, Make};
-pub use experiment::{Compared, Experiment, Played, Source};
-pub use outcome::{Outcome, Tally};
-pub use world::World;
+pub use deployment::{Burst, Class, Deployment, EngineSpec, Fault, FaultKind};
+pub use experiment::{ArmComparison, Experiment, RunResult, Source};
+pub use outcome::{ClassOutcome, Outcome};
+pub use world::Simulation;
 
 /// Virtual time in microseconds.
 pub type Micros = u64;
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -9,11 +9,12 @@
 /// Worth is what its answers are worth over what they would be worth in time: an answer in time counts whole, a late one by the part that the
 /// class says, all others nothing. Tokens and prices don't count.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Tally {
+pub struct ClassOutcome {
     /// Name of the class.
     pub class: String,
     /// Requests.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     /// Answered with a first event in time and no pause too long.
     pub in_time: u64,
     /// Answered otherwise.
@@ -27,24 +28,30 @@
     /// What they are worth, and would be worth in time.
     pub worth: f64,
     /// The latter.
-    pub owed: f64,
+    #[serde(rename = "owed")]
+    pub max_worth: f64,
 }
 
 /// What came of one play.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
     /// By class.
-    pub classes: Vec<Tally>,
+    pub classes: Vec<ClassOutcome>,
     /// Tokens that engines read.
-    pub read_tokens: u64,
+    #[serde(rename = "read_tokens")]
+    pub prefilled_tokens: u64,
     /// Tokens of shared parts that some engine had read before and none needed to read again.
-    pub again_tokens: u64,
+    #[serde(rename = "again_tokens")]
+    pub recomputed_tokens: u64,
     /// Tokens that engines fetched from each other.
-    pub moved_tokens: u64,
+    #[serde(rename = "moved_tokens")]
+    pub fetched_tokens: u64,
     /// Requests that engines put back for want of memory.
-    pub put_back: u64,
+    #[serde(rename = "put_back")]
+    pub preempted: u64,
     /// Questions of boxes to owners.
-    pub questions: u64,
+    #[serde(rename = "questions")]
+    pub owner_queries: u64,
     /// Choices that boxes made.
     pub choices: u64,
 }
@@ -53,15 +60,15 @@
     /// Worth of all classes over what they would be worth in time.
     #[must_use]
     pub fn worth(&self) -> f64 {
-        let owed: f64 = self.classes.iter().map(|class| class.owed).sum();
-        self.classes.iter().map(|class| class.worth).sum::<f64>() / owed.max(f64::MIN_POSITIVE)
+        let max_worth: f64 = self.classes.iter().map(|class| class.max_worth).sum();
+        self.classes.iter().map(|class| class.worth).sum::<f64>() / max_worth.max(f64::MIN_POSITIVE)
     }
 }
 
 /// Counts for one class.
 #[derive(Clone, Debug)]
 pub(crate) struct Counter {
-    pub(crate) tally: Tally,
+    pub(crate) tally: ClassOutcome,
     first: Histogram<u64>,
 }
 
@@ -75,13 +82,13 @@
 
 impl Counter {
     pub(crate) fn new(class: &Class) -> Self {
-        let tally = Tally { class: class.name.clone(), ..Tally::default() };
+        let tally = ClassOutcome { class: class.name.clone(), ..ClassOutcome::default() };
         Self { tally, first: Histogram::new(3).expect("three digits") }
     }
 
     pub(crate) fn end(&mut self, class: &Class, end: End, first: Option<Micros>, pause: Micros) {
-        self.tally.asked += 1;
-        self.tally.owed += class.worth;
+        self.tally.requests += 1;
+        self.tally.max_worth += class.worth;
         let in_time =
             first.is_some_and(|first| first as f64 <= class.aim_ms * 1e3) && pause as f64 <= class.gap_ms * 1e3;
         if let Some(first) = first {
@@ -102,8 +109,8 @@
         }
     }
 
-    pub(crate) fn finish(self) -> Tally {
+    pub(crate) fn finish(self) -> ClassOutcome {
         let first_ms = [0.5, 0.95].map(|part| self.first.value_at_quantile(part));
-        Tally { first_ms, ..self.tally }
+        ClassOutcome { first_ms, ..self.tally }
     }
 }
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -39,7 +39,7 @@
     pub(crate) owner: &'a mut Owner,
     pub(crate) servers: &'a [Arc<Server>],
     pub(crate) rng: &'a mut ChaCha8Rng,
-    pub(crate) questions: &'a mut u64,
+    pub(crate) owner_queries: &'a mut u64,
 }
 
 /// A request that is to be placed.
@@ -98,9 +98,10 @@
             let choice = self.placement.choose(&PlacementRequest { denied: &denied, ..*ask });
             let choice = choice.map_err(|refusal| Refused(back_ms(refusal, around.rng)))?;
             let Some(quotas) = choice.permit_quotas else { return Ok(choice) };
-            *around.questions += 1;
+            *around.owner_queries += 1;
             let id = choice.server.id.clone();
-            let permit = PermitRequest { number: *around.questions, server: id.clone(), quotas, urgency: ask.urgency };
+            let permit =
+                PermitRequest { number: *around.owner_queries, server: id.clone(), quotas, urgency: ask.urgency };
             match around.owner.on_permit_request(&permit, ask.now) {
                 PermitReply::Granted => return Ok(choice),
                 PermitReply::Denied { retry_ms: again } => {
@@ -119,9 +120,9 @@
     ) -> Vec<(String, ServerStatus)> {
         let mut opinions = Vec::new();
         for server in self.placement.servers_to_query(ask, OWNERS_ASKED) {
-            *around.questions += 1;
+            *around.owner_queries += 1;
             let question = StatusQuery {
-                number: *around.questions,
+                number: *around.owner_queries,
                 server: server.id.clone(),
                 parts: request.prompt.parts.clone(),
                 gap_ms: request.class.gap_ms as u32,
@@ -226,13 +227,13 @@
 
 /// The configuration of a deployment: a route for each class to one service.
 pub(crate) fn table(deployment: &Deployment, arm: Arm) -> Table {
-    let make = &deployment.make;
+    let engine_spec = &deployment.engine_spec;
     let engine = routing::Engine {
-        slots: make.slots,
-        memory_tokens: make.memory_tokens,
-        token_bytes: make.token_bytes,
-        link_mbps: make.link_mbps,
-        tokens_per_event: make.stride,
+        slots: engine_spec.slots,
+        memory_tokens: engine_spec.memory_tokens,
+        token_bytes: engine_spec.token_bytes,
+        link_mbps: engine_spec.link_mbps,
+        tokens_per_event: engine_spec.stride,
     };
     let service = Service { name: SERVICE.to_owned(), max_connections: 1_000, engine: Some(engine), cold_start: None };
     let routes = deployment.classes.iter().map(|class| {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -87,7 +87,7 @@
 }
 
 /// A deployment that is played with one arm and one seed.
-pub struct World<'a> {
+pub struct Simulation<'a> {
     deployment: &'a Deployment,
     arm: Arm,
     rng: ChaCha8Rng,
@@ -111,17 +111,17 @@
     outcome: Outcome,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// A world at its beginning.
     #[must_use]
     pub fn new(deployment: &'a Deployment, arm: Arm, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let unlike = LogNormal::new(0.0, deployment.make.unlike).expect("a checked deployment");
+        let unlike = LogNormal::new(0.0, deployment.engine_spec.unlike).expect("a checked deployment");
         let uneven = LogNormal::new(0.0, BOXES_UNEVEN).expect("a constant");
         let hall = |index: usize| format!("hall-{}", index % deployment.halls);
         let places = (0..deployment.engines).map(|index| {
             let slowness = unlike.sample(&mut rng);
-            let engine = Engine::new(&deployment.make, slowness);
+            let engine = Engine::new(&deployment.engine_spec, slowness);
             Place { engine, slowness, hall: hall(index), life: 1, away: false, limit: Limit::None }
         });
         let places: Vec<Place> = places.collect();
@@ -179,15 +179,15 @@
 
     /// Plays to the end.
     #[must_use]
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> Outcome {
         while let Some(Reverse((at, number))) = self.due.pop() {
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
                 self.happen(event);
             }
         }
-        self.outcome.read_tokens = self.places.iter().map(|place| place.engine.read_tokens).sum();
-        self.outcome.put_back = self.places.iter().map(|place| place.engine.put_back).sum();
+        self.outcome.prefilled_tokens = self.places.iter().map(|place| place.engine.prefilled_tokens).sum();
+        self.outcome.preempted = self.places.iter().map(|place| place.engine.preempted).sum();
         self.outcome.classes = self.counters.into_iter().map(Counter::finish).collect();
         self.outcome
     }
@@ -262,7 +262,7 @@
             owner: &mut self.owner,
             servers: &self.servers,
             rng: &mut self.rng,
-            questions: &mut self.outcome.questions,
+            owner_queries: &mut self.outcome.owner_queries,
         };
         self.outcome.choices += 1;
         match self.boxes[call.at_box].choose(request, &mut around) {
@@ -294,7 +294,7 @@
         let (from, prompt, work) = (call.at_box, call.wish.prompt.clone(), choice.work);
         let placement = &mut self.boxes[from].placement;
         placement.record_sent(SERVICE, &choice.server.id, work);
-        let memory = (self.deployment.make.memory_tokens as f64 * KEPT_SHARE) as u64;
+        let memory = (self.deployment.engine_spec.memory_tokens as f64 * KEPT_SHARE) as u64;
         let news = SendUpdate::Sent { parts: prompt.parts, work, memory, permitted: choice.permit_quotas.is_some() };
         self.tell(from, send, &choice.server.id, news);
         let life = life_of(&choice.server);
@@ -323,8 +323,8 @@
         let own = place.engine.memory.prefix(parts);
         let there = source.map_or(0, |index| self.places[index].engine.memory.prefix(parts));
         let fetched = there.saturating_sub(own);
-        let bits = f64::from(fetched) * self.deployment.make.token_bytes as f64 * 8.0;
-        let takes = ms(bits / (self.deployment.make.link_mbps * 1e3));
+        let bits = f64::from(fetched) * self.deployment.engine_spec.token_bytes as f64 * 8.0;
+        let takes = ms(bits / (self.deployment.engine_spec.link_mbps * 1e3));
         if let Some(send) = self.sends.get_mut(&number) {
             send.fetched = fetched;
         }
@@ -340,13 +340,13 @@
         let Call { wish, .. } = &self.calls[send.call];
         let parts = &wish.prompt.parts;
         if send.fetched > 0 {
-            self.outcome.moved_tokens += u64::from(send.fetched);
-            place.engine.memory.take(&prefix_of(parts, send.fetched), self.deployment.make.memory_tokens);
+            self.outcome.fetched_tokens += u64::from(send.fetched);
+            place.engine.memory.take(&prefix_of(parts, send.fetched), self.deployment.engine_spec.memory_tokens);
         }
         let shared = &parts[..parts.len() - 1];
         for part in shared.iter().filter(|part| !place.engine.memory.has_read(part.id)) {
             if !self.known.insert(part.id) {
-                self.outcome.again_tokens += u64::from(part.tokens);
+                self.outcome.recomputed_tokens += u64::from(part.tokens);
             }
         }
         let urgency = self.deployment.classes[wish.class].urgency;
@@ -538,9 +538,9 @@
         }
         let place = &mut self.places[index];
         let slowness = place.slowness;
-        let counts = (place.engine.read_tokens, place.engine.put_back);
-        place.engine = Engine::new(&self.deployment.make, slowness);
-        (place.engine.read_tokens, place.engine.put_back) = counts;
+        let counts = (place.engine.prefilled_tokens, place.engine.preempted);
+        place.engine = Engine::new(&self.deployment.engine_spec, slowness);
+        (place.engine.prefilled_tokens, place.engine.preempted) = counts;
         place.life += 1;
         place.limit = Limit::None;
         self.after(ENTRY_GOES, Event::Listed(Change::Gone(name)));
@@ -562,7 +562,7 @@
             service: SERVICE.to_owned(),
             address: ([10, 2, (index / 250) as u8, (index % 250) as u8 + 1], 80).into(),
             hall: place.hall.clone(),
-            slots: self.deployment.make.slots,
+            slots: self.deployment.engine_spec.slots,
             draining,
             cold_ms: 0,
         }
--- a/crates/model/tests/deployment.rs
+++ b/crates/model/tests/deployment.rs
@@ -39,7 +39,7 @@
     let experiment = Experiment::parse("x.toml", text).expect("an experiment");
     assert_eq!(experiment.arms, [Arm::Placement, Arm::Least]);
     assert_eq!(experiment.sources, [Source::File("a.toml".into()), Source::Drawn(5), Source::Drawn(6)]);
-    assert_eq!(experiment.plays(), 18);
+    assert_eq!(experiment.run_count(), 18);
     let faults = Experiment::parse("x.toml", "arms = [\"best\"]\nseeds = 0\nother = 1\n").expect_err("faults");
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     for part in ["arms[0]: 'best' is none of placement,", "name:", "seeds:", "draws: is missing", "other:"] {
--- a/crates/model/tests/experiment.rs
+++ b/crates/model/tests/experiment.rs
@@ -1,6 +1,6 @@
 //! Arms compared.
 
-use model::{Arm, Deployment, Experiment, Outcome, Played, Source};
+use model::{Arm, Deployment, Experiment, Outcome, RunResult, Source};
 
 fn experiment(draws: u64) -> Experiment {
     Experiment {
@@ -9,12 +9,12 @@
         sources: (1..=draws).map(Source::Drawn).collect(),
         seeds: vec![1, 2],
         seconds: 5.0,
-        machines_most: 6,
+        max_machines: 6,
     }
 }
 
-fn played(deployment: &str, seed: u64, arm: Arm, worth: f64) -> Played {
-    Played { deployment: deployment.to_owned(), seed, arm, worth, outcome: Outcome::default() }
+fn played(deployment: &str, seed: u64, arm: Arm, worth: f64) -> RunResult {
+    RunResult { deployment: deployment.to_owned(), seed, arm, worth, outcome: Outcome::default() }
 }
 
 #[test]
@@ -30,22 +30,22 @@
     }
     let compared = experiment(1).compare(&all);
     let near = |value: f64, other: f64| (value - other).abs() < 1e-3;
-    assert!(near(compared[0].worth, 1.7 / 3.0) && near(compared[0].more, 0.0), "{compared:?}");
+    assert!(near(compared[0].worth, 1.7 / 3.0) && near(compared[0].mean_difference, 0.0), "{compared:?}");
     // Differences 0.05, 0.2 and 0: mean 0.0833, deviation 0.1041, and 4.303 for two degrees.
-    assert!(near(compared[1].more, 0.0833), "{compared:?}");
-    assert!(compared[1].within.is_some_and(|within| near(within, 4.303 * 0.104_08 / 3_f64.sqrt())), "{compared:?}");
+    assert!(near(compared[1].mean_difference, 0.0833), "{compared:?}");
+    assert!(compared[1].half_width.is_some_and(|within| near(within, 4.303 * 0.104_08 / 3_f64.sqrt())), "{compared:?}");
     assert_eq!((compared[1].better, compared[1].worse), (2, 0));
-    let one: Vec<Played> = all.into_iter().filter(|played| played.deployment == "a").collect();
-    assert_eq!(experiment(1).compare(&one)[1].within, None, "one deployment says nothing of others");
+    let one: Vec<RunResult> = all.into_iter().filter(|played| played.deployment == "a").collect();
+    assert_eq!(experiment(1).compare(&one)[1].half_width, None, "one deployment says nothing of others");
 }
 
 #[test]
 fn plays_come_in_order_whichever_ended_first() {
     let experiment = experiment(3);
     let deployments: Vec<Deployment> = (1..=3).map(|seed| Deployment::draw(seed, 5.0, 6)).collect();
-    let one = experiment.play(&deployments, &|| {});
-    assert_eq!(one, experiment.play(&deployments, &|| {}));
-    assert_eq!(one.len(), experiment.plays());
+    let one = experiment.run(&deployments, &|| {});
+    assert_eq!(one, experiment.run(&deployments, &|| {}));
+    assert_eq!(one.len(), experiment.run_count());
     let order: Vec<(&str, u64, Arm)> = one.iter().map(|p| (p.deployment.as_str(), p.seed, p.arm)).collect();
     let mut sorted = order.clone();
     sorted.sort_unstable();
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/world.rs
@@ -1,9 +1,9 @@
 //! Whole deployments in virtual time.
 
-use model::{Arm, Class, Deployment, Fault, FaultKind, Make, Outcome, World};
+use model::{Arm, Class, Deployment, EngineSpec, Fault, FaultKind, Outcome, Simulation};
 
-fn make() -> Make {
-    Make {
+fn engine_spec() -> EngineSpec {
+    EngineSpec {
         slots: 16,
         memory_tokens: 400_000,
         token_bytes: 20_000,
@@ -44,7 +44,7 @@
         engines: 6,
         near_ms: 0.3,
         far_ms: 2.0,
-        make: make(),
+        engine_spec: engine_spec(),
         classes: vec![class("talk", per_s)],
         bursts: Vec::new(),
         faults: Vec::new(),
@@ -52,16 +52,19 @@
 }
 
 fn play(deployment: &Deployment, arm: Arm) -> Outcome {
-    World::new(deployment, arm, 7).play()
+    Simulation::new(deployment, arm, 7).run()
 }
 
 /// All requests end, each in one way, and none is worth more than it could be.
 fn assert_whole(deployment: &Deployment, outcome: &Outcome, what: &str) {
     for (class, tally) in deployment.classes.iter().zip(&outcome.classes) {
         let ended = tally.in_time + tally.late + tally.refused + tally.lost;
-        assert_eq!(tally.asked, ended, "{what}: {tally:?}");
-        assert!(tally.worth <= tally.owed, "{what}: {tally:?}");
-        assert!((tally.owed - class.worth * tally.asked as f64).abs() < 1e-6 * tally.owed.max(1.0), "{what}");
+        assert_eq!(tally.requests, ended, "{what}: {tally:?}");
+        assert!(tally.worth <= tally.max_worth, "{what}: {tally:?}");
+        assert!(
+            (tally.max_worth - class.worth * tally.requests as f64).abs() < 1e-6 * tally.max_worth.max(1.0),
+            "{what}"
+        );
     }
 }
 
@@ -71,9 +74,9 @@
     for arm in Arm::ALL {
         let outcome = play(&deployment, arm);
         let talk = &outcome.classes[0];
-        assert_whole(&deployment, &outcome, arm.name());
-        assert!(talk.asked > 80, "{talk:?}");
-        assert!(talk.in_time as f64 >= 0.97 * talk.asked as f64, "{}: {talk:?}", arm.name());
+        assert_whole(&deployment, &outcome, arm.as_str());
+        assert!(talk.requests > 80, "{talk:?}");
+        assert!(talk.in_time as f64 >= 0.97 * talk.requests as f64, "{}: {talk:?}", arm.as_str());
         assert!(talk.first_ms[0] <= talk.first_ms[1]);
     }
 }
@@ -83,9 +86,9 @@
     for seed in 1..=12 {
         let deployment = Deployment::draw(seed, 6.0, 12);
         for arm in [Arm::Placement, Arm::Two] {
-            let outcome = World::new(&deployment, arm, seed).play();
+            let outcome = Simulation::new(&deployment, arm, seed).run();
             assert_whole(&deployment, &outcome, &deployment.name);
-            assert_eq!(outcome, World::new(&deployment, arm, seed).play(), "{}", deployment.name);
+            assert_eq!(outcome, Simulation::new(&deployment, arm, seed).run(), "{}", deployment.name);
         }
     }
 }
@@ -93,10 +96,10 @@
 #[test]
 fn arms_meet_the_same_callers() {
     let deployment = deployment(20.0);
-    let asked: Vec<u64> = Arm::ALL.iter().map(|arm| play(&deployment, *arm).classes[0].asked).collect();
+    let asked: Vec<u64> = Arm::ALL.iter().map(|arm| play(&deployment, *arm).classes[0].requests).collect();
     assert!(asked.iter().all(|count| *count == asked[0]), "{asked:?}");
-    let other = World::new(&deployment, Arm::Least, 8).play();
-    assert_ne!(other.classes[0].asked, asked[0], "another seed, other callers");
+    let other = Simulation::new(&deployment, Arm::Least, 8).run();
+    assert_ne!(other.classes[0].requests, asked[0], "another seed, other callers");
 }
 
 #[test]
@@ -105,17 +108,20 @@
     let by_prefix = play(&deployment, Arm::Prefix);
     let by_load = play(&deployment, Arm::Least);
     assert!(
-        by_prefix.again_tokens * 2 < by_load.again_tokens,
+        by_prefix.recomputed_tokens * 2 < by_load.recomputed_tokens,
         "{} and {}",
-        by_prefix.again_tokens,
-        by_load.again_tokens
+        by_prefix.recomputed_tokens,
+        by_load.recomputed_tokens
     );
     // The same callers: what one reads less it reads again less.
-    let (read, again) = (by_load.read_tokens - by_prefix.read_tokens, by_load.again_tokens - by_prefix.again_tokens);
+    let (read, again) = (
+        by_load.prefilled_tokens - by_prefix.prefilled_tokens,
+        by_load.recomputed_tokens - by_prefix.recomputed_tokens,
+    );
     assert!(read.abs_diff(again) * 10 <= again, "{read} less read, {again} of it again");
-    assert_eq!(by_load.moved_tokens, 0, "nobody fetches");
+    assert_eq!(by_load.fetched_tokens, 0, "nobody fetches");
     // Each of ten parts once at each of six engines; the first reading isn't again, but two requests that come together both read.
-    assert!(by_load.again_tokens <= 10 * 6 * 4_000, "{}", by_load.again_tokens);
+    assert!(by_load.recomputed_tokens <= 10 * 6 * 4_000, "{}", by_load.recomputed_tokens);
 }
 
 #[test]
@@ -125,9 +131,9 @@
     deployment.classes[0].skew = 0.0;
     deployment.classes[0].shared_tokens = 12_000;
     deployment.classes[0].gap_ms = 150.0;
-    deployment.make.piece_tokens = 8_192;
+    deployment.engine_spec.piece_tokens = 8_192;
     let large = play(&deployment, Arm::Least).classes[0].clone();
-    deployment.make.piece_tokens = 512;
+    deployment.engine_spec.piece_tokens = 512;
     let small = play(&deployment, Arm::Least).classes[0].clone();
     assert!(small.in_time > 2 * large.in_time, "{small:?} and {large:?}");
 }
@@ -135,16 +141,16 @@
 #[test]
 fn requests_are_put_back_where_memory_runs_out_and_end_all_the_same() {
     let mut deployment = deployment(40.0);
-    deployment.make.memory_tokens = 9_000;
+    deployment.engine_spec.memory_tokens = 9_000;
     deployment.classes[0].out_tokens = 300.0;
     let outcome = play(&deployment, Arm::Least);
-    assert!(outcome.put_back > 0);
+    assert!(outcome.preempted > 0);
     assert_whole(&deployment, &outcome, "little memory");
     assert!(outcome.classes[0].in_time + outcome.classes[0].late > 0);
     // A prompt that no memory holds is never read.
-    deployment.make.memory_tokens = 3_000;
+    deployment.engine_spec.memory_tokens = 3_000;
     let outcome = play(&deployment, Arm::Least);
-    assert_eq!(outcome.classes[0].lost, outcome.classes[0].asked);
+    assert_eq!(outcome.classes[0].lost, outcome.classes[0].requests);
 }
 
 #[test]
@@ -158,7 +164,7 @@
         for arm in [Arm::Placement, Arm::Least] {
             let outcome = play(&deployment, arm);
             assert_whole(&deployment, &outcome, &format!("{kind:?}"));
-            assert!(outcome.worth() > 0.3, "{kind:?} at {share}, {}: {}", arm.name(), outcome.worth());
+            assert!(outcome.worth() > 0.3, "{kind:?} at {share}, {}: {}", arm.as_str(), outcome.worth());
         }
         let hurt = play(&deployment, Arm::Placement).worth();
         assert!(hurt < calm.worth() + 0.01, "{kind:?} at {share}: {hurt}, {} without", calm.worth());
