--- a/crates/model/src/arm.rs
+++ b/crates/model/src/arm.rs
@@ -66,7 +66,7 @@
     }
 
     /// True where boxes choose with the program's placement.
-    pub(crate) fn places(self) -> bool {
+    pub(crate) fn uses_placement(self) -> bool {
         !matches!(self, Self::Least | Self::Two | Self::Prefix | Self::Hall)
     }
 }
--- a/crates/model/src/deployment.rs
+++ b/crates/model/src/deployment.rs
@@ -1,6 +1,6 @@
 //! What there is: engines, boxes, callers and faults.
 
-use catalog::{Fault as Wrong, TableReader};
+use catalog::{Fault as FileFault, TableReader};
 use serde::Serialize;
 
 /// What all engines of a deployment are.
@@ -133,11 +133,11 @@
 }
 
 /// Ranges of what may stand in a file; drawn deployments lie well within.
-const LONGEST_S: f64 = 3_600.0;
-const MOST_MACHINES: u64 = 1_000;
-const LONGEST_MS: f64 = 600_000.0;
+const MAX_DURATION_S: f64 = 3_600.0;
+const MAX_MACHINES: u64 = 1_000;
+const MAX_DURATION_MS: f64 = 600_000.0;
 
-fn engine_spec(reader: &mut TableReader<'_>) -> EngineSpec {
+fn read_engine_spec(reader: &mut TableReader<'_>) -> EngineSpec {
     EngineSpec {
         slots: reader.integer("slots", &(1..=4_096)) as u32,
         memory_tokens: reader.integer("memory_tokens", &(1_000..=1_000_000_000)),
@@ -152,7 +152,7 @@
     }
 }
 
-fn class(reader: &mut TableReader<'_>) -> Class {
+fn read_class(reader: &mut TableReader<'_>) -> Class {
     Class {
         name: reader.name("name"),
         per_s: reader.number("per_s", &(0.001..=1_000_000.0)),
@@ -162,24 +162,24 @@
         shared_tokens: reader.integer("shared_tokens", &(0..=1_000_000)) as u32,
         own_tokens: reader.number("own_tokens", &(1.0..=1_000_000.0)),
         out_tokens: reader.number("out_tokens", &(1.0..=100_000.0)),
-        aim_ms: reader.number("aim_ms", &(1.0..=LONGEST_MS)),
-        gap_ms: reader.number("gap_ms", &(1.0..=LONGEST_MS)),
-        limit_ms: reader.number("limit_ms", &(1.0..=LONGEST_MS)),
+        aim_ms: reader.number("aim_ms", &(1.0..=MAX_DURATION_MS)),
+        gap_ms: reader.number("gap_ms", &(1.0..=MAX_DURATION_MS)),
+        limit_ms: reader.number("limit_ms", &(1.0..=MAX_DURATION_MS)),
         worth: reader.number("worth", &(0.0..=1_000_000.0)),
         late: reader.ratio("late", 0.0),
     }
 }
 
-fn burst(reader: &mut TableReader<'_>) -> Burst {
+fn read_burst(reader: &mut TableReader<'_>) -> Burst {
     Burst {
         class: reader.name("class"),
-        at_s: reader.number("at_s", &(0.0..=LONGEST_S)),
-        for_s: reader.number("for_s", &(0.0..=LONGEST_S)),
+        at_s: reader.number("at_s", &(0.0..=MAX_DURATION_S)),
+        for_s: reader.number("for_s", &(0.0..=MAX_DURATION_S)),
         times: reader.number("times", &(1.0..=1_000.0)),
     }
 }
 
-fn fault(reader: &mut TableReader<'_>) -> Fault {
+fn read_fault(reader: &mut TableReader<'_>) -> Fault {
     let kind = match reader.string("kind").as_str() {
         "slow" => FaultKind::Slow,
         "crash" => FaultKind::Crash,
@@ -192,8 +192,8 @@
     };
     Fault {
         kind,
-        at_s: reader.number("at_s", &(0.0..=LONGEST_S)),
-        for_s: reader.number("for_s", &(0.0..=LONGEST_S)),
+        at_s: reader.number("at_s", &(0.0..=MAX_DURATION_S)),
+        for_s: reader.number("for_s", &(0.0..=MAX_DURATION_S)),
         share: reader.number("share", &(0.0..=1.0)),
         times: reader.number_opt("times", &(0.0..=1_000.0)).unwrap_or(1.0),
     }
@@ -204,21 +204,21 @@
     ///
     /// # Errors
     /// Every fault at once, unknown keys included.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Wrong>> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Vec<FileFault>> {
         let mut reader = TableReader::parse(file, text);
-        let engine_specs = reader.tables("make", engine_spec);
+        let engine_specs = reader.tables("make", read_engine_spec);
         let deployment = Self {
             name: reader.name("name"),
-            seconds: reader.number("seconds", &(1.0..=LONGEST_S)),
+            seconds: reader.number("seconds", &(1.0..=MAX_DURATION_S)),
             halls: reader.integer("halls", &(1..=100)) as usize,
-            boxes: reader.integer("boxes", &(1..=MOST_MACHINES)) as usize,
-            engines: reader.integer("engines", &(1..=MOST_MACHINES)) as usize,
+            boxes: reader.integer("boxes", &(1..=MAX_MACHINES)) as usize,
+            engines: reader.integer("engines", &(1..=MAX_MACHINES)) as usize,
             near_ms: reader.number("near_ms", &(0.0..=1_000.0)),
             far_ms: reader.number("far_ms", &(0.0..=1_000.0)),
-            engine_spec: engine_specs.first().cloned().unwrap_or_else(EngineSpec::none),
-            classes: reader.tables("class", class),
-            bursts: reader.tables("burst", burst),
-            faults: reader.tables("fault", fault),
+            engine_spec: engine_specs.first().cloned().unwrap_or_else(EngineSpec::placeholder),
+            classes: reader.tables("class", read_class),
+            bursts: reader.tables("burst", read_burst),
+            faults: reader.tables("fault", read_fault),
         };
         if engine_specs.len() != 1 {
             reader.fault("make", "must stand there once, as [[make]]");
@@ -231,11 +231,11 @@
                 reader.fault(&format!("burst[{index}].class"), format!("there is no class '{}'", burst.class));
             }
         }
-        let wrongs = reader.finish();
-        if wrongs.is_empty() {
+        let file_faults = reader.finish();
+        if file_faults.is_empty() {
             Ok(deployment)
         } else {
-            Err(wrongs)
+            Err(file_faults)
         }
     }
 
@@ -277,7 +277,7 @@
 
 impl EngineSpec {
     /// Stands in where a file has none, which is a fault.
-    fn none() -> Self {
+    fn placeholder() -> Self {
         Self {
             slots: 1,
             memory_tokens: 1_000,
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -3,7 +3,7 @@
 //! A step makes one event for each request whose prompt was read, and reads a piece of one prompt. What a step takes grows with the
 //! requests that run and with what is read, so that reading holds up everybody's tokens.
 
-use crate::memory::Memory;
+use crate::kv_cache::KvCache;
 use crate::{EngineSpec, Micros};
 use placement::Part;
 
@@ -14,21 +14,21 @@
     pub(crate) send: u64,
     pub(crate) urgency: u8,
     pub(crate) parts: Vec<Part>,
-    pub(crate) tokens: u32,
+    pub(crate) prompt_tokens: u32,
     /// Tokens that it will make.
-    pub(crate) out: u32,
+    pub(crate) out_tokens: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct Running {
     job: Job,
-    unread: u32,
-    made: u32,
+    prefill_left: u32,
+    generated: u32,
 }
 
 /// What a step brought for a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Made {
+pub(crate) enum StepOutput {
     /// An event.
     Event,
     /// The last one.
@@ -40,12 +40,12 @@
 pub(crate) struct Engine {
     engine_spec: EngineSpec,
     /// How many times as long as the make says everything takes.
-    pub(crate) slowness: f64,
-    pub(crate) memory: Memory,
-    running: Vec<Run>,
+    pub(crate) slowdown: f64,
+    pub(crate) cache: KvCache,
+    running: Vec<Running>,
     queue: Vec<Job>,
     /// True while a step is under way.
-    pub(crate) stepping: bool,
+    pub(crate) step_in_progress: bool,
     /// Prompt tokens that were read, and those of them that this or another engine had read before.
     pub(crate) prefilled_tokens: u64,
     /// Requests that were put back for want of memory.
@@ -53,121 +53,123 @@
 }
 
 impl Engine {
-    pub(crate) fn new(engine_spec: &EngineSpec, slowness: f64) -> Self {
+    pub(crate) fn new(engine_spec: &EngineSpec, slowdown: f64) -> Self {
         Self {
             engine_spec: engine_spec.clone(),
-            slowness,
-            memory: Memory::default(),
+            slowdown,
+            cache: KvCache::default(),
             running: Vec::new(),
             queue: Vec::new(),
-            stepping: false,
+            step_in_progress: false,
             prefilled_tokens: 0,
             preempted: 0,
         }
     }
 
     /// A request comes.
-    pub(crate) fn take(&mut self, job: Job) {
+    pub(crate) fn enqueue(&mut self, job: Job) {
         self.queue.push(job);
     }
 
     /// Its caller has left, or its box.
-    pub(crate) fn drop_send(&mut self, send: u64) {
+    pub(crate) fn cancel(&mut self, send: u64) {
         self.queue.retain(|job| job.send != send);
         if let Some(index) = self.running.iter().position(|run| run.job.send == send) {
             let run = self.running.remove(index);
-            self.memory.release(&run.job.parts, run.made);
+            self.cache.release(&run.job.parts, run.generated);
         }
     }
 
     /// All requests that it has.
-    pub(crate) fn sends(&self) -> Vec<u64> {
+    pub(crate) fn send_ids(&self) -> Vec<u64> {
         self.running.iter().map(|run| run.job.send).chain(self.queue.iter().map(|job| job.send)).collect()
     }
 
     /// Begins a step: how long it takes, or none where nothing is to be done.
-    pub(crate) fn begin(&mut self) -> Option<Micros> {
+    pub(crate) fn begin_step(&mut self) -> Option<Micros> {
         self.admit();
         if self.running.is_empty() {
             return None;
         }
-        self.stepping = true;
-        let generating = self.running.iter().filter(|run| run.unread == 0).count();
-        let tokens = if generating > 0 { f64::from(self.engine_spec.stride) } else { 1.0 };
-        let step = (self.engine_spec.step_ms + self.engine_spec.run_ms * self.running.len() as f64) * tokens;
-        let reading = f64::from(self.piece()) / self.engine_spec.read_per_ms;
-        Some(((step + reading) * self.slowness * 1e3).max(1.0) as Micros)
+        self.step_in_progress = true;
+        let generating = self.running.iter().filter(|run| run.prefill_left == 0).count();
+        let tokens_per_step = if generating > 0 { f64::from(self.engine_spec.stride) } else { 1.0 };
+        let step_ms =
+            (self.engine_spec.step_ms + self.engine_spec.run_ms * self.running.len() as f64) * tokens_per_step;
+        let prefill_ms = f64::from(self.prefill_chunk()) / self.engine_spec.read_per_ms;
+        Some(((step_ms + prefill_ms) * self.slowdown * 1e3).max(1.0) as Micros)
     }
 
     /// Prompt tokens that the step under way reads: of the request that came first.
-    fn piece(&self) -> u32 {
-        let first = self.running.iter().find(|run| run.unread > 0);
-        first.map_or(0, |run| run.unread.min(self.engine_spec.piece_tokens))
+    fn prefill_chunk(&self) -> u32 {
+        let first = self.running.iter().find(|run| run.prefill_left > 0);
+        first.map_or(0, |run| run.prefill_left.min(self.engine_spec.piece_tokens))
     }
 
     /// Lets in what has a place and room, the most urgent first.
     fn admit(&mut self) {
         self.queue.sort_by_key(|job| (job.urgency, job.send));
         while self.running.len() < self.engine_spec.slots as usize && !self.queue.is_empty() {
-            if !self.memory.pin(&self.queue[0].parts, self.engine_spec.memory_tokens) {
+            if !self.cache.pin(&self.queue[0].parts, self.engine_spec.memory_tokens) {
                 return;
             }
             let job = self.queue.remove(0);
             // The last token is read in any case: the first event comes of it.
-            let unread = (job.tokens - self.memory.prefix(&job.parts)).max(1);
-            self.running.push(Run { job, unread, made: 0 });
+            let prefill_left = (job.prompt_tokens - self.cache.cached_prefix_tokens(&job.parts)).max(1);
+            self.running.push(Running { job, prefill_left, generated: 0 });
         }
     }
 
     /// Ends a step: what it brought, by send.
-    pub(crate) fn end(&mut self) -> Vec<(u64, Made)> {
-        self.stepping = false;
-        let piece = self.piece();
-        let first = self.running.iter().position(|run| run.unread > 0);
-        let mut made = Vec::new();
-        let (stride, most) = (self.engine_spec.stride, self.engine_spec.memory_tokens);
-        let generating: Vec<u64> = self.running.iter().filter(|run| run.unread == 0).map(|run| run.job.send).collect();
+    pub(crate) fn finish_step(&mut self) -> Vec<(u64, StepOutput)> {
+        self.step_in_progress = false;
+        let chunk = self.prefill_chunk();
+        let first = self.running.iter().position(|run| run.prefill_left > 0);
+        let mut outputs = Vec::new();
+        let (stride, capacity) = (self.engine_spec.stride, self.engine_spec.memory_tokens);
+        let generating: Vec<u64> =
+            self.running.iter().filter(|run| run.prefill_left == 0).map(|run| run.job.send).collect();
         if let Some(run) = first.map(|index| &mut self.running[index]) {
-            run.unread -= piece;
-            self.prefilled_tokens += u64::from(piece);
-            if run.unread == 0 {
-                self.memory.read(&run.job.parts);
-                let last = run.job.out <= run.made + 1;
-                made.push((run.job.send, if last { Made::Last } else { Made::Event }));
+            run.prefill_left -= chunk;
+            self.prefilled_tokens += u64::from(chunk);
+            if run.prefill_left == 0 {
+                self.cache.mark_prefilled(&run.job.parts);
+                let last = run.job.out_tokens <= run.generated + 1;
+                outputs.push((run.job.send, if last { StepOutput::Last } else { StepOutput::Event }));
             }
         }
         for send in generating {
-            while !self.memory.grow(stride, most) {
-                if !self.step_back() {
+            while !self.cache.reserve_generated(stride, capacity) {
+                if !self.preempt_one() {
                     break;
                 }
             }
             let Some(run) = self.running.iter_mut().find(|run| run.job.send == send) else { continue };
-            run.made += stride;
-            let last = run.made >= run.job.out;
-            made.push((send, if last { Made::Last } else { Made::Event }));
+            run.generated += stride;
+            let last = run.generated >= run.job.out_tokens;
+            outputs.push((send, if last { StepOutput::Last } else { StepOutput::Event }));
         }
-        for (send, _) in made.iter().filter(|(_, what)| *what == Made::Last) {
-            self.drop_send(*send);
+        for (send, _) in outputs.iter().filter(|(_, output)| *output == StepOutput::Last) {
+            self.cancel(*send);
         }
-        made
+        outputs
     }
 
     /// The newest of the least urgent requests gives up its memory, and is read anew later. False where only one runs.
-    fn step_back(&mut self) -> bool {
+    fn preempt_one(&mut self) -> bool {
         if self.running.len() < 2 {
             return false;
         }
-        let least = (0..self.running.len()).max_by_key(|index| {
+        let candidate = (0..self.running.len()).max_by_key(|index| {
             let job = &self.running[*index].job;
             (job.urgency, job.send)
         });
-        let Some(index) = least else { return false };
+        let Some(index) = candidate else { return false };
         let run = self.running.remove(index);
-        self.memory.release(&run.job.parts, run.made);
+        self.cache.release(&run.job.parts, run.generated);
         self.preempted += 1;
-        let out = run.job.out.saturating_sub(run.made).max(1);
-        self.queue.push(Job { out, ..run.job });
+        let out_tokens = run.job.out_tokens.saturating_sub(run.generated).max(1);
+        self.queue.push(Job { out_tokens, ..run.job });
         true
     }
 }
--- a/crates/model/src/experiment.rs
+++ b/crates/model/src/experiment.rs
@@ -8,7 +8,7 @@
 use std::path::PathBuf;
 
 /// Confidence of the intervals.
-const CONFIDENCE: f64 = 0.95;
+const CONFIDENCE_LEVEL: f64 = 0.95;
 
 /// Where deployments come from.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,9 +28,9 @@
     pub arms: Vec<Arm>,
     /// Deployments.
     pub sources: Vec<Source>,
-    /// Seeds that each is played with.
+    /// Seeds that each is results with.
     pub seeds: Vec<u64>,
-    /// How long drawn deployments are played, in seconds.
+    /// How long drawn deployments are results, in seconds.
     pub seconds: f64,
     /// Most boxes and engines of drawn deployments.
     pub max_machines: usize,
@@ -71,7 +71,7 @@
 }
 
 /// How much worth tells two arms on one deployment apart.
-const APART: f64 = 0.01;
+const MIN_WORTH_DIFFERENCE: f64 = 0.01;
 
 impl Experiment {
     /// Reads an experiment from the text of `file`.
@@ -84,7 +84,7 @@
         for (index, name) in reader.strings("arms").iter().enumerate() {
             match name.parse() {
                 Ok(arm) => arms.push(arm),
-                Err(why) => reader.fault(&format!("arms[{index}]"), why),
+                Err(error) => reader.fault(&format!("arms[{index}]"), error),
             }
         }
         let files = reader.strings("deployments").into_iter().map(|file| Source::File(PathBuf::from(file)));
@@ -107,15 +107,15 @@
         if experiment.sources.is_empty() {
             reader.fault("draws", "is missing, and there are no deployments: nothing is played");
         }
-        let wrongs = reader.finish();
-        if wrongs.is_empty() {
+        let faults = reader.finish();
+        if faults.is_empty() {
             Ok(experiment)
         } else {
-            Err(wrongs)
+            Err(faults)
         }
     }
 
-    /// How many plays there are.
+    /// How many runs there are.
     #[must_use]
     pub fn run_count(&self) -> usize {
         self.sources.len() * self.seeds.len() * self.arms.len()
@@ -124,31 +124,31 @@
     /// Plays all on the threads of the pool that this runs in; `done` is told after each play. In the order of deployments, seeds and
     /// arms, whichever ended first.
     #[must_use]
-    pub fn run(&self, deployments: &[Deployment], done: &(dyn Fn() + Sync)) -> Vec<RunResult> {
-        let mut plays = Vec::new();
+    pub fn run(&self, deployments: &[Deployment], on_run_done: &(dyn Fn() + Sync)) -> Vec<RunResult> {
+        let mut runs = Vec::new();
         for deployment in deployments {
             for seed in &self.seeds {
-                plays.extend(self.arms.iter().map(|arm| (deployment, *seed, *arm)));
+                runs.extend(self.arms.iter().map(|arm| (deployment, *seed, *arm)));
             }
         }
-        let play = |(deployment, seed, arm): (&Deployment, u64, Arm)| {
+        let run = |(deployment, seed, arm): (&Deployment, u64, Arm)| {
             let outcome = Simulation::new(deployment, arm, seed).run();
-            done();
+            on_run_done();
             RunResult { deployment: deployment.name.clone(), seed, arm, worth: outcome.worth(), outcome }
         };
-        plays.into_par_iter().map(play).collect()
+        runs.into_par_iter().map(run).collect()
     }
 
     /// Compares each arm with the first: of each deployment the mean over its seeds counts, so that seeds of one deployment don't pass for
     /// many deployments.
     #[must_use]
-    pub fn compare(&self, played: &[RunResult]) -> Vec<ArmComparison> {
+    pub fn compare(&self, results: &[RunResult]) -> Vec<ArmComparison> {
         let Some(base) = self.arms.first() else { return Vec::new() };
-        let mut names: Vec<&str> = played.iter().map(|played| played.deployment.as_str()).collect();
+        let mut names: Vec<&str> = results.iter().map(|result| result.deployment.as_str()).collect();
         names.dedup();
         let mean = |name: &str, arm: Arm| {
-            let worths = played.iter().filter(|played| played.deployment == name && played.arm == arm);
-            average(&worths.map(|played| played.worth).collect::<Vec<_>>())
+            let worths = results.iter().filter(|result| result.deployment == name && result.arm == arm);
+            average(&worths.map(|result| result.worth).collect::<Vec<_>>())
         };
         let compare = |arm: &Arm| {
             let worths: Vec<f64> = names.iter().map(|name| mean(name, *arm)).collect();
@@ -159,8 +159,8 @@
                 worth: average(&worths),
                 mean_difference: average(&differences),
                 half_width: half_width(&differences),
-                better: differences.iter().filter(|difference| **difference >= APART).count(),
-                worse: differences.iter().filter(|difference| **difference <= -APART).count(),
+                better: differences.iter().filter(|difference| **difference >= MIN_WORTH_DIFFERENCE).count(),
+                worse: differences.iter().filter(|difference| **difference <= -MIN_WORTH_DIFFERENCE).count(),
             }
         };
         self.arms.iter().map(compare).collect()
@@ -178,5 +178,5 @@
     let mean = average(values);
     let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / degrees;
     let student = StudentsT::new(0.0, 1.0, degrees).ok()?;
-    Some(student.inverse_cdf(0.5 + CONFIDENCE / 2.0) * (variance / count).sqrt())
+    Some(student.inverse_cdf(0.5 + CONFIDENCE_LEVEL / 2.0) * (variance / count).sqrt())
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -4,22 +4,22 @@
 //! [`Experiment`] compares arms on many drawn deployments.
 
 mod arm;
-mod call;
+mod arrivals;
+mod client_request;
 mod deployment;
 mod draw;
 mod engine;
 mod experiment;
-mod memory;
+mod kv_cache;
 mod outcome;
-mod prompts;
 mod router;
-mod world;
+mod simulation;
 
 pub use arm::Arm;
 pub use deployment::{Burst, Class, Deployment, EngineSpec, Fault, FaultKind};
 pub use experiment::{ArmComparison, Experiment, RunResult, Source};
 pub use outcome::{ClassOutcome, Outcome};
-pub use world::Simulation;
+pub use simulation::Simulation;
 
 /// Virtual time in microseconds.
 pub type Micros = u64;
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -67,50 +67,50 @@
 
 /// Counts for one class.
 #[derive(Clone, Debug)]
-pub(crate) struct Counter {
-    pub(crate) tally: ClassOutcome,
-    first: Histogram<u64>,
+pub(crate) struct ClassRecorder {
+    pub(crate) outcome: ClassOutcome,
+    first_event_ms: Histogram<u64>,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
     Answered,
     Refused,
     Lost,
 }
 
-impl Counter {
+impl ClassRecorder {
     pub(crate) fn new(class: &Class) -> Self {
-        let tally = ClassOutcome { class: class.name.clone(), ..ClassOutcome::default() };
-        Self { tally, first: Histogram::new(3).expect("three digits") }
+        let outcome = ClassOutcome { class: class.name.clone(), ..ClassOutcome::default() };
+        Self { outcome, first_event_ms: Histogram::new(3).expect("three digits") }
     }
 
-    pub(crate) fn end(&mut self, class: &Class, end: End, first: Option<Micros>, pause: Micros) {
-        self.tally.requests += 1;
-        self.tally.max_worth += class.worth;
+    pub(crate) fn record(&mut self, class: &Class, end: RequestEnd, first_event: Option<Micros>, max_gap: Micros) {
+        self.outcome.requests += 1;
+        self.outcome.max_worth += class.worth;
         let in_time =
-            first.is_some_and(|first| first as f64 <= class.aim_ms * 1e3) && pause as f64 <= class.gap_ms * 1e3;
-        if let Some(first) = first {
+            first_event.is_some_and(|first| first as f64 <= class.aim_ms * 1e3) && max_gap as f64 <= class.gap_ms * 1e3;
+        if let Some(first) = first_event {
             // The histogram grows as needed.
-            self.first.saturating_record(first / 1_000);
+            self.first_event_ms.saturating_record(first / 1_000);
         }
         match end {
-            End::Answered if in_time => {
-                self.tally.in_time += 1;
-                self.tally.worth += class.worth;
+            RequestEnd::Answered if in_time => {
+                self.outcome.in_time += 1;
+                self.outcome.worth += class.worth;
             }
-            End::Answered => {
-                self.tally.late += 1;
-                self.tally.worth += class.worth * class.late;
+            RequestEnd::Answered => {
+                self.outcome.late += 1;
+                self.outcome.worth += class.worth * class.late;
             }
-            End::Refused => self.tally.refused += 1,
-            End::Lost => self.tally.lost += 1,
+            RequestEnd::Refused => self.outcome.refused += 1,
+            RequestEnd::Lost => self.outcome.lost += 1,
         }
     }
 
     pub(crate) fn finish(self) -> ClassOutcome {
-        let first_ms = [0.5, 0.95].map(|part| self.first.value_at_quantile(part));
-        ClassOutcome { first_ms, ..self.tally }
+        let first_ms = [0.5, 0.95].map(|quantile| self.first_event_ms.value_at_quantile(quantile));
+        ClassOutcome { first_ms, ..self.outcome }
     }
 }
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -15,16 +15,16 @@
 pub(crate) const SERVICE: &str = "engines";
 
 /// Most owners that are asked for one request, as in the program.
-const OWNERS_ASKED: usize = 9;
+const MAX_OWNERS_QUERIED: usize = 9;
 
 /// When a caller is asked back whose request found no engine.
-const COME_BACK_MS: Millis = 400;
+const RETRY_DELAY_MS: Millis = 400;
 
 /// Shortest time after which a caller is asked back where all places are taken.
-const CROWD_MS: Millis = 1_000;
+const OVERLOAD_RETRY_DELAY_MS: Millis = 1_000;
 
 /// Servers tried before, where admission is to let all through: it refuses nothing that was sent before.
-const SENT_BEFORE: &str = "sent before";
+const PRIOR_SEND_ID: &str = "sent before";
 
 /// One box.
 pub(crate) struct Router {
@@ -33,7 +33,7 @@
 }
 
 /// What a box chooses by beside what it knows itself.
-pub(crate) struct Around<'a> {
+pub(crate) struct RouterContext<'a> {
     pub(crate) arm: Arm,
     /// What owners know: each knows of its servers what all boxes told.
     pub(crate) owner: &'a mut Owner,
@@ -67,23 +67,28 @@
     }
 
     /// Chooses an engine.
-    pub(crate) fn choose(&mut self, request: Request<'_>, around: &mut Around<'_>) -> Result<Choice, Refused> {
-        if around.arm.places() {
-            return self.place(request, around);
+    pub(crate) fn choose(&mut self, request: Request<'_>, context: &mut RouterContext<'_>) -> Result<Choice, Refused> {
+        if context.arm.uses_placement() {
+            return self.place(request, context);
         }
-        let server = self.pick(request, around).ok_or(Refused(COME_BACK_MS))?;
-        Ok(sent_to(server, request))
+        let server = self.pick_baseline(request, context).ok_or(Refused(RETRY_DELAY_MS))?;
+        Ok(baseline_choice(server, request))
     }
 
-    fn place(&mut self, request: Request<'_>, around: &mut Around<'_>) -> Result<Choice, Refused> {
+    fn place(&mut self, request: Request<'_>, context: &mut RouterContext<'_>) -> Result<Choice, Refused> {
         let mut tried = request.tried.to_vec();
-        if around.arm == Arm::WithoutAdmission {
-            tried.push(SENT_BEFORE.to_owned());
+        if context.arm == Arm::WithoutAdmission {
+            tried.push(PRIOR_SEND_ID.to_owned());
         }
-        let ask = ask(request, &tried, &[]);
-        let opinions = if around.arm == Arm::WithoutOwners { Vec::new() } else { self.consult(&ask, request, around) };
-        let mut choice = self.with_leave(&PlacementRequest { statuses: &opinions, ..ask }, around)?;
-        match around.arm {
+        let placement_request = placement_request(request, &tried, &[]);
+        let statuses = if context.arm == Arm::WithoutOwners {
+            Vec::new()
+        } else {
+            self.query_owners(&placement_request, request, context)
+        };
+        let mut choice =
+            self.place_with_permit(&PlacementRequest { statuses: &statuses, ..placement_request }, context)?;
+        match context.arm {
             Arm::WithoutFetching => choice.fetch = None,
             Arm::WithoutRegisters => choice.cache_directories.clear(),
             _ => {}
@@ -92,67 +97,85 @@
     }
 
     /// Chooses until an engine is found that needs no leave, or for which leave is given.
-    fn with_leave(&mut self, ask: &PlacementRequest<'_>, around: &mut Around<'_>) -> Result<Choice, Refused> {
+    fn place_with_permit(
+        &mut self,
+        placement_request: &PlacementRequest<'_>,
+        context: &mut RouterContext<'_>,
+    ) -> Result<Choice, Refused> {
         let mut denied = Vec::new();
         loop {
-            let choice = self.placement.choose(&PlacementRequest { denied: &denied, ..*ask });
-            let choice = choice.map_err(|refusal| Refused(back_ms(refusal, around.rng)))?;
+            let choice = self.placement.choose(&PlacementRequest { denied: &denied, ..*placement_request });
+            let choice = choice.map_err(|refusal| Refused(retry_delay_ms(refusal, context.rng)))?;
             let Some(quotas) = choice.permit_quotas else { return Ok(choice) };
-            *around.owner_queries += 1;
+            *context.owner_queries += 1;
             let id = choice.server.id.clone();
-            let permit =
-                PermitRequest { number: *around.owner_queries, server: id.clone(), quotas, urgency: ask.urgency };
-            match around.owner.on_permit_request(&permit, ask.now) {
+            let permit = PermitRequest {
+                number: *context.owner_queries,
+                server: id.clone(),
+                quotas,
+                urgency: placement_request.urgency,
+            };
+            match context.owner.on_permit_request(&permit, placement_request.now) {
                 PermitReply::Granted => return Ok(choice),
-                PermitReply::Denied { retry_ms: again } => {
-                    self.placement.record_denial(SERVICE, &id, ask.urgency, ask.now + again);
+                PermitReply::Denied { retry_ms } => {
+                    self.placement.record_denial(
+                        SERVICE,
+                        &id,
+                        placement_request.urgency,
+                        placement_request.now + retry_ms,
+                    );
                 }
             }
             denied.push(id);
         }
     }
 
-    fn consult(
+    fn query_owners(
         &mut self,
-        ask: &PlacementRequest<'_>,
+        placement_request: &PlacementRequest<'_>,
         request: Request<'_>,
-        around: &mut Around<'_>,
+        context: &mut RouterContext<'_>,
     ) -> Vec<(String, ServerStatus)> {
-        let mut opinions = Vec::new();
-        for server in self.placement.servers_to_query(ask, OWNERS_ASKED) {
-            *around.owner_queries += 1;
-            let question = StatusQuery {
-                number: *around.owner_queries,
+        let mut statuses = Vec::new();
+        for server in self.placement.servers_to_query(placement_request, MAX_OWNERS_QUERIED) {
+            *context.owner_queries += 1;
+            let query = StatusQuery {
+                number: *context.owner_queries,
                 server: server.id.clone(),
                 parts: request.prompt.parts.clone(),
                 gap_ms: request.class.gap_ms as u32,
             };
-            let opinion = around.owner.on_query(&question, request.now);
-            self.placement.on_status(SERVICE, &server.id, opinion.clone(), request.now);
-            opinions.push((server.id.clone(), opinion));
+            let status = context.owner.on_query(&query, request.now);
+            self.placement.on_status(SERVICE, &server.id, status.clone(), request.now);
+            statuses.push((server.id.clone(), status));
         }
-        opinions
+        statuses
     }
 
     /// The engine that a baseline takes.
-    fn pick(&self, request: Request<'_>, around: &mut Around<'_>) -> Option<Arc<Server>> {
-        let open = around.servers.iter().filter(|server| !server.draining && !request.tried.contains(&server.id));
-        let open: Vec<&Arc<Server>> = open.collect();
-        let near: Vec<&Arc<Server>> = open.iter().copied().filter(|server| server.hall == self.hall).collect();
-        let server = match around.arm {
-            Arm::Hall if !near.is_empty() => least(&near, request, around),
-            Arm::Two if open.len() > 1 => {
-                let two = [0; 2].map(|_| open[around.rng.random_range(0..open.len())]);
-                least(&two, request, around)
+    fn pick_baseline(&self, request: Request<'_>, context: &mut RouterContext<'_>) -> Option<Arc<Server>> {
+        let candidates =
+            context.servers.iter().filter(|server| !server.draining && !request.tried.contains(&server.id));
+        let candidates: Vec<&Arc<Server>> = candidates.collect();
+        let near: Vec<&Arc<Server>> = candidates.iter().copied().filter(|server| server.hall == self.hall).collect();
+        let server = match context.arm {
+            Arm::Hall if !near.is_empty() => least_loaded(&near, request, context),
+            Arm::Two if candidates.len() > 1 => {
+                let two = [0; 2].map(|_| candidates[context.rng.random_range(0..candidates.len())]);
+                least_loaded(&two, request, context)
             }
-            Arm::Prefix => by_prefix(&open, request, around),
-            _ => least(&open, request, around),
+            Arm::Prefix => first_ranked_with_free_slot(&candidates, request, context),
+            _ => least_loaded(&candidates, request, context),
         };
         server.map(Arc::clone)
     }
 }
 
-fn ask<'a>(request: Request<'a>, tried: &'a [String], opinions: &'a [(String, ServerStatus)]) -> PlacementRequest<'a> {
+fn placement_request<'a>(
+    request: Request<'a>,
+    tried: &'a [String],
+    statuses: &'a [(String, ServerStatus)],
+) -> PlacementRequest<'a> {
     PlacementRequest {
         service: SERVICE,
         prompt: Some(request.prompt),
@@ -163,40 +186,44 @@
         tried,
         denied: &[],
         allowed_regions: [None, None],
-        statuses: opinions,
+        statuses,
         now: request.now,
     }
 }
 
-fn running(server: &Server, now: Millis, around: &mut Around<'_>) -> u32 {
-    let question = StatusQuery { number: 0, server: server.id.clone(), parts: Vec::new(), gap_ms: 0 };
-    around.owner.on_query(&question, now).load.running
+fn running_requests(server: &Server, now: Millis, context: &mut RouterContext<'_>) -> u32 {
+    let query = StatusQuery { number: 0, server: server.id.clone(), parts: Vec::new(), gap_ms: 0 };
+    context.owner.on_query(&query, now).load.running
 }
 
 /// The engine with the fewest requests of all boxes.
-fn least<'a>(servers: &[&'a Arc<Server>], request: Request<'_>, around: &mut Around<'_>) -> Option<&'a Arc<Server>> {
-    let draw: u64 = around.rng.random();
+fn least_loaded<'a>(
+    servers: &[&'a Arc<Server>],
+    request: Request<'_>,
+    context: &mut RouterContext<'_>,
+) -> Option<&'a Arc<Server>> {
+    let draw: u64 = context.rng.random();
     servers.iter().copied().min_by_key(|server| {
-        let running = running(server, request.now, around);
+        let running = running_requests(server, request.now, context);
         (running, routing::rank(draw, &server.id))
     })
 }
 
 /// The first engine by the rank of the prompt's shared part that has fewer requests than places, else that with the fewest.
-fn by_prefix<'a>(
+fn first_ranked_with_free_slot<'a>(
     servers: &[&'a Arc<Server>],
     request: Request<'_>,
-    around: &mut Around<'_>,
+    context: &mut RouterContext<'_>,
 ) -> Option<&'a Arc<Server>> {
     let part = request.prompt.parts.first().map_or(0, |part| part.id);
     let mut ranked = servers.to_vec();
     ranked.sort_by_key(|server| std::cmp::Reverse(routing::rank(part, &server.id)));
-    let free = ranked.iter().copied().find(|server| running(server, request.now, around) < server.slots);
-    free.or_else(|| least(servers, request, around))
+    let free = ranked.iter().copied().find(|server| running_requests(server, request.now, context) < server.slots);
+    free.or_else(|| least_loaded(servers, request, context))
 }
 
 /// What a baseline's choice adds to a server.
-fn sent_to(server: Arc<Server>, request: Request<'_>) -> Choice {
+fn baseline_choice(server: Arc<Server>, request: Request<'_>) -> Choice {
     let work = placement::Work {
         held: request.prompt.tokens,
         urgency: request.class.urgency,
@@ -216,17 +243,17 @@
 }
 
 /// When a caller is asked back, as the program does.
-fn back_ms(refusal: Refusal, rng: &mut ChaCha8Rng) -> Millis {
+fn retry_delay_ms(refusal: Refusal, rng: &mut ChaCha8Rng) -> Millis {
     let spread = rng.random_range(1.0..2.0);
     match refusal {
-        Refusal::Overloaded { wait_ms } => ((wait_ms + CROWD_MS as f64) * spread) as Millis,
-        Refusal::BackingOff { retry_ms: back_ms } | Refusal::Limited { retry_ms: back_ms } => back_ms.max(COME_BACK_MS),
-        Refusal::NoServer | Refusal::Cold => COME_BACK_MS,
+        Refusal::Overloaded { wait_ms } => ((wait_ms + OVERLOAD_RETRY_DELAY_MS as f64) * spread) as Millis,
+        Refusal::BackingOff { retry_ms } | Refusal::Limited { retry_ms } => retry_ms.max(RETRY_DELAY_MS),
+        Refusal::NoServer | Refusal::Cold => RETRY_DELAY_MS,
     }
 }
 
 /// The configuration of a deployment: a route for each class to one service.
-pub(crate) fn table(deployment: &Deployment, arm: Arm) -> Table {
+pub(crate) fn routing_table(deployment: &Deployment, arm: Arm) -> Table {
     let engine_spec = &deployment.engine_spec;
     let engine = routing::Engine {
         slots: engine_spec.slots,
@@ -238,7 +265,7 @@
     let service = Service { name: SERVICE.to_owned(), max_connections: 1_000, engine: Some(engine), cold_start: None };
     let routes = deployment.classes.iter().map(|class| {
         // Engines are divided by the shortest pause that is known to be too long.
-        let gap = (arm != Arm::WithoutDivision).then(|| Duration::from_secs_f64(class.gap_ms / 1e3));
+        let gap_target = (arm != Arm::WithoutDivision).then(|| Duration::from_secs_f64(class.gap_ms / 1e3));
         Route {
             name: class.name.clone(),
             host: "a.example".to_owned(),
@@ -246,7 +273,7 @@
             kind: Kind::Stream { resumable: true },
             timeout: Duration::from_secs_f64(class.limit_ms / 1e3),
             latency_target: Duration::from_secs_f64(class.aim_ms / 1e3),
-            gap_target: gap,
+            gap_target,
             priority: class.urgency,
             shares: vec![Share { service: SERVICE.to_owned(), weight: 1 }],
             max_attempts: 2,
--- a/crates/model/tests/deployment.rs
+++ b/crates/model/tests/deployment.rs
@@ -3,7 +3,7 @@
 use model::{Arm, Deployment, Experiment, Source};
 
 #[test]
-fn what_is_drawn_can_be_written_and_read() {
+fn drawn_deployments_round_trip_through_toml() {
     for seed in 0..200 {
         let drawn = Deployment::draw(seed, 30.0, 400);
         let text = drawn.to_text().expect("a text");
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_fault_of_a_file_is_named_at_once() {
+fn parse_reports_every_fault_of_a_deployment_file() {
     let text = Deployment::draw(3, 30.0, 20).to_text().expect("a text");
     let text = text.replace("halls = ", "hall = ").replace("near_ms = ", "near_ms = -");
     let text = format!("{text}\n[[burst]]\nclass = \"nobody\"\nat_s = 1.0\nfor_s = 1.0\ntimes = 2.0\n[[fault]]\nkind = \"odd\"\nat_s = 1.0\nfor_s = 1.0\nshare = 7.0\n");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_experiment_is_read_with_all_its_faults() {
+fn experiment_parse_reads_every_key_and_reports_every_fault() {
     let text = "name = \"x\"\narms = [\"placement\", \"least\"]\ndraws = 2\nfirst_draw = 5\nseeds = 3\ndeployments = [\"a.toml\"]\n";
     let experiment = Experiment::parse("x.toml", text).expect("an experiment");
     assert_eq!(experiment.arms, [Arm::Placement, Arm::Least]);
--- a/crates/model/tests/world.rs
+++ b/crates/model/tests/simulation.rs
@@ -51,30 +51,31 @@
     }
 }
 
-fn play(deployment: &Deployment, arm: Arm) -> Outcome {
+fn simulate(deployment: &Deployment, arm: Arm) -> Outcome {
     Simulation::new(deployment, arm, 7).run()
 }
 
 /// All requests end, each in one way, and none is worth more than it could be.
-fn assert_whole(deployment: &Deployment, outcome: &Outcome, what: &str) {
-    for (class, tally) in deployment.classes.iter().zip(&outcome.classes) {
-        let ended = tally.in_time + tally.late + tally.refused + tally.lost;
-        assert_eq!(tally.requests, ended, "{what}: {tally:?}");
-        assert!(tally.worth <= tally.max_worth, "{what}: {tally:?}");
+fn assert_consistent(deployment: &Deployment, outcome: &Outcome, context: &str) {
+    for (class, class_outcome) in deployment.classes.iter().zip(&outcome.classes) {
+        let ended = class_outcome.in_time + class_outcome.late + class_outcome.refused + class_outcome.lost;
+        assert_eq!(class_outcome.requests, ended, "{context}: {class_outcome:?}");
+        assert!(class_outcome.worth <= class_outcome.max_worth, "{context}: {class_outcome:?}");
         assert!(
-            (tally.max_worth - class.worth * tally.requests as f64).abs() < 1e-6 * tally.max_worth.max(1.0),
-            "{what}"
+            (class_outcome.max_worth - class.worth * class_outcome.requests as f64).abs()
+                < 1e-6 * class_outcome.max_worth.max(1.0),
+            "{context}"
         );
     }
 }
 
 #[test]
-fn where_there_is_room_all_is_answered_in_time_whoever_chooses() {
+fn every_arm_answers_in_time_at_low_load() {
     let deployment = deployment(6.0);
     for arm in Arm::ALL {
-        let outcome = play(&deployment, arm);
+        let outcome = simulate(&deployment, arm);
         let talk = &outcome.classes[0];
-        assert_whole(&deployment, &outcome, arm.as_str());
+        assert_consistent(&deployment, &outcome, arm.as_str());
         assert!(talk.requests > 80, "{talk:?}");
         assert!(talk.in_time as f64 >= 0.97 * talk.requests as f64, "{}: {talk:?}", arm.as_str());
         assert!(talk.first_ms[0] <= talk.first_ms[1]);
@@ -82,99 +83,103 @@
 }
 
 #[test]
-fn drawn_deployments_play_to_their_end_and_to_the_same_digits() {
+fn drawn_deployments_complete_and_repeat_exactly() {
     for seed in 1..=12 {
         let deployment = Deployment::draw(seed, 6.0, 12);
         for arm in [Arm::Placement, Arm::Two] {
             let outcome = Simulation::new(&deployment, arm, seed).run();
-            assert_whole(&deployment, &outcome, &deployment.name);
+            assert_consistent(&deployment, &outcome, &deployment.name);
             assert_eq!(outcome, Simulation::new(&deployment, arm, seed).run(), "{}", deployment.name);
         }
     }
 }
 
 #[test]
-fn arms_meet_the_same_callers() {
+fn all_arms_get_the_same_arrivals() {
     let deployment = deployment(20.0);
-    let asked: Vec<u64> = Arm::ALL.iter().map(|arm| play(&deployment, *arm).classes[0].requests).collect();
-    assert!(asked.iter().all(|count| *count == asked[0]), "{asked:?}");
+    let requests: Vec<u64> = Arm::ALL.iter().map(|arm| simulate(&deployment, *arm).classes[0].requests).collect();
+    assert!(requests.iter().all(|count| *count == requests[0]), "{requests:?}");
     let other = Simulation::new(&deployment, Arm::Least, 8).run();
-    assert_ne!(other.classes[0].requests, asked[0], "another seed, other callers");
+    assert_ne!(other.classes[0].requests, requests[0], "another seed, other callers");
 }
 
 #[test]
-fn shared_parts_are_read_once_where_somebody_looks_for_them() {
+fn prefix_arm_recomputes_fewer_shared_parts() {
     let deployment = deployment(30.0);
-    let by_prefix = play(&deployment, Arm::Prefix);
-    let by_load = play(&deployment, Arm::Least);
+    let by_prefix = simulate(&deployment, Arm::Prefix);
+    let least_loaded = simulate(&deployment, Arm::Least);
     assert!(
-        by_prefix.recomputed_tokens * 2 < by_load.recomputed_tokens,
+        by_prefix.recomputed_tokens * 2 < least_loaded.recomputed_tokens,
         "{} and {}",
         by_prefix.recomputed_tokens,
-        by_load.recomputed_tokens
+        least_loaded.recomputed_tokens
     );
     // The same callers: what one reads less it reads again less.
     let (read, again) = (
-        by_load.prefilled_tokens - by_prefix.prefilled_tokens,
-        by_load.recomputed_tokens - by_prefix.recomputed_tokens,
+        least_loaded.prefilled_tokens - by_prefix.prefilled_tokens,
+        least_loaded.recomputed_tokens - by_prefix.recomputed_tokens,
     );
     assert!(read.abs_diff(again) * 10 <= again, "{read} less read, {again} of it again");
-    assert_eq!(by_load.fetched_tokens, 0, "nobody fetches");
+    assert_eq!(least_loaded.fetched_tokens, 0, "nobody fetches");
     // Each of ten parts once at each of six engines; the first reading isn't again, but two requests that come together both read.
-    assert!(by_load.recomputed_tokens <= 10 * 6 * 4_000, "{}", by_load.recomputed_tokens);
+    assert!(least_loaded.recomputed_tokens <= 10 * 6 * 4_000, "{}", least_loaded.recomputed_tokens);
 }
 
 #[test]
-fn reading_holds_up_tokens_of_others_and_small_pieces_less_so() {
+fn smaller_prefill_chunks_delay_other_requests_less() {
     let mut deployment = deployment(20.0);
     deployment.classes[0].subjects = 100_000;
     deployment.classes[0].skew = 0.0;
     deployment.classes[0].shared_tokens = 12_000;
     deployment.classes[0].gap_ms = 150.0;
     deployment.engine_spec.piece_tokens = 8_192;
-    let large = play(&deployment, Arm::Least).classes[0].clone();
+    let large = simulate(&deployment, Arm::Least).classes[0].clone();
     deployment.engine_spec.piece_tokens = 512;
-    let small = play(&deployment, Arm::Least).classes[0].clone();
+    let small = simulate(&deployment, Arm::Least).classes[0].clone();
     assert!(small.in_time > 2 * large.in_time, "{small:?} and {large:?}");
 }
 
 #[test]
-fn requests_are_put_back_where_memory_runs_out_and_end_all_the_same() {
+fn requests_preempted_for_memory_still_end() {
     let mut deployment = deployment(40.0);
     deployment.engine_spec.memory_tokens = 9_000;
     deployment.classes[0].out_tokens = 300.0;
-    let outcome = play(&deployment, Arm::Least);
+    let outcome = simulate(&deployment, Arm::Least);
     assert!(outcome.preempted > 0);
-    assert_whole(&deployment, &outcome, "little memory");
+    assert_consistent(&deployment, &outcome, "little memory");
     assert!(outcome.classes[0].in_time + outcome.classes[0].late > 0);
     // A prompt that no memory holds is never read.
     deployment.engine_spec.memory_tokens = 3_000;
-    let outcome = play(&deployment, Arm::Least);
+    let outcome = simulate(&deployment, Arm::Least);
     assert_eq!(outcome.classes[0].lost, outcome.classes[0].requests);
 }
 
 #[test]
-fn faults_cost_something_and_nothing_is_forgotten() {
-    let calm = play(&deployment(30.0), Arm::Placement);
+fn faults_do_not_raise_the_worth_and_lose_no_request() {
+    let without_faults = simulate(&deployment(30.0), Arm::Placement);
     for (kind, share) in
         [(FaultKind::Slow, 0.5), (FaultKind::Crash, 0.5), (FaultKind::Leave, 0.5), (FaultKind::Crash, 1.0)]
     {
         let mut deployment = deployment(30.0);
         deployment.faults.push(Fault { kind, at_s: 5.0, for_s: 5.0, share, times: 6.0 });
         for arm in [Arm::Placement, Arm::Least] {
-            let outcome = play(&deployment, arm);
-            assert_whole(&deployment, &outcome, &format!("{kind:?}"));
+            let outcome = simulate(&deployment, arm);
+            assert_consistent(&deployment, &outcome, &format!("{kind:?}"));
             assert!(outcome.worth() > 0.3, "{kind:?} at {share}, {}: {}", arm.as_str(), outcome.worth());
         }
-        let hurt = play(&deployment, Arm::Placement).worth();
-        assert!(hurt < calm.worth() + 0.01, "{kind:?} at {share}: {hurt}, {} without", calm.worth());
+        let worth_with_fault = simulate(&deployment, Arm::Placement).worth();
+        assert!(
+            worth_with_fault < without_faults.worth() + 0.01,
+            "{kind:?} at {share}: {worth_with_fault}, {} without",
+            without_faults.worth()
+        );
     }
 }
 
 #[test]
-fn owners_knowledge_is_worth_something_where_engines_are_busy() {
+fn querying_owners_raises_the_worth_at_high_load() {
     let deployment = deployment(60.0);
-    let asked = play(&deployment, Arm::Placement).worth();
-    let alone = play(&deployment, Arm::WithoutOwners).worth();
-    assert!(asked > alone, "{asked} and {alone}");
+    let with_owners = simulate(&deployment, Arm::Placement).worth();
+    let without_owners = simulate(&deployment, Arm::WithoutOwners).worth();
+    assert!(with_owners > without_owners, "{with_owners} and {without_owners}");
 }
