--- a/crates/model/src/arm.rs
+++ b/crates/model/src/arm.rs
@@ -1,38 +1,38 @@
-//! Ways of deciding that are compared.
+//! Placement policies that experiments compare.
 
 use serde::Serialize;
 use std::str::FromStr;
 
-/// A policy.
+/// A placement policy: the production placement, the production placement without one of its features, or a baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Arm {
-    /// The program's own.
+    /// The production placement of cleatshelf.
     Placement,
-    /// The same, but boxes ask no owner.
+    /// `Placement`, but boxes send no status queries to owners.
     WithoutOwners,
-    /// The same, but no part is fetched from another engine.
+    /// `Placement`, but engines fetch no cached parts from each other.
     WithoutFetching,
-    /// The same, but nobody remembers who read a part away from its homes.
+    /// `Placement`, but no cache directories: engines that prefill a part away from its home servers are not recorded.
     WithoutRegisters,
-    /// The same, but nothing is refused for want of places.
+    /// `Placement`, but no request is refused for lack of free slots.
     WithoutAdmission,
-    /// The same, but no pause is known to be too long: engines aren't divided.
+    /// `Placement`, but routes have no gap target, so that engines are not divided.
     WithoutDivision,
-    /// The same, but no heed is paid to limits that engines name.
+    /// `Placement`, but rate limits that engines announce are ignored.
     WithoutLimits,
-    /// The engine with the fewest requests.
+    /// Baseline: the engine with the fewest requests.
     Least,
-    /// The better of two engines drawn by chance.
+    /// Baseline: the less loaded of two randomly chosen engines.
     Two,
-    /// The engine that ranks first for the prompt's shared part, and has a place.
+    /// Baseline: the first engine with a free slot in the rank order of the prompt's shared part, or the least loaded if all are full.
     Prefix,
-    /// The engine with the fewest requests in the box's hall.
+    /// Baseline: the engine with the fewest requests in the box's hall.
     Hall,
 }
 
 impl Arm {
-    /// All of them.
+    /// All arms.
     pub const ALL: [Self; 11] = [
         Self::Placement,
         Self::WithoutOwners,
@@ -47,7 +47,7 @@
         Self::Hall,
     ];
 
-    /// Its name in files and tables.
+    /// Returns the arm's name in experiment files and result tables.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// True where boxes choose with the program's placement.
+    /// Returns true if boxes choose engines with the production placement.
     pub(crate) fn uses_placement(self) -> bool {
         !matches!(self, Self::Least | Self::Two | Self::Prefix | Self::Hall)
     }
--- a/crates/model/src/arrivals.rs
+++ b/crates/model/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Draws what callers ask for, the same for every arm.
+//! Random generation of callers' requests. It depends on the seed only, so every arm gets the same requests.
 
 use crate::{Burst, Class, Micros};
 use placement::{Part, Prompt};
@@ -6,43 +6,44 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp, LogNormal, Zipf};
 
-/// Spread of the logarithm of the tokens of a request's own part, and of its answer.
+/// Standard deviations of the logarithm of the tokens of a request's own part and of its answer.
 const OWN_TOKENS_SPREAD: f64 = 0.6;
 const OUT_TOKENS_SPREAD: f64 = 0.5;
 
-/// Spread of the logarithm of the caller's guess of the tokens of its answer, around the right one.
+/// Standard deviation of the logarithm of the ratio between the caller's length hint and the actual length of the answer.
 const OUT_HINT_SPREAD: f64 = 0.4;
 
-/// The longest answer of a class, in medians.
+/// Longest answer of a class, as a multiple of the median.
 const MAX_OUT_FACTOR: f64 = 5.0;
 
-/// A request as its caller wants it.
+/// A request before its first attempt.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
+    /// Time of the first attempt.
     pub(crate) at: Micros,
-    /// Index of its class.
+    /// Index of the request's class.
     pub(crate) class: usize,
     pub(crate) prompt: Prompt,
-    /// Tokens of its answer.
+    /// Tokens of the complete answer.
     pub(crate) out_tokens: u32,
-    /// What its caller draws from: which boxes it comes to.
+    /// Seed that determines to which box each attempt goes.
     pub(crate) box_seed: u64,
 }
 
-/// The requests of one class, in order.
+/// Generates the requests of one class in the order of their arrival.
 pub(crate) fn arrivals(index: usize, class: &Class, bursts: &[Burst], seconds: f64, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ (index as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    let own_tokens = LogNormal::new(class.own_tokens.ln(), OWN_TOKENS_SPREAD).expect("a checked class");
-    let out_tokens = LogNormal::new(class.out_tokens.ln(), OUT_TOKENS_SPREAD).expect("a checked class");
-    let hint_factor = LogNormal::new(0.0, OUT_HINT_SPREAD).expect("a constant");
-    let subjects = Zipf::new(class.subjects as f64, class.skew).expect("a checked class");
+    let own_tokens = LogNormal::new(class.own_tokens.ln(), OWN_TOKENS_SPREAD).expect("valid parameters of a class");
+    let out_tokens = LogNormal::new(class.out_tokens.ln(), OUT_TOKENS_SPREAD).expect("valid parameters of a class");
+    let hint_factor = LogNormal::new(0.0, OUT_HINT_SPREAD).expect("valid constant");
+    let subjects = Zipf::new(class.subjects as f64, class.skew).expect("valid parameters of a class");
     let max_out = (class.out_tokens * MAX_OUT_FACTOR).ceil();
     let mut arrivals = Vec::new();
     let mut at = 0.0;
     loop {
         let factor: f64 =
             bursts.iter().filter(|burst| burst.is_active(&class.name, at)).map(|burst| burst.times).product();
-        at += Exp::new(class.per_s * factor).expect("a checked class").sample(&mut rng);
+        at += Exp::new(class.per_s * factor).expect("valid parameters of a class").sample(&mut rng);
         if at >= seconds {
             return arrivals;
         }
@@ -67,7 +68,7 @@
 }
 
 impl Burst {
-    /// True while it lasts for this class.
+    /// Returns true if the burst applies to `class` at `at_s`.
     fn is_active(&self, class: &str, at_s: f64) -> bool {
         self.class == class && self.at_s <= at_s && at_s < self.at_s + self.for_s
     }
--- a/crates/model/src/client_request.rs
+++ b/crates/model/src/client_request.rs
@@ -1,24 +1,25 @@
-//! A caller's request on its way.
+//! State of a caller's request.
 
 use crate::arrivals::Arrival;
 use crate::Micros;
 
-/// One request, from its caller's first try to its end.
+/// A caller's request, from its first attempt to its end.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub(crate) arrival: Arrival,
-    /// Number of the caller's tries so far, and the box of the last.
+    /// Number of the caller's attempts so far.
     pub(crate) attempts: u32,
+    /// Index of the box that received the last attempt.
     pub(crate) box_index: usize,
-    /// Sends of this try, and the servers' ids.
+    /// Ids of the servers to which the current attempt was sent.
     pub(crate) tried_servers: Vec<String>,
-    /// The send under way; none while there is none.
+    /// Number of the send in progress.
     pub(crate) active_send: Option<u64>,
-    /// When its first event came to the caller.
+    /// Time at which the caller received the first event.
     pub(crate) first_event_at: Option<Micros>,
-    /// When its last event came so far.
+    /// Time at which the caller received the latest event.
     pub(crate) last_event_at: Option<Micros>,
-    /// Longest pause between two events.
+    /// Longest gap between two events so far.
     pub(crate) max_gap: Micros,
     pub(crate) ended: bool,
 }
--- a/crates/model/src/deployment.rs
+++ b/crates/model/src/deployment.rs
@@ -1,138 +1,138 @@
-//! What there is: engines, boxes, callers and faults.
+//! Description of a simulated deployment: engines, boxes, callers and faults.
 
 use catalog::{Fault as FileFault, TableReader};
 use serde::Serialize;
 
-/// What all engines of a deployment are.
+/// Properties that all engines of a deployment share.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EngineSpec {
-    /// Requests that one runs at once.
+    /// Maximum number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of an engine's KV cache in tokens.
     pub memory_tokens: u64,
-    /// Bytes of one token as it crosses a link.
+    /// Size of one token's KV cache entry when it is transferred between engines.
     pub token_bytes: u64,
-    /// Links between engines in Mbit/s.
+    /// Bandwidth of the links between engines in Mbit/s.
     pub link_mbps: f64,
-    /// Tokens of one event.
+    /// Tokens per streamed event.
     pub stride: u32,
-    /// Milliseconds of a step that makes one token for each of its requests.
+    /// Base duration in milliseconds of a step that generates one token for each running request.
     pub step_ms: f64,
-    /// Milliseconds that each request adds to a step.
+    /// Milliseconds that each running request adds to a step.
     pub run_ms: f64,
-    /// Prompt tokens that it reads in a millisecond.
+    /// Prefill throughput in prompt tokens per millisecond.
     pub read_per_ms: f64,
-    /// Prompt tokens that it reads at most between two events.
+    /// Maximum prefill chunk: prompt tokens that are prefilled between two events.
     pub piece_tokens: u32,
-    /// How unlike engines are: spread of the logarithm of their speeds.
+    /// Variation between engines: standard deviation of the logarithm of their speeds.
     pub unlike: f64,
 }
 
-/// Callers who want alike things.
+/// A class of callers with similar requests.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Requests a second of all its callers.
+    /// Requests per second of all callers of the class together.
     pub per_s: f64,
-    /// How urgent they are, 0 first.
+    /// Urgency of the requests; 0 is the most urgent.
     pub urgency: u8,
-    /// How many subjects its prompts begin with.
+    /// Number of distinct subjects. Prompts of the same subject begin with the same shared part.
     pub subjects: u64,
-    /// How unevenly the subjects are asked for: the exponent of their ranks.
+    /// Skew of the subjects' popularity: the exponent of a Zipf distribution.
     pub skew: f64,
-    /// Tokens of a subject's part.
+    /// Tokens of the prompt part that all requests of a subject share.
     pub shared_tokens: u32,
-    /// Median tokens of a request's own part.
+    /// Median number of tokens of the prompt part that is unique to a request.
     pub own_tokens: f64,
-    /// Median tokens of an answer.
+    /// Median number of tokens of an answer.
     pub out_tokens: f64,
-    /// First event in time, in milliseconds from the caller's first try.
+    /// Latency target of the first event, in milliseconds from the caller's first attempt.
     pub aim_ms: f64,
-    /// Longest pause between events in time, in milliseconds.
+    /// Limit of the gap between two events, in milliseconds.
     pub gap_ms: f64,
-    /// How long its callers wait, in milliseconds.
+    /// Time in milliseconds after which callers give up.
     pub limit_ms: f64,
-    /// Worth of an answer in time.
+    /// Worth of an answer that is in time.
     pub worth: f64,
-    /// The part of it that a late answer is worth.
+    /// Fraction of `worth` that a late answer is worth.
     pub late: f64,
 }
 
-/// More requests of a class for a while.
+/// A temporary increase of a class's request rate.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Burst {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// When it begins, in seconds.
+    /// Start in seconds.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     pub for_s: f64,
-    /// How many times as many requests come.
+    /// Factor on the request rate.
     pub times: f64,
 }
 
-/// What may happen to engines.
+/// Kinds of engine faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FaultKind {
-    /// They take `times` as long.
+    /// Engines take `times` as long for every step.
     Slow,
-    /// They end, and start again with empty memories.
+    /// Engines crash, and restart with an empty KV cache when the fault ends.
     Crash,
-    /// They say that they leave, end what they have, and others come.
+    /// Engines announce that they are leaving and drain; new instances replace them when the fault ends.
     Leave,
-    /// They say that they take `times` requests a second from all boxes together.
+    /// Engines announce a limit of `times` requests per second from all boxes together.
     Limit,
 }
 
-/// Something that happens to a part of the engines.
+/// A fault that affects a fraction of the engines for a limited time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When, in seconds.
+    /// Start in seconds.
     pub at_s: f64,
-    /// How long, in seconds.
+    /// Duration in seconds.
     pub for_s: f64,
-    /// The part of the engines.
+    /// Fraction of the engines that is affected.
     pub share: f64,
-    /// How strong: how many times as long slow engines take, how many requests a second limited ones.
+    /// Strength: the factor on step times for [`FaultKind::Slow`], requests per second for [`FaultKind::Limit`].
     pub times: f64,
 }
 
-/// A deployment and what happens on it.
+/// A deployment, its traffic and its faults.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the deployment.
     pub name: String,
-    /// How long it is played, in seconds.
+    /// Virtual time in seconds during which requests arrive.
     pub seconds: f64,
-    /// Its halls.
+    /// Number of halls.
     pub halls: usize,
-    /// Its boxes, spread over the halls.
+    /// Number of boxes, spread evenly over the halls.
     pub boxes: usize,
-    /// Its engines, spread over the halls.
+    /// Number of engines, spread evenly over the halls.
     pub engines: usize,
-    /// Milliseconds of a way within a hall.
+    /// One-way network delay within a hall, in milliseconds.
     pub near_ms: f64,
-    /// Milliseconds of a way between halls.
+    /// One-way network delay between halls, in milliseconds.
     pub far_ms: f64,
-    /// What its engines are.
+    /// Properties of the engines.
     #[serde(rename = "make")]
     pub engine_spec: EngineSpec,
-    /// Its callers.
+    /// Classes of callers.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Bursts of callers.
+    /// Bursts of requests.
     #[serde(rename = "burst")]
     pub bursts: Vec<Burst>,
-    /// What happens to engines.
+    /// Faults of engines.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
-/// Ranges of what may stand in a file; drawn deployments lie well within.
+/// Upper bounds of values in deployment files; drawn deployments lie well within them.
 const MAX_DURATION_S: f64 = 3_600.0;
 const MAX_MACHINES: u64 = 1_000;
 const MAX_DURATION_MS: f64 = 600_000.0;
@@ -203,7 +203,7 @@
     /// Reads a deployment from the text of `file`.
     ///
     /// # Errors
-    /// Every fault at once, unknown keys included.
+    /// Returns all faults of the file at once, including unknown keys.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<FileFault>> {
         let mut reader = TableReader::parse(file, text);
         let engine_specs = reader.tables("make", read_engine_spec);
@@ -221,10 +221,10 @@
             faults: reader.tables("fault", read_fault),
         };
         if engine_specs.len() != 1 {
-            reader.fault("make", "must stand there once, as [[make]]");
+            reader.fault("make", "must be given exactly once, as [[make]]");
         }
         if deployment.classes.is_empty() {
-            reader.fault("class", "is missing: without callers nothing happens");
+            reader.fault("class", "is missing: at least one [[class]] is required");
         }
         for (index, burst) in deployment.bursts.iter().enumerate() {
             if !deployment.classes.iter().any(|class| class.name == burst.class) {
@@ -239,12 +239,12 @@
         }
     }
 
-    /// The same as text that [`Deployment::parse`] reads.
+    /// Serializes the deployment as text that [`Deployment::parse`] reads.
     ///
     /// # Errors
-    /// When a number can't stand in such a text.
+    /// Returns an error if a number can't be represented in TOML.
     pub fn to_text(&self) -> Result<String, toml::ser::Error> {
-        /// As it stands in a file: one make in a list.
+        /// Layout of a deployment file, where the engine spec is a list of one table.
         #[derive(Serialize)]
         struct File<'a> {
             name: &'a str,
@@ -276,7 +276,7 @@
 }
 
 impl EngineSpec {
-    /// Stands in where a file has none, which is a fault.
+    /// Stands in for a missing `[[make]]` table, which is reported as a fault.
     fn placeholder() -> Self {
         Self {
             slots: 1,
--- a/crates/model/src/draw.rs
+++ b/crates/model/src/draw.rs
@@ -1,6 +1,6 @@
-//! Draws deployments.
+//! Random generation of deployments.
 //!
-//! Ranges are wide: deployments that we know are points in them, and most of what is drawn is like none of these.
+//! The ranges are wide on purpose: known deployments are single points in them, and most drawn deployments resemble none of these.
 
 use crate::{Burst, Class, Deployment, EngineSpec, Fault, FaultKind};
 use rand::seq::IndexedRandom;
@@ -8,10 +8,10 @@
 use rand_chacha::ChaCha8Rng;
 use std::ops::RangeInclusive;
 
-/// How busy engines are without bursts: the part of their time that reading and making tokens takes.
+/// Utilization of the engines without bursts: the fraction of their time that prefill and generation take.
 const UTILIZATION: RangeInclusive<f64> = 0.25..=0.85;
 
-/// Draws evenly on a logarithmic scale.
+/// Draws from a uniform distribution on a logarithmic scale.
 fn log_uniform(rng: &mut ChaCha8Rng, range: RangeInclusive<f64>) -> f64 {
     rng.random_range(range.start().ln()..=range.end().ln()).exp()
 }
@@ -27,22 +27,22 @@
         memory_tokens: log_uniform(rng, 100_000.0..=2_000_000.0) as u64,
         token_bytes: log_uniform(rng, 8_000.0..=200_000.0) as u64,
         link_mbps: round_to_3_digits(log_uniform(rng, 10_000.0..=400_000.0)),
-        stride: *[1, 2, 4, 6, 8].choose(rng).expect("not empty"),
+        stride: *[1, 2, 4, 6, 8].choose(rng).expect("non-empty list"),
         step_ms: round_to_3_digits(log_uniform(rng, 4.0..=14.0)),
         run_ms: round_to_3_digits(log_uniform(rng, 0.02..=0.2)),
         read_per_ms: round_to_3_digits(log_uniform(rng, 10.0..=90.0)),
-        piece_tokens: *[512, 1_024, 2_048, 4_096, 8_192].choose(rng).expect("not empty"),
+        piece_tokens: *[512, 1_024, 2_048, 4_096, 8_192].choose(rng).expect("non-empty list"),
         unlike: round_to_3_digits(rng.random_range(0.0..=0.3)),
     }
 }
 
-/// A class whose engines' share of time is `busy` of all `engines`.
+/// Draws a class whose requests take the fraction `utilization` of the time of all `engines`.
 fn draw_class(rng: &mut ChaCha8Rng, index: usize, engine_spec: &EngineSpec, utilization: f64, engines: usize) -> Class {
     let shared_tokens = if rng.random_bool(0.8) { log_uniform(rng, 100.0..=16_000.0) as u32 } else { 0 };
     let own_tokens = round_to_3_digits(log_uniform(rng, 30.0..=4_000.0));
     let out_tokens = round_to_3_digits(log_uniform(rng, 20.0..=400.0));
     let uncached_prefill_ms = (own_tokens + 0.2 * f64::from(shared_tokens)) / engine_spec.read_per_ms;
-    // Beside as many others as half of the places hold.
+    // Assumes that half of the slots are in use.
     let concurrent = f64::from(engine_spec.slots) / 2.0;
     let token_ms = (engine_spec.step_ms + engine_spec.run_ms * concurrent) / concurrent;
     let request_ms = uncached_prefill_ms + out_tokens * token_ms;
@@ -69,10 +69,10 @@
     }
 }
 
-/// A fault of engines that get so many requests a second each.
+/// Draws a fault. `requests_per_engine_s` is the average request rate per engine, which scales the limits that engines announce.
 fn draw_fault(rng: &mut ChaCha8Rng, seconds: f64, requests_per_engine_s: f64) -> Fault {
     let kinds = [FaultKind::Slow, FaultKind::Crash, FaultKind::Leave, FaultKind::Limit];
-    let kind = *kinds.choose(rng).expect("not empty");
+    let kind = *kinds.choose(rng).expect("non-empty list");
     let times = if kind == FaultKind::Limit {
         requests_per_engine_s * log_uniform(rng, 0.2..=0.8)
     } else {
@@ -88,7 +88,7 @@
 }
 
 impl Deployment {
-    /// Draws a deployment of `seconds`, with at most so many boxes and engines.
+    /// Draws a deployment that lasts `seconds`, with at most `max_machines` boxes and as many engines.
     #[must_use]
     pub fn draw(seed: u64, seconds: f64, max_machines: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -108,7 +108,7 @@
             .map(|(index, weight)| draw_class(rng, index, &engine_spec, utilization * weight / total_weight, engines))
             .collect();
         let bursts = (0..rng.random_range(0..=2)).map(|_| Burst {
-            class: classes.choose(rng).expect("not empty").name.clone(),
+            class: classes.choose(rng).expect("non-empty list").name.clone(),
             at_s: round_to_3_digits(rng.random_range(0.1..=0.8) * seconds),
             for_s: round_to_3_digits(rng.random_range(0.05..=0.3) * seconds),
             times: round_to_3_digits(rng.random_range(1.5..=4.0)),
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -1,54 +1,57 @@
-//! An engine that runs requests in batches.
+//! A simulated engine with continuous batching and chunked prefill.
 //!
-//! A step makes one event for each request whose prompt was read, and reads a piece of one prompt. What a step takes grows with the
-//! requests that run and with what is read, so that reading holds up everybody's tokens.
+//! A step generates one event for each running request whose prompt has been prefilled, and prefills a chunk of one prompt. Its duration
+//! grows with the number of running requests and with the size of the chunk, so that prefill delays the tokens of all running requests.
 
 use crate::kv_cache::KvCache;
 use crate::{EngineSpec, Micros};
 use placement::Part;
 
-/// A request as an engine sees it.
+/// A request in an engine's queue or batch.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
-    /// Names the send.
+    /// Number of the send.
     pub(crate) send: u64,
     pub(crate) urgency: u8,
     pub(crate) parts: Vec<Part>,
     pub(crate) prompt_tokens: u32,
-    /// Tokens that it will make.
+    /// Tokens that are to be generated.
     pub(crate) out_tokens: u32,
 }
 
+/// A running request.
 #[derive(Clone, Debug)]
 struct Running {
     job: Job,
+    /// Prompt tokens that still have to be prefilled.
     prefill_left: u32,
+    /// Tokens generated so far.
     generated: u32,
 }
 
-/// What a step brought for a send.
+/// Output of a step for a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepOutput {
-    /// An event.
+    /// An event that others follow.
     Event,
-    /// The last one.
+    /// The last event.
     Last,
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     engine_spec: EngineSpec,
-    /// How many times as long as the make says everything takes.
+    /// Factor on step durations, relative to the engine spec.
     pub(crate) slowdown: f64,
     pub(crate) cache: KvCache,
     running: Vec<Running>,
     queue: Vec<Job>,
-    /// True while a step is under way.
+    /// True while a step is in progress.
     pub(crate) step_in_progress: bool,
-    /// Prompt tokens that were read, and those of them that this or another engine had read before.
+    /// Prompt tokens prefilled so far.
     pub(crate) prefilled_tokens: u64,
-    /// Requests that were put back for want of memory.
+    /// Number of preemptions for lack of memory.
     pub(crate) preempted: u64,
 }
 
@@ -66,12 +69,12 @@
         }
     }
 
-    /// A request comes.
+    /// Adds a request to the queue.
     pub(crate) fn enqueue(&mut self, job: Job) {
         self.queue.push(job);
     }
 
-    /// Its caller has left, or its box.
+    /// Removes a send that has ended or that its caller has abandoned, and releases its memory.
     pub(crate) fn cancel(&mut self, send: u64) {
         self.queue.retain(|job| job.send != send);
         if let Some(index) = self.running.iter().position(|run| run.job.send == send) {
@@ -80,12 +83,12 @@
         }
     }
 
-    /// All requests that it has.
+    /// Returns the sends of all running and queued requests.
     pub(crate) fn send_ids(&self) -> Vec<u64> {
         self.running.iter().map(|run| run.job.send).chain(self.queue.iter().map(|job| job.send)).collect()
     }
 
-    /// Begins a step: how long it takes, or none where nothing is to be done.
+    /// Begins a step and returns its duration, or `None` if there is no request to run.
     pub(crate) fn begin_step(&mut self) -> Option<Micros> {
         self.admit();
         if self.running.is_empty() {
@@ -100,13 +103,13 @@
         Some(((step_ms + prefill_ms) * self.slowdown * 1e3).max(1.0) as Micros)
     }
 
-    /// Prompt tokens that the step under way reads: of the request that came first.
+    /// Returns the number of prompt tokens that the current step prefills, all of the request that was admitted first.
     fn prefill_chunk(&self) -> u32 {
         let first = self.running.iter().find(|run| run.prefill_left > 0);
         first.map_or(0, |run| run.prefill_left.min(self.engine_spec.piece_tokens))
     }
 
-    /// Lets in what has a place and room, the most urgent first.
+    /// Moves queued requests to the batch while there are free slots and memory, the most urgent first.
     fn admit(&mut self) {
         self.queue.sort_by_key(|job| (job.urgency, job.send));
         while self.running.len() < self.engine_spec.slots as usize && !self.queue.is_empty() {
@@ -114,13 +117,13 @@
                 return;
             }
             let job = self.queue.remove(0);
-            // The last token is read in any case: the first event comes of it.
+            // The last prompt token is always prefilled, because the first event results from it.
             let prefill_left = (job.prompt_tokens - self.cache.cached_prefix_tokens(&job.parts)).max(1);
             self.running.push(Running { job, prefill_left, generated: 0 });
         }
     }
 
-    /// Ends a step: what it brought, by send.
+    /// Ends the current step and returns its outputs by send.
     pub(crate) fn finish_step(&mut self) -> Vec<(u64, StepOutput)> {
         self.step_in_progress = false;
         let chunk = self.prefill_chunk();
@@ -155,7 +158,8 @@
         outputs
     }
 
-    /// The newest of the least urgent requests gives up its memory, and is read anew later. False where only one runs.
+    /// Preempts the newest of the least urgent requests: it releases its memory, returns to the queue and is prefilled again later.
+    /// Returns false if fewer than two requests run.
     fn preempt_one(&mut self) -> bool {
         if self.running.len() < 2 {
             return false;
--- a/crates/model/src/experiment.rs
+++ b/crates/model/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Arms compared on many deployments.
+//! Comparison of arms on many deployments.
 
 use crate::{Arm, Deployment, Outcome, Simulation};
 use catalog::{Fault, TableReader};
@@ -7,77 +7,77 @@
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::path::PathBuf;
 
-/// Confidence of the intervals.
+/// Confidence level of the intervals around mean differences.
 const CONFIDENCE_LEVEL: f64 = 0.95;
 
-/// Where deployments come from.
+/// Source of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Source {
-    /// A file of [`Deployment::parse`], relative to the experiment's.
+    /// A file that [`Deployment::parse`] reads; the path is relative to the experiment's file.
     File(PathBuf),
-    /// Drawn from a seed, as long and with at most so many machines as the experiment says.
+    /// A deployment drawn from this seed, with the duration and the maximum number of machines of the experiment.
     Drawn(u64),
 }
 
-/// What is compared on what.
+/// A set of arms, and the deployments and seeds on which they are compared.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
-    /// The arms; all others are compared with the first.
+    /// Arms to compare; the first is the baseline of the others.
     pub arms: Vec<Arm>,
-    /// Deployments.
+    /// Sources of the deployments.
     pub sources: Vec<Source>,
-    /// Seeds that each is results with.
+    /// Seeds with which each deployment is simulated.
     pub seeds: Vec<u64>,
-    /// How long drawn deployments are results, in seconds.
+    /// Duration of drawn deployments, in seconds of virtual time.
     pub seconds: f64,
-    /// Most boxes and engines of drawn deployments.
+    /// Maximum number of boxes, and of engines, of drawn deployments.
     pub max_machines: usize,
 }
 
-/// One play.
+/// Result of one simulation run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RunResult {
     /// Name of the deployment.
     pub deployment: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The arm.
+    /// Policy that was simulated.
     pub arm: Arm,
-    /// Worth of all classes over what they would be worth in time.
+    /// Worth of all answers relative to their worth if all were in time; see [`Outcome::worth`].
     pub worth: f64,
-    /// All else.
+    /// Detailed figures of the run.
     pub outcome: Outcome,
 }
 
-/// An arm beside the first one, over the same deployments and seeds.
+/// Comparison of an arm with the first one over the same deployments and seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ArmComparison {
-    /// The arm.
+    /// Arm that is compared.
     pub arm: Arm,
-    /// Its mean worth.
+    /// Mean worth of the arm over all deployments.
     pub worth: f64,
-    /// How much more that is than the first arm's, and half of the width of the interval around it, over deployments.
+    /// Mean difference of `worth` to the first arm's, paired by deployment.
     #[serde(rename = "more")]
     pub mean_difference: f64,
-    /// See `more`; nothing where there is one deployment.
+    /// Half the width of the confidence interval around `mean_difference`; `None` if there is only one deployment.
     #[serde(rename = "within")]
     pub half_width: Option<f64>,
-    /// Deployments on which it is worth more by a hundredth, and less.
+    /// Number of deployments on which the arm's worth is higher by at least 0.01.
     pub better: usize,
-    /// See `better`.
+    /// Number of deployments on which the arm's worth is lower by at least 0.01.
     pub worse: usize,
 }
 
-/// How much worth tells two arms on one deployment apart.
+/// Smallest difference in worth at which an arm counts as better or worse on a deployment.
 const MIN_WORTH_DIFFERENCE: f64 = 0.01;
 
 impl Experiment {
     /// Reads an experiment from the text of `file`.
     ///
     /// # Errors
-    /// Every fault at once, unknown keys included.
+    /// Returns all faults of the file at once, including unknown keys.
     pub fn parse(file: &str, text: &str) -> Result<Self, Vec<Fault>> {
         let mut reader = TableReader::parse(file, text);
         let mut arms = Vec::new();
@@ -102,10 +102,10 @@
             max_machines: reader.integer_opt("machines_most", &(3..=1_000)).unwrap_or(40) as usize,
         };
         if experiment.arms.is_empty() {
-            reader.fault("arms", "is missing: nothing is compared");
+            reader.fault("arms", "is missing: at least one arm is required");
         }
         if experiment.sources.is_empty() {
-            reader.fault("draws", "is missing, and there are no deployments: nothing is played");
+            reader.fault("draws", "is missing, and no deployments are listed: there is nothing to simulate");
         }
         let faults = reader.finish();
         if faults.is_empty() {
@@ -115,14 +115,14 @@
         }
     }
 
-    /// How many runs there are.
+    /// Returns the number of simulation runs: one for each deployment, seed and arm.
     #[must_use]
     pub fn run_count(&self) -> usize {
         self.sources.len() * self.seeds.len() * self.arms.len()
     }
 
-    /// Plays all on the threads of the pool that this runs in; `done` is told after each play. In the order of deployments, seeds and
-    /// arms, whichever ended first.
+    /// Runs all simulations on the current rayon thread pool and calls `on_run_done` after each. Results are ordered by deployment, seed
+    /// and arm, independently of the order in which runs end.
     #[must_use]
     pub fn run(&self, deployments: &[Deployment], on_run_done: &(dyn Fn() + Sync)) -> Vec<RunResult> {
         let mut runs = Vec::new();
@@ -139,8 +139,8 @@
         runs.into_par_iter().map(run).collect()
     }
 
-    /// Compares each arm with the first: of each deployment the mean over its seeds counts, so that seeds of one deployment don't pass for
-    /// many deployments.
+    /// Compares each arm with the first. Worth is averaged over the seeds of a deployment first, so that several seeds of one deployment
+    /// don't count as independent deployments.
     #[must_use]
     pub fn compare(&self, results: &[RunResult]) -> Vec<ArmComparison> {
         let Some(base) = self.arms.first() else { return Vec::new() };
@@ -171,7 +171,7 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// Half of the width of the confidence interval around the mean of such differences; none for fewer than two.
+/// Returns half the width of the confidence interval around the mean of `values`, or `None` for fewer than two values.
 fn half_width(values: &[f64]) -> Option<f64> {
     let count = values.len() as f64;
     let degrees = count - 1.0;
--- a/crates/model/src/kv_cache.rs
+++ b/crates/model/src/kv_cache.rs
@@ -1,47 +1,47 @@
-//! What an engine's memory holds.
+//! The KV cache of a simulated engine.
 
 use placement::Part;
 use std::collections::BTreeMap;
 
-/// A prompt part in an engine's memory.
+/// A prompt part in the cache.
 #[derive(Clone, Copy, Debug)]
 struct CachedPart {
     tokens: u32,
-    /// When it was last used; of two, the one that gives way first has the lower number.
+    /// Value of the use counter at the last use; parts with lower values are evicted first.
     last_use: u64,
-    /// Requests that run with it: it can't give way.
+    /// Number of running requests that use the part; it can't be evicted while there are any.
     pins: u32,
-    /// True once it has been read.
+    /// True once the part has been prefilled.
     prefilled: bool,
 }
 
-/// An engine's memory: parts that run or are kept, and tokens that were made.
+/// An engine's KV cache: prompt parts that running requests use or that remain cached, and generated tokens.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KvCache {
     parts: BTreeMap<u64, CachedPart>,
-    /// Tokens of all parts.
+    /// Tokens of all parts in the cache.
     part_tokens: u64,
-    /// Tokens that running requests made.
+    /// Tokens that running requests have generated.
     generated_tokens: u64,
     use_counter: u64,
 }
 
 impl KvCache {
-    /// Tokens of a prompt, from its beginning on, that needn't be read.
+    /// Returns the number of leading prompt tokens that are cached and need no prefill.
     pub(crate) fn cached_prefix_tokens(&self, parts: &[Part]) -> u32 {
         parts.iter().take_while(|part| self.is_prefilled(part.id)).map(|part| part.tokens).sum()
     }
 
-    /// True where a part has been read.
+    /// Returns true if the part has been prefilled and is still cached.
     pub(crate) fn is_prefilled(&self, part: u64) -> bool {
         self.parts.get(&part).is_some_and(|cached| cached.prefilled)
     }
 
-    /// Makes room for a prompt and takes it in; false where there is none for it.
+    /// Reserves room for a prompt and pins its parts. Returns false, and pins nothing, if it doesn't fit.
     pub(crate) fn pin(&mut self, parts: &[Part], capacity: u64) -> bool {
         let new_tokens: u64 =
             parts.iter().filter(|part| !self.parts.contains_key(&part.id)).map(|part| u64::from(part.tokens)).sum();
-        // Pinned first, so that nothing of it gives way to the rest of it.
+        // Parts that are already cached are pinned first, so that making room for the others doesn't evict them.
         for part in parts {
             if let Some(cached) = self.parts.get_mut(&part.id) {
                 cached.pins += 1;
@@ -63,7 +63,7 @@
         fits
     }
 
-    /// Lets kept parts go until so many tokens fit; false where they don't.
+    /// Evicts unpinned parts, least recently used first, until `tokens` more fit. Returns false if they don't fit even then.
     fn evict_until_fits(&mut self, tokens: u64, capacity: u64) -> bool {
         while self.part_tokens + self.generated_tokens + tokens > capacity {
             let evictable = self.parts.iter().filter(|(_, cached)| cached.pins == 0);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A prompt has been read.
+    /// Marks the parts of a prompt as prefilled.
     pub(crate) fn mark_prefilled(&mut self, parts: &[Part]) {
         for part in parts {
             if let Some(cached) = self.parts.get_mut(&part.id) {
@@ -90,9 +90,10 @@
         }
     }
 
-    /// A request that made so many tokens ends, or is put back. What it read stays as long as there is room.
-    pub(crate) fn release(&mut self, parts: &[Part], made: u32) {
-        self.generated_tokens -= u64::from(made);
+    /// Unpins the parts of a request that has ended or was preempted, and frees its `generated` tokens. Parts that were prefilled stay cached
+    /// while there is room.
+    pub(crate) fn release(&mut self, parts: &[Part], generated: u32) {
+        self.generated_tokens -= u64::from(generated);
         for part in parts {
             let Some(cached) = self.parts.get_mut(&part.id) else { continue };
             cached.pins -= 1;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Running requests make so many tokens; false where they don't fit.
+    /// Reserves room for tokens that a running request generates. Returns false if they don't fit.
     pub(crate) fn reserve_generated(&mut self, tokens: u32, capacity: u64) -> bool {
         let fits = self.evict_until_fits(tokens.into(), capacity);
         if fits {
@@ -111,7 +112,7 @@
         fits
     }
 
-    /// Takes parts from another engine; those that don't fit are left.
+    /// Inserts parts that were fetched from another engine, unless they don't fit.
     pub(crate) fn insert_fetched(&mut self, parts: &[Part], capacity: u64) {
         if self.pin(parts, capacity) {
             self.mark_prefilled(parts);
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
-//! Deployments in virtual time, and policies compared on them.
+//! Discrete-event simulation of deployments, and comparison of placement policies on them.
 //!
-//! A [`Simulation`] plays one [`Deployment`] with one [`Arm`] and one seed. Boxes decide with the program's own `placement`. An
-//! [`Experiment`] compares arms on many drawn deployments.
+//! A [`Simulation`] runs one [`Deployment`] with one [`Arm`] (policy) and one seed in virtual time. Simulated boxes decide with the
+//! production code of the `placement` crate. An [`Experiment`] compares arms on many deployments, given in files or randomly drawn.
 
 mod arm;
 mod arrivals;
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,63 +1,64 @@
-//! What came of a played deployment.
+//! Results of a simulation run.
 
 use crate::{Class, Micros};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// What came of a class's requests.
+/// Results of the requests of one class.
 ///
-/// Worth is what its answers are worth over what they would be worth in time: an answer in time counts whole, a late one by the part that the
-/// class says, all others nothing. Tokens and prices don't count.
+/// An answer in time counts with the full worth of the class, a late one with the fraction that the class sets, and a refused or lost
+/// request with nothing. Neither the number of tokens nor prices matter.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ClassOutcome {
     /// Name of the class.
     pub class: String,
-    /// Requests.
+    /// Number of requests.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Answered with a first event in time and no pause too long.
+    /// Requests answered with the first event within the latency target and every gap within the limit.
     pub in_time: u64,
-    /// Answered otherwise.
+    /// Requests answered late.
     pub late: u64,
-    /// Refused, and not served when they came back.
+    /// Requests refused, and not answered on a retry either.
     pub refused: u64,
-    /// Neither: callers left, or sends broke off.
+    /// Requests whose caller gave up or whose last permitted send lost its connection.
     pub lost: u64,
-    /// Milliseconds to the first event from the caller's first try, of those that got one: median and 95 of 100.
+    /// Median and 95th percentile of the time in milliseconds from the caller's first attempt to the first event, over the requests that
+    /// received one.
     pub first_ms: [u64; 2],
-    /// What they are worth, and would be worth in time.
+    /// Worth of all answers.
     pub worth: f64,
-    /// The latter.
+    /// Worth that the answers to all requests would have in time.
     #[serde(rename = "owed")]
     pub max_worth: f64,
 }
 
-/// What came of one play.
+/// Results of one simulation run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Outcome {
-    /// By class.
+    /// Results by class.
     pub classes: Vec<ClassOutcome>,
-    /// Tokens that engines read.
+    /// Prompt tokens that engines prefilled.
     #[serde(rename = "read_tokens")]
     pub prefilled_tokens: u64,
-    /// Tokens of shared parts that some engine had read before and none needed to read again.
+    /// Tokens of shared parts that engines had to prefill although some engine had already received them in an earlier request.
     #[serde(rename = "again_tokens")]
     pub recomputed_tokens: u64,
-    /// Tokens that engines fetched from each other.
+    /// Tokens whose KV cache entries engines fetched from each other.
     #[serde(rename = "moved_tokens")]
     pub fetched_tokens: u64,
-    /// Requests that engines put back for want of memory.
+    /// Number of preemptions for lack of memory.
     #[serde(rename = "put_back")]
     pub preempted: u64,
-    /// Questions of boxes to owners.
+    /// Status queries and permit requests from boxes to owners.
     #[serde(rename = "questions")]
     pub owner_queries: u64,
-    /// Choices that boxes made.
+    /// Placement decisions of boxes.
     pub choices: u64,
 }
 
 impl Outcome {
-    /// Worth of all classes over what they would be worth in time.
+    /// Returns the worth of all answers relative to their worth if all were in time.
     #[must_use]
     pub fn worth(&self) -> f64 {
         let max_worth: f64 = self.classes.iter().map(|class| class.max_worth).sum();
@@ -65,14 +66,14 @@
     }
 }
 
-/// Counts for one class.
+/// Collects the results of one class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassRecorder {
     pub(crate) outcome: ClassOutcome,
     first_event_ms: Histogram<u64>,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestEnd {
     Answered,
@@ -83,16 +84,17 @@
 impl ClassRecorder {
     pub(crate) fn new(class: &Class) -> Self {
         let outcome = ClassOutcome { class: class.name.clone(), ..ClassOutcome::default() };
-        Self { outcome, first_event_ms: Histogram::new(3).expect("three digits") }
+        Self { outcome, first_event_ms: Histogram::new(3).expect("3 significant digits are valid") }
     }
 
+    /// Records the end of a request; `first_event` is the time from its first attempt to its first event.
     pub(crate) fn record(&mut self, class: &Class, end: RequestEnd, first_event: Option<Micros>, max_gap: Micros) {
         self.outcome.requests += 1;
         self.outcome.max_worth += class.worth;
         let in_time =
             first_event.is_some_and(|first| first as f64 <= class.aim_ms * 1e3) && max_gap as f64 <= class.gap_ms * 1e3;
         if let Some(first) = first_event {
-            // The histogram grows as needed.
+            // The histogram resizes itself as needed.
             self.first_event_ms.saturating_record(first / 1_000);
         }
         match end {
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -1,4 +1,4 @@
-//! A box: it chooses an engine for a request, by one of the arms.
+//! A simulated box, which chooses engines for requests by the policy of an arm.
 
 use crate::{Arm, Class, Deployment};
 use placement::{
@@ -11,38 +11,39 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The service of all engines.
+/// Name of the service to which all engines belong.
 pub(crate) const SERVICE: &str = "engines";
 
-/// Most owners that are asked for one request, as in the program.
+/// Maximum number of owners that are queried for one request, the same as in cleatshelf.
 const MAX_OWNERS_QUERIED: usize = 9;
 
-/// When a caller is asked back whose request found no engine.
+/// Retry delay of a request for which there is no engine; also the minimum after a back-off or rate limit.
 const RETRY_DELAY_MS: Millis = 400;
 
-/// Shortest time after which a caller is asked back where all places are taken.
+/// Minimum retry delay if all slots are taken; it is added to the expected wait.
 const OVERLOAD_RETRY_DELAY_MS: Millis = 1_000;
 
-/// Servers tried before, where admission is to let all through: it refuses nothing that was sent before.
+/// Fictitious id of an already tried server for [`Arm::WithoutAdmission`]: placement never refuses a request that was sent before.
 const PRIOR_SEND_ID: &str = "sent before";
 
-/// One box.
+/// A simulated box.
 pub(crate) struct Router {
     pub(crate) hall: String,
     pub(crate) placement: Placement,
 }
 
-/// What a box chooses by beside what it knows itself.
+/// State outside the box that its choices depend on.
 pub(crate) struct RouterContext<'a> {
     pub(crate) arm: Arm,
-    /// What owners know: each knows of its servers what all boxes told.
+    /// One instance stands in for all owners: each owner knows what all boxes reported about its servers.
     pub(crate) owner: &'a mut Owner,
     pub(crate) servers: &'a [Arc<Server>],
     pub(crate) rng: &'a mut ChaCha8Rng,
+    /// Number of status queries and permit requests so far.
     pub(crate) owner_queries: &'a mut u64,
 }
 
-/// A request that is to be placed.
+/// A request to be placed.
 #[derive(Clone, Copy)]
 pub(crate) struct Request<'a> {
     pub(crate) prompt: &'a Prompt,
@@ -51,7 +52,7 @@
     pub(crate) now: Millis,
 }
 
-/// Why a request is refused: its caller comes back after so many milliseconds.
+/// Refusal of a request; its caller retries after this number of milliseconds.
 pub(crate) struct Refused(pub(crate) Millis);
 
 impl Router {
@@ -60,13 +61,13 @@
         Self { hall: hall.to_owned(), placement }
     }
 
-    /// Takes what is in force.
+    /// Applies the current routing table and server directory.
     pub(crate) fn update(&mut self, table: &Table, directory: &Directory, now: Millis) {
         let evacuations = Evacuations::default();
         self.placement.update(&Snapshot { table, directory, evacuations: &evacuations }, now);
     }
 
-    /// Chooses an engine.
+    /// Chooses an engine for a request.
     pub(crate) fn choose(&mut self, request: Request<'_>, context: &mut RouterContext<'_>) -> Result<Choice, Refused> {
         if context.arm.uses_placement() {
             return self.place(request, context);
@@ -96,7 +97,7 @@
         Ok(choice)
     }
 
-    /// Chooses until an engine is found that needs no leave, or for which leave is given.
+    /// Repeats the choice until it falls on an engine that needs no send permit, or for which the owner grants one.
     fn place_with_permit(
         &mut self,
         placement_request: &PlacementRequest<'_>,
@@ -130,6 +131,7 @@
         }
     }
 
+    /// Queries the owners of candidate servers and records their statuses.
     fn query_owners(
         &mut self,
         placement_request: &PlacementRequest<'_>,
@@ -152,7 +154,7 @@
         statuses
     }
 
-    /// The engine that a baseline takes.
+    /// Returns the engine that the baseline arm chooses.
     fn pick_baseline(&self, request: Request<'_>, context: &mut RouterContext<'_>) -> Option<Arc<Server>> {
         let candidates =
             context.servers.iter().filter(|server| !server.draining && !request.tried.contains(&server.id));
@@ -196,7 +198,7 @@
     context.owner.on_query(&query, now).load.running
 }
 
-/// The engine with the fewest requests of all boxes.
+/// Returns the engine with the fewest requests from all boxes; ties are broken at random.
 fn least_loaded<'a>(
     servers: &[&'a Arc<Server>],
     request: Request<'_>,
@@ -209,7 +211,7 @@
     })
 }
 
-/// The first engine by the rank of the prompt's shared part that has fewer requests than places, else that with the fewest.
+/// Returns the first engine with a free slot in the rank order of the prompt's first part, or the least loaded if all are full.
 fn first_ranked_with_free_slot<'a>(
     servers: &[&'a Arc<Server>],
     request: Request<'_>,
@@ -222,7 +224,7 @@
     free.or_else(|| least_loaded(servers, request, context))
 }
 
-/// What a baseline's choice adds to a server.
+/// Builds a baseline's choice, with the load that the request adds to the server.
 fn baseline_choice(server: Arc<Server>, request: Request<'_>) -> Choice {
     let work = placement::Work {
         held: request.prompt.tokens,
@@ -242,7 +244,7 @@
     }
 }
 
-/// When a caller is asked back, as the program does.
+/// Returns the delay after which a refused caller retries, computed as in cleatshelf.
 fn retry_delay_ms(refusal: Refusal, rng: &mut ChaCha8Rng) -> Millis {
     let spread = rng.random_range(1.0..2.0);
     match refusal {
@@ -252,7 +254,7 @@
     }
 }
 
-/// The configuration of a deployment: a route for each class to one service.
+/// Builds the routing table of a deployment: one route per class, all to the same service.
 pub(crate) fn routing_table(deployment: &Deployment, arm: Arm) -> Table {
     let engine_spec = &deployment.engine_spec;
     let engine = routing::Engine {
@@ -264,7 +266,7 @@
     };
     let service = Service { name: SERVICE.to_owned(), max_connections: 1_000, engine: Some(engine), cold_start: None };
     let routes = deployment.classes.iter().map(|class| {
-        // Engines are divided by the shortest pause that is known to be too long.
+        // Placement divides the engines by the shortest gap target of the routes; without any, it doesn't divide them.
         let gap_target = (arm != Arm::WithoutDivision).then(|| Duration::from_secs_f64(class.gap_ms / 1e3));
         Route {
             name: class.name.clone(),
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -1,4 +1,4 @@
-//! Plays a deployment in virtual time.
+//! Discrete-event simulation of a deployment.
 
 use crate::arrivals::arrivals;
 use crate::client_request::ClientRequest;
@@ -17,49 +17,51 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long until boxes know that an engine leaves or has started.
+/// Delay until all boxes know that an engine is leaving or has started.
 const DIRECTORY_DELAY: Micros = 100_000;
 
-/// How long until the entry of an engine that has ended goes.
+/// Time after which the directory entry of a crashed engine is removed.
 const DIRECTORY_ENTRY_TTL: Micros = 3_600_000;
 
-/// Most sends of one try, and most tries of a caller.
+/// Maximum number of servers to which one attempt of a caller is sent.
 const MAX_SENDS_PER_ATTEMPT: usize = 2;
+
+/// Maximum number of attempts of a caller.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// The part of the time that a caller has left which it waits at most before it comes back.
+/// Largest fraction of its remaining time that a refused caller waits before it retries.
 const MAX_WAIT_RATIO: f64 = 1.0 / 3.0;
 
-/// Spread of the logarithm of how many callers come to a box.
+/// Standard deviation of the logarithm of the boxes' shares of callers.
 const BOX_LOAD_SPREAD: f64 = 0.4;
 
-/// The part of its memory that kept parts are expected to fill at most, as boxes tell owners.
+/// Largest fraction of an engine's memory that cached parts are expected to fill; boxes report it to owners with each send.
 const CACHE_MEMORY_RATIO: f64 = 0.8;
 
-/// What happens next.
+/// Events of the simulation. Requests and engines are given by index, sends by number.
 #[derive(Clone, Debug)]
 enum Event {
-    /// A caller tries.
+    /// A caller makes an attempt.
     Attempt(usize),
-    /// A box chooses.
+    /// A box places a request.
     Place(usize),
     /// A send reaches its engine.
     ReachEngine(u64),
-    /// What a send fetched has come.
+    /// The cached parts that a send fetches from another engine have arrived.
     FetchDone(u64),
-    /// A step of an engine's life ends.
+    /// A step of an engine ends; the second value is the engine's instance.
     StepDone(usize, u32),
-    /// An event of a send reaches its box and its caller.
+    /// A streamed event of a send reaches its box and caller.
     Output(u64, StepOutput),
-    /// A send's engine has ended.
+    /// The box loses the connection of a send because its engine has crashed or is down.
     ConnectionLost(u64),
-    /// A caller's time is over.
+    /// A caller gives up.
     CallerTimeout(usize),
-    /// A fault begins, or ends.
+    /// A fault begins (`true`) or ends (`false`).
     Fault(usize, bool),
-    /// The list of engines changes.
+    /// The server directory changes.
     DirectoryChange(Change),
-    /// What an engine said of its limit reaches all boxes but the one that it told.
+    /// A rate limit that a box received from an engine reaches all other boxes.
     LimitUpdate(usize, LimitUpdate),
 }
 
@@ -69,34 +71,39 @@
     engine: usize,
     instance: u32,
     choice: Choice,
+    /// Prompt tokens whose cache entries are fetched from another engine.
     fetched_tokens: u32,
     sent_at: Micros,
+    /// True once the first event has arrived, which shows that the prompt was prefilled.
     prefilled: bool,
+    /// True once a gap above the limit has been reported.
     late_reported: bool,
 }
 
-/// An engine's place in the deployment: lives follow each other there.
+/// A machine that runs an engine; successive instances of the engine replace each other there.
 struct EngineNode {
     engine: Engine,
+    /// Slowdown of the engine while no fault affects it.
     base_slowdown: f64,
     hall: String,
     instance: u32,
     down: bool,
-    /// What it says that it takes.
+    /// Rate limit that the engine announces.
     limit: Limit,
 }
 
-/// A deployment that is played with one arm and one seed.
+/// A simulation of one deployment with one arm and one seed.
 pub struct Simulation<'a> {
     deployment: &'a Deployment,
     arm: Arm,
     rng: ChaCha8Rng,
     now: Micros,
+    /// Last number given to an event or a send. It orders events that are due at the same time.
     last_number: u64,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
     boxes: Vec<Router>,
-    /// Sums of how many callers come to each box and those before it.
+    /// Cumulative weights of the boxes, by which callers choose among them.
     cumulative_weights: Vec<f64>,
     owner: Owner,
     engines: Vec<EngineNode>,
@@ -106,18 +113,19 @@
     requests: Vec<ClientRequest>,
     sends: BTreeMap<u64, ActiveSend>,
     recorders: Vec<ClassRecorder>,
-    /// Shared parts that some engine has read.
+    /// Shared parts that some engine has already received in a request.
     prefilled_parts: BTreeSet<u64>,
     outcome: Outcome,
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation at its beginning.
+    /// Creates a simulation at virtual time 0.
     #[must_use]
     pub fn new(deployment: &'a Deployment, arm: Arm, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let speed_spread = LogNormal::new(0.0, deployment.engine_spec.unlike).expect("a checked deployment");
-        let load_spread = LogNormal::new(0.0, BOX_LOAD_SPREAD).expect("a constant");
+        let speed_spread =
+            LogNormal::new(0.0, deployment.engine_spec.unlike).expect("valid parameters of a deployment");
+        let load_spread = LogNormal::new(0.0, BOX_LOAD_SPREAD).expect("valid constant");
         let hall = |index: usize| format!("hall-{}", index % deployment.halls);
         let engines = (0..deployment.engines).map(|index| {
             let slowdown = speed_spread.sample(&mut rng);
@@ -167,7 +175,7 @@
         simulation
     }
 
-    /// Puts all that comes from outside on the way.
+    /// Schedules all external events: arrivals, callers' timeouts and faults.
     fn schedule_inputs(&mut self, seed: u64) {
         let Deployment { classes, bursts, faults, seconds, .. } = self.deployment;
         for (index, class) in classes.iter().enumerate() {
@@ -184,7 +192,7 @@
         }
     }
 
-    /// Plays to the end.
+    /// Runs the simulation until no events are left.
     #[must_use]
     pub fn run(mut self) -> Outcome {
         while let Some(Reverse((at, number))) = self.queue.pop() {
@@ -213,7 +221,7 @@
         self.now / 1_000
     }
 
-    /// Time of a way from a box to an engine.
+    /// Returns the one-way network delay between a box and an engine.
     fn network_delay(&self, from: usize, engine: usize) -> Micros {
         let near = self.boxes[from].hall == self.engines[engine].hall;
         ms_to_micros(if near { self.deployment.near_ms } else { self.deployment.far_ms })
@@ -235,7 +243,7 @@
         }
     }
 
-    /// A caller comes to a box: another one with each try.
+    /// Sends a caller's request to a box; each attempt draws the box anew.
     fn on_attempt(&mut self, number: usize) {
         let request = &mut self.requests[number];
         if request.ended {
@@ -249,7 +257,8 @@
         self.schedule_placement(number);
     }
 
-    /// Questions to owners take a way there and back; they are a hall away at most.
+    /// Schedules the placement of a request. If the box queries owners first, this takes a round trip, and between halls if there are
+    /// several, which is the worst case.
     fn schedule_placement(&mut self, number: usize) {
         let queries_owners = self.arm.uses_placement() && self.arm != Arm::WithoutOwners;
         let far = if self.deployment.halls > 1 { self.deployment.far_ms } else { self.deployment.near_ms };
@@ -278,7 +287,7 @@
         }
     }
 
-    /// A refused caller comes back where it has the time.
+    /// Lets a refused caller retry if it has attempts and enough time left.
     fn on_refused(&mut self, number: usize, retry_ms: Millis) {
         let request = &self.requests[number];
         let class = &self.deployment.classes[request.arrival.class];
@@ -325,7 +334,7 @@
         self.owner.on_report(box_address(from), report, self.now / 1_000);
     }
 
-    /// A send reaches its engine; what it fetches from another comes first.
+    /// Starts the fetch of cached parts when a send reaches its engine; the request is queued when the fetch is done.
     fn on_reach_engine(&mut self, number: u64) {
         let Some(send) = self.sends.get(&number) else { return };
         let node = &self.engines[send.engine];
@@ -380,7 +389,7 @@
         self.start_next_step(engine);
     }
 
-    /// Begins an engine's next step, unless one is under way or there is nothing to do.
+    /// Begins an engine's next step, unless one is in progress or there is nothing to do.
     fn start_next_step(&mut self, index: usize) {
         let node = &mut self.engines[index];
         if node.down || node.engine.step_in_progress {
@@ -407,7 +416,7 @@
         self.start_next_step(index);
     }
 
-    /// An event reaches its box and caller.
+    /// Handles a streamed event that reaches its box and caller.
     fn on_output(&mut self, number: u64, output: StepOutput) {
         let Some(send) = self.sends.get_mut(&number) else { return };
         let (request_number, id, work) = (send.request, send.choice.server.id.clone(), send.choice.work);
@@ -442,7 +451,8 @@
         }
     }
 
-    /// What an engine says of its limit reaches a box, in an answer to a request that was sent at `sent`.
+    /// Records the rate limit that an engine announced to a box in its answer to a request that was sent at `sent`, and broadcasts it if
+    /// necessary.
     fn record_limit(&mut self, from: usize, engine: usize, id: &str, sent: Micros) {
         let uses_limits = self.arm.uses_placement() && self.arm != Arm::WithoutLimits;
         let limit = self.engines[engine].limit;
@@ -461,7 +471,7 @@
         }
     }
 
-    /// A send has ended.
+    /// Removes a send that has ended, and reports its end to the owner.
     fn finish_send(&mut self, number: u64, ending: Ending) {
         let Some(send) = self.sends.remove(&number) else { return };
         let (id, work) = (send.choice.server.id.clone(), send.choice.work);
@@ -480,7 +490,7 @@
         self.report(from, number, &id, SendUpdate::Ended { ending, pause_ms });
     }
 
-    /// A send's engine has ended: the request goes to another, if it may.
+    /// Sends a request to another engine after its connection was lost, or ends it if the attempt has no sends left.
     fn on_connection_lost(&mut self, number: u64) {
         let Some(request) = self.sends.get(&number).map(|send| send.request) else { return };
         self.finish_send(number, Ending::Broken);
@@ -491,7 +501,7 @@
         }
     }
 
-    /// A caller's time is over.
+    /// Cancels a request whose caller gives up.
     fn on_caller_timeout(&mut self, number: usize) {
         if self.requests[number].ended {
             return;
@@ -518,7 +528,7 @@
 
     fn on_fault(&mut self, index: usize, begins: bool) {
         let fault = &self.deployment.faults[index];
-        // The same engines at its beginning and its end, for all arms.
+        // Seeded by the index only, so that a fault affects the same engines at its start and its end, and under all arms.
         let mut rng = ChaCha8Rng::seed_from_u64(index as u64 + 1);
         let mut affected: Vec<usize> = (0..self.engines.len()).collect();
         affected.shuffle(&mut rng);
@@ -542,13 +552,13 @@
         }
     }
 
-    /// An engine takes so many times as long as it usually does.
+    /// Sets an engine's step durations to `times` its usual ones.
     fn set_slowdown(&mut self, index: usize, times: f64) {
         let node = &mut self.engines[index];
         node.engine.slowdown = node.base_slowdown * times;
     }
 
-    /// An engine ends, with all that it has.
+    /// Takes an engine down. Its requests lose their connections, and its cache is lost.
     fn crash(&mut self, index: usize) {
         let node = &mut self.engines[index];
         if std::mem::replace(&mut node.down, true) {
@@ -571,7 +581,7 @@
         self.schedule_after(DIRECTORY_ENTRY_TTL, Event::DirectoryChange(Change::Gone(name)));
     }
 
-    /// It starts again, as another life.
+    /// Starts a new instance of an engine.
     fn restart(&mut self, index: usize) {
         self.engines[index].down = false;
         let entry = self.directory_entry(index, false);
@@ -593,9 +603,9 @@
         }
     }
 
-    /// Takes what became of engines.
+    /// Applies changes to the server directory, and hands it to all boxes.
     fn apply_changes(&mut self, changes: Vec<Change>) {
-        // An entry that goes is that of the life that has ended.
+        // A delayed removal applies to the crashed instance only, not to one that has started since.
         let is_stale = |change: &Change| matches!(change, Change::Gone(name) if self.engines.iter().enumerate().any(|(index, node)| !node.down && engine_name(index) == *name));
         let changes: Vec<Change> = changes.into_iter().filter(|change| !is_stale(change)).collect();
         self.directory.apply(changes, Position::new(0, self.now + 1));
@@ -615,7 +625,7 @@
     format!("engine-{index}")
 }
 
-/// The place of an engine, by its name.
+/// Returns the index of an engine, taken from its name.
 fn engine_index(server: &Server) -> Option<usize> {
     server.name.strip_prefix("engine-")?.parse().ok()
 }
@@ -628,7 +638,7 @@
     ([10, 1, (from / 250) as u8, (from % 250) as u8 + 1], 80).into()
 }
 
-/// The parts that make up the first so many tokens.
+/// Returns the leading parts that fit into the first `tokens` tokens.
 fn leading_parts(parts: &[Part], tokens: u32) -> Vec<Part> {
     let mut left = tokens;
     let fits = |part: &&Part| {
--- a/crates/model/tests/deployment.rs
+++ b/crates/model/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployments as texts.
+//! Parsing and serialization of deployments and experiments.
 
 use model::{Arm, Deployment, Experiment, Source};
 
@@ -18,7 +18,7 @@
 fn parse_reports_every_fault_of_a_deployment_file() {
     let text = Deployment::draw(3, 30.0, 20).to_text().expect("a text");
     let text = text.replace("halls = ", "hall = ").replace("near_ms = ", "near_ms = -");
-    let text = format!("{text}\n[[burst]]\nclass = \"nobody\"\nat_s = 1.0\nfor_s = 1.0\ntimes = 2.0\n[[fault]]\nkind = \"odd\"\nat_s = 1.0\nfor_s = 1.0\nshare = 7.0\n");
+    let text = format!("{text}\n[[burst]]\nclass = \"unknown\"\nat_s = 1.0\nfor_s = 1.0\ntimes = 2.0\n[[fault]]\nkind = \"odd\"\nat_s = 1.0\nfor_s = 1.0\nshare = 7.0\n");
     let faults = Deployment::parse("odd.toml", &text.replace("burst = []\n", "").replace("fault = []\n", ""));
     let faults: Vec<String> = faults.expect_err("faults").iter().map(ToString::to_string).collect();
     for part in [
--- a/crates/model/tests/simulation.rs
+++ b/crates/model/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Whole deployments in virtual time.
+//! Simulations of whole deployments.
 
 use model::{Arm, Class, Deployment, EngineSpec, Fault, FaultKind, Outcome, Simulation};
 
@@ -55,7 +55,7 @@
     Simulation::new(deployment, arm, 7).run()
 }
 
-/// All requests end, each in one way, and none is worth more than it could be.
+/// Asserts that every request ended in exactly one way, and that no answer is worth more than one in time.
 fn assert_consistent(deployment: &Deployment, outcome: &Outcome, context: &str) {
     for (class, class_outcome) in deployment.classes.iter().zip(&outcome.classes) {
         let ended = class_outcome.in_time + class_outcome.late + class_outcome.refused + class_outcome.lost;
@@ -100,7 +100,7 @@
     let requests: Vec<u64> = Arm::ALL.iter().map(|arm| simulate(&deployment, *arm).classes[0].requests).collect();
     assert!(requests.iter().all(|count| *count == requests[0]), "{requests:?}");
     let other = Simulation::new(&deployment, Arm::Least, 8).run();
-    assert_ne!(other.classes[0].requests, requests[0], "another seed, other callers");
+    assert_ne!(other.classes[0].requests, requests[0], "another seed gives other arrivals");
 }
 
 #[test]
@@ -114,14 +114,18 @@
         by_prefix.recomputed_tokens,
         least_loaded.recomputed_tokens
     );
-    // The same callers: what one reads less it reads again less.
-    let (read, again) = (
+    // Arrivals are the same, so the difference in prefilled tokens comes from recomputed ones.
+    let (prefilled_diff, recomputed_diff) = (
         least_loaded.prefilled_tokens - by_prefix.prefilled_tokens,
         least_loaded.recomputed_tokens - by_prefix.recomputed_tokens,
     );
-    assert!(read.abs_diff(again) * 10 <= again, "{read} less read, {again} of it again");
-    assert_eq!(least_loaded.fetched_tokens, 0, "nobody fetches");
-    // Each of ten parts once at each of six engines; the first reading isn't again, but two requests that come together both read.
+    assert!(
+        prefilled_diff.abs_diff(recomputed_diff) * 10 <= recomputed_diff,
+        "{prefilled_diff} fewer tokens prefilled, {recomputed_diff} fewer recomputed"
+    );
+    assert_eq!(least_loaded.fetched_tokens, 0, "baseline arms fetch nothing");
+    // At most each of ten parts once at each of six engines. The first prefill of a part doesn't count, but concurrent requests for the
+    // same part each do.
     assert!(least_loaded.recomputed_tokens <= 10 * 6 * 4_000, "{}", least_loaded.recomputed_tokens);
 }
 
@@ -148,7 +152,7 @@
     assert!(outcome.preempted > 0);
     assert_consistent(&deployment, &outcome, "little memory");
     assert!(outcome.classes[0].in_time + outcome.classes[0].late > 0);
-    // A prompt that no memory holds is never read.
+    // A prompt larger than the engine's memory is never prefilled.
     deployment.engine_spec.memory_tokens = 3_000;
     let outcome = simulate(&deployment, Arm::Least);
     assert_eq!(outcome.classes[0].lost, outcome.classes[0].requests);
