--- a/crates/cleatshelf/tests/limit.rs
+++ b/crates/cleatshelf/tests/limit.rs
@@ -67,7 +67,7 @@
 
 fn limits<'a>(world: &'a World) -> LimitChecker<'a> {
     let box_of = &|request: &str| request.split('-').next().and_then(|index| index.parse().ok());
-    LimitChecker { ledger: &world.servers.ledger, box_of, disturbed: &|_, _, _| false }
+    LimitChecker { ledger: &world.servers.ledger, box_of, disrupted: &|_, _, _| false }
 }
 
 /// Returns the number of requests that reached a server from `from` until `until`.
