--- a/crates/model/src/deployment.rs
+++ b/crates/model/src/deployment.rs
@@ -15,17 +15,22 @@
     /// Bandwidth of the links between engines in Mbit/s.
     pub link_mbps: f64,
     /// Tokens per streamed event.
-    pub stride: u32,
+    #[serde(rename = "stride")]
+    pub tokens_per_event: u32,
     /// Base duration in milliseconds of a step that generates one token for each running request.
     pub step_ms: f64,
     /// Milliseconds that each running request adds to a step.
-    pub run_ms: f64,
+    #[serde(rename = "run_ms")]
+    pub per_request_ms: f64,
     /// Prefill throughput in prompt tokens per millisecond.
-    pub read_per_ms: f64,
+    #[serde(rename = "read_per_ms")]
+    pub prefill_tokens_per_ms: f64,
     /// Maximum prefill chunk: prompt tokens that are prefilled between two events.
-    pub piece_tokens: u32,
+    #[serde(rename = "piece_tokens")]
+    pub prefill_chunk_tokens: u32,
     /// Variation between engines: standard deviation of the logarithm of their speeds.
-    pub unlike: f64,
+    #[serde(rename = "unlike")]
+    pub speed_spread: f64,
 }
 
 /// A class of callers with similar requests.
@@ -48,11 +53,13 @@
     /// Median number of tokens of an answer.
     pub out_tokens: f64,
     /// Latency target of the first event, in milliseconds from the caller's first attempt.
-    pub aim_ms: f64,
+    #[serde(rename = "aim_ms")]
+    pub target_ms: f64,
     /// Limit of the gap between two events, in milliseconds.
     pub gap_ms: f64,
     /// Time in milliseconds after which callers give up.
-    pub limit_ms: f64,
+    #[serde(rename = "limit_ms")]
+    pub timeout_ms: f64,
     /// Worth of an answer that is in time.
     pub worth: f64,
     /// Fraction of `worth` that a late answer is worth.
@@ -143,12 +150,12 @@
         memory_tokens: reader.integer("memory_tokens", &(1_000..=1_000_000_000)),
         token_bytes: reader.integer("token_bytes", &(1..=10_000_000)),
         link_mbps: reader.number("link_mbps", &(1.0..=10_000_000.0)),
-        stride: reader.integer("stride", &(1..=1_024)) as u32,
+        tokens_per_event: reader.integer("stride", &(1..=1_024)) as u32,
         step_ms: reader.number("step_ms", &(0.1..=1_000.0)),
-        run_ms: reader.number("run_ms", &(0.0..=100.0)),
-        read_per_ms: reader.number("read_per_ms", &(0.1..=10_000.0)),
-        piece_tokens: reader.integer("piece_tokens", &(16..=1_000_000)) as u32,
-        unlike: reader.number("unlike", &(0.0..=2.0)),
+        per_request_ms: reader.number("run_ms", &(0.0..=100.0)),
+        prefill_tokens_per_ms: reader.number("read_per_ms", &(0.1..=10_000.0)),
+        prefill_chunk_tokens: reader.integer("piece_tokens", &(16..=1_000_000)) as u32,
+        speed_spread: reader.number("unlike", &(0.0..=2.0)),
     }
 }
 
@@ -162,9 +169,9 @@
         shared_tokens: reader.integer("shared_tokens", &(0..=1_000_000)) as u32,
         own_tokens: reader.number("own_tokens", &(1.0..=1_000_000.0)),
         out_tokens: reader.number("out_tokens", &(1.0..=100_000.0)),
-        aim_ms: reader.number("aim_ms", &(1.0..=MAX_DURATION_MS)),
+        target_ms: reader.number("aim_ms", &(1.0..=MAX_DURATION_MS)),
         gap_ms: reader.number("gap_ms", &(1.0..=MAX_DURATION_MS)),
-        limit_ms: reader.number("limit_ms", &(1.0..=MAX_DURATION_MS)),
+        timeout_ms: reader.number("limit_ms", &(1.0..=MAX_DURATION_MS)),
         worth: reader.number("worth", &(0.0..=1_000_000.0)),
         late: reader.ratio("late", 0.0),
     }
@@ -283,12 +290,12 @@
             memory_tokens: 1_000,
             token_bytes: 1,
             link_mbps: 1.0,
-            stride: 1,
+            tokens_per_event: 1,
             step_ms: 1.0,
-            run_ms: 0.0,
-            read_per_ms: 1.0,
-            piece_tokens: 16,
-            unlike: 0.0,
+            per_request_ms: 0.0,
+            prefill_tokens_per_ms: 1.0,
+            prefill_chunk_tokens: 16,
+            speed_spread: 0.0,
         }
     }
 }
--- a/crates/model/src/draw.rs
+++ b/crates/model/src/draw.rs
@@ -27,12 +27,12 @@
         memory_tokens: log_uniform(rng, 100_000.0..=2_000_000.0) as u64,
         token_bytes: log_uniform(rng, 8_000.0..=200_000.0) as u64,
         link_mbps: round_to_3_digits(log_uniform(rng, 10_000.0..=400_000.0)),
-        stride: *[1, 2, 4, 6, 8].choose(rng).expect("non-empty list"),
+        tokens_per_event: *[1, 2, 4, 6, 8].choose(rng).expect("non-empty list"),
         step_ms: round_to_3_digits(log_uniform(rng, 4.0..=14.0)),
-        run_ms: round_to_3_digits(log_uniform(rng, 0.02..=0.2)),
-        read_per_ms: round_to_3_digits(log_uniform(rng, 10.0..=90.0)),
-        piece_tokens: *[512, 1_024, 2_048, 4_096, 8_192].choose(rng).expect("non-empty list"),
-        unlike: round_to_3_digits(rng.random_range(0.0..=0.3)),
+        per_request_ms: round_to_3_digits(log_uniform(rng, 0.02..=0.2)),
+        prefill_tokens_per_ms: round_to_3_digits(log_uniform(rng, 10.0..=90.0)),
+        prefill_chunk_tokens: *[512, 1_024, 2_048, 4_096, 8_192].choose(rng).expect("non-empty list"),
+        speed_spread: round_to_3_digits(rng.random_range(0.0..=0.3)),
     }
 }
 
@@ -41,16 +41,16 @@
     let shared_tokens = if rng.random_bool(0.8) { log_uniform(rng, 100.0..=16_000.0) as u32 } else { 0 };
     let own_tokens = round_to_3_digits(log_uniform(rng, 30.0..=4_000.0));
     let out_tokens = round_to_3_digits(log_uniform(rng, 20.0..=400.0));
-    let uncached_prefill_ms = (own_tokens + 0.2 * f64::from(shared_tokens)) / engine_spec.read_per_ms;
+    let uncached_prefill_ms = (own_tokens + 0.2 * f64::from(shared_tokens)) / engine_spec.prefill_tokens_per_ms;
     // Assumes that half of the slots are in use.
     let concurrent = f64::from(engine_spec.slots) / 2.0;
-    let token_ms = (engine_spec.step_ms + engine_spec.run_ms * concurrent) / concurrent;
+    let token_ms = (engine_spec.step_ms + engine_spec.per_request_ms * concurrent) / concurrent;
     let request_ms = uncached_prefill_ms + out_tokens * token_ms;
-    let step_ms =
-        (engine_spec.step_ms + engine_spec.run_ms * f64::from(engine_spec.slots)) * f64::from(engine_spec.stride);
-    let chunk_ms = f64::from(engine_spec.piece_tokens) / engine_spec.read_per_ms;
-    let prefill_ms = (f64::from(shared_tokens) + own_tokens) / engine_spec.read_per_ms;
-    let aim_ms = round_to_3_digits((prefill_ms * log_uniform(rng, 1.5..=6.0) + step_ms).max(300.0));
+    let step_ms = (engine_spec.step_ms + engine_spec.per_request_ms * f64::from(engine_spec.slots))
+        * f64::from(engine_spec.tokens_per_event);
+    let chunk_ms = f64::from(engine_spec.prefill_chunk_tokens) / engine_spec.prefill_tokens_per_ms;
+    let prefill_ms = (f64::from(shared_tokens) + own_tokens) / engine_spec.prefill_tokens_per_ms;
+    let target_ms = round_to_3_digits((prefill_ms * log_uniform(rng, 1.5..=6.0) + step_ms).max(300.0));
     let gap_ms = round_to_3_digits(step_ms + chunk_ms * log_uniform(rng, 0.7..=6.0));
     Class {
         name: format!("class-{index}"),
@@ -61,9 +61,9 @@
         shared_tokens,
         own_tokens,
         out_tokens,
-        aim_ms,
+        target_ms,
         gap_ms,
-        limit_ms: round_to_3_digits(aim_ms * log_uniform(rng, 2.0..=6.0) + out_tokens * step_ms),
+        timeout_ms: round_to_3_digits(target_ms * log_uniform(rng, 2.0..=6.0) + out_tokens * step_ms),
         worth: round_to_3_digits(log_uniform(rng, 0.3..=5.0)),
         late: round_to_3_digits(rng.random_range(0.0..=0.6)),
     }
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -96,17 +96,17 @@
         }
         self.step_in_progress = true;
         let generating = self.running.iter().filter(|run| run.prefill_left == 0).count();
-        let tokens_per_step = if generating > 0 { f64::from(self.engine_spec.stride) } else { 1.0 };
+        let tokens_per_step = if generating > 0 { f64::from(self.engine_spec.tokens_per_event) } else { 1.0 };
         let step_ms =
-            (self.engine_spec.step_ms + self.engine_spec.run_ms * self.running.len() as f64) * tokens_per_step;
-        let prefill_ms = f64::from(self.prefill_chunk()) / self.engine_spec.read_per_ms;
+            (self.engine_spec.step_ms + self.engine_spec.per_request_ms * self.running.len() as f64) * tokens_per_step;
+        let prefill_ms = f64::from(self.prefill_chunk()) / self.engine_spec.prefill_tokens_per_ms;
         Some(((step_ms + prefill_ms) * self.slowdown * 1e3).max(1.0) as Micros)
     }
 
     /// Returns the number of prompt tokens that the current step prefills, all of the request that was admitted first.
     fn prefill_chunk(&self) -> u32 {
         let first = self.running.iter().find(|run| run.prefill_left > 0);
-        first.map_or(0, |run| run.prefill_left.min(self.engine_spec.piece_tokens))
+        first.map_or(0, |run| run.prefill_left.min(self.engine_spec.prefill_chunk_tokens))
     }
 
     /// Moves queued requests to the batch while there are free slots and memory, the most urgent first.
@@ -129,7 +129,7 @@
         let chunk = self.prefill_chunk();
         let first = self.running.iter().position(|run| run.prefill_left > 0);
         let mut outputs = Vec::new();
-        let (stride, capacity) = (self.engine_spec.stride, self.engine_spec.memory_tokens);
+        let (tokens_per_event, capacity) = (self.engine_spec.tokens_per_event, self.engine_spec.memory_tokens);
         let generating: Vec<u64> =
             self.running.iter().filter(|run| run.prefill_left == 0).map(|run| run.job.send).collect();
         if let Some(run) = first.map(|index| &mut self.running[index]) {
@@ -142,13 +142,13 @@
             }
         }
         for send in generating {
-            while !self.cache.reserve_generated(stride, capacity) {
+            while !self.cache.reserve_generated(tokens_per_event, capacity) {
                 if !self.preempt_one() {
                     break;
                 }
             }
             let Some(run) = self.running.iter_mut().find(|run| run.job.send == send) else { continue };
-            run.generated += stride;
+            run.generated += tokens_per_event;
             let last = run.generated >= run.job.out_tokens;
             outputs.push((send, if last { StepOutput::Last } else { StepOutput::Event }));
         }
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -91,8 +91,8 @@
     pub(crate) fn record(&mut self, class: &Class, end: RequestEnd, first_event: Option<Micros>, max_gap: Micros) {
         self.outcome.requests += 1;
         self.outcome.max_worth += class.worth;
-        let in_time =
-            first_event.is_some_and(|first| first as f64 <= class.aim_ms * 1e3) && max_gap as f64 <= class.gap_ms * 1e3;
+        let in_time = first_event.is_some_and(|first| first as f64 <= class.target_ms * 1e3)
+            && max_gap as f64 <= class.gap_ms * 1e3;
         if let Some(first) = first_event {
             // The histogram resizes itself as needed.
             self.first_event_ms.saturating_record(first / 1_000);
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -181,7 +181,7 @@
     PlacementRequest {
         service: SERVICE,
         prompt: Some(request.prompt),
-        target: Duration::from_secs_f64(request.class.aim_ms / 1e3),
+        target: Duration::from_secs_f64(request.class.target_ms / 1e3),
         gap_limit: Some(Duration::from_secs_f64(request.class.gap_ms / 1e3)),
         urgency: request.class.urgency,
         bytes: request.prompt.tokens as usize * 4,
@@ -262,7 +262,7 @@
         memory_tokens: engine_spec.memory_tokens,
         token_bytes: engine_spec.token_bytes,
         link_mbps: engine_spec.link_mbps,
-        tokens_per_event: engine_spec.stride,
+        tokens_per_event: engine_spec.tokens_per_event,
     };
     let service = Service { name: SERVICE.to_owned(), max_connections: 1_000, engine: Some(engine), cold_start: None };
     let routes = deployment.classes.iter().map(|class| {
@@ -273,8 +273,8 @@
             host: "a.example".to_owned(),
             prefix: format!("/{}/", class.name),
             kind: Kind::Stream { resumable: true },
-            timeout: Duration::from_secs_f64(class.limit_ms / 1e3),
-            latency_target: Duration::from_secs_f64(class.aim_ms / 1e3),
+            timeout: Duration::from_secs_f64(class.timeout_ms / 1e3),
+            latency_target: Duration::from_secs_f64(class.target_ms / 1e3),
             gap_target,
             priority: class.urgency,
             shares: vec![Share { service: SERVICE.to_owned(), weight: 1 }],
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -124,7 +124,7 @@
     pub fn new(deployment: &'a Deployment, arm: Arm, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let speed_spread =
-            LogNormal::new(0.0, deployment.engine_spec.unlike).expect("valid parameters of a deployment");
+            LogNormal::new(0.0, deployment.engine_spec.speed_spread).expect("valid parameters of a deployment");
         let load_spread = LogNormal::new(0.0, BOX_LOAD_SPREAD).expect("valid constant");
         let hall = |index: usize| format!("hall-{}", index % deployment.halls);
         let engines = (0..deployment.engines).map(|index| {
@@ -182,7 +182,7 @@
             for arrival in arrivals(index, class, bursts, *seconds, seed) {
                 let number = self.requests.len();
                 self.schedule_at(arrival.at, Event::Attempt(number));
-                self.schedule_at(arrival.at + ms_to_micros(class.limit_ms), Event::CallerTimeout(number));
+                self.schedule_at(arrival.at + ms_to_micros(class.timeout_ms), Event::CallerTimeout(number));
                 self.requests.push(ClientRequest::new(arrival));
             }
         }
@@ -291,7 +291,7 @@
     fn on_refused(&mut self, number: usize, retry_ms: Millis) {
         let request = &self.requests[number];
         let class = &self.deployment.classes[request.arrival.class];
-        let left = (request.arrival.at + ms_to_micros(class.limit_ms)).saturating_sub(self.now);
+        let left = (request.arrival.at + ms_to_micros(class.timeout_ms)).saturating_sub(self.now);
         let retries = request.attempts < MAX_ATTEMPTS && (retry_ms * 1_000) as f64 <= left as f64 * MAX_WAIT_RATIO;
         if retries {
             self.schedule_after(retry_ms * 1_000, Event::Attempt(number));
--- a/crates/model/tests/simulation.rs
+++ b/crates/model/tests/simulation.rs
@@ -8,12 +8,12 @@
         memory_tokens: 400_000,
         token_bytes: 20_000,
         link_mbps: 100_000.0,
-        stride: 4,
+        tokens_per_event: 4,
         step_ms: 8.0,
-        run_ms: 0.05,
-        read_per_ms: 40.0,
-        piece_tokens: 2_048,
-        unlike: 0.0,
+        per_request_ms: 0.05,
+        prefill_tokens_per_ms: 40.0,
+        prefill_chunk_tokens: 2_048,
+        speed_spread: 0.0,
     }
 }
 
@@ -27,9 +27,9 @@
         shared_tokens: 4_000,
         own_tokens: 200.0,
         out_tokens: 60.0,
-        aim_ms: 1_000.0,
+        target_ms: 1_000.0,
         gap_ms: 300.0,
-        limit_ms: 8_000.0,
+        timeout_ms: 8_000.0,
         worth: 1.0,
         late: 0.3,
     }
@@ -136,9 +136,9 @@
     deployment.classes[0].skew = 0.0;
     deployment.classes[0].shared_tokens = 12_000;
     deployment.classes[0].gap_ms = 150.0;
-    deployment.engine_spec.piece_tokens = 8_192;
+    deployment.engine_spec.prefill_chunk_tokens = 8_192;
     let large = simulate(&deployment, Arm::Least).classes[0].clone();
-    deployment.engine_spec.piece_tokens = 512;
+    deployment.engine_spec.prefill_chunk_tokens = 512;
     let small = simulate(&deployment, Arm::Least).classes[0].clone();
     assert!(small.in_time > 2 * large.in_time, "{small:?} and {large:?}");
 }
