--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -9,6 +9,12 @@
 use std::time::{Duration, Instant};
 use upstream::EventSplitter;
 
+/// Timeout of a complete answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(600);
+
+/// Maximum size of a response body that is read in one piece.
+const MAX_BODY_BYTES: usize = 64 << 20;
+
 /// Outcome of a request as seen by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
@@ -63,7 +69,7 @@
         // All callers share one process, so idle connections are closed before the server closes them.
         let connector =
             Connector::new().limit(0).timeout(Duration::from_secs(1)).conn_keep_alive(Duration::from_secs(1));
-        let client = Client::builder().connector(connector).timeout(Duration::from_secs(600)).finish();
+        let client = Client::builder().connector(connector).timeout(ANSWER_TIMEOUT).finish();
         Self { client, customer: customer.to_owned(), class: None, non_repeatable: false, key: None }
     }
 
@@ -103,63 +109,63 @@
     }
 
     /// Sends `prompt` to the model through the box at `address` and collects the streamed answer.
-    pub async fn complete(&self, door: SocketAddr, prompt: &str, most: u32) -> Reply {
-        let body = json!({"model": MODEL, "stream": true, "max_tokens": most,
+    pub async fn complete(&self, address: SocketAddr, prompt: &str, max_tokens: u32) -> Reply {
+        let body = json!({"model": MODEL, "stream": true, "max_tokens": max_tokens,
             "messages": [{"role": "user", "content": prompt}]});
-        self.post(door, "/v1/chat/completions", &body).await
+        self.post(address, "/v1/chat/completions", &body).await
     }
 
     /// Posts `body` and collects the response, streamed or in one piece.
-    pub async fn post(&self, door: SocketAddr, path: &str, body: &Value) -> Reply {
-        let mut request = self.client.post(format!("http://{door}{path}"));
+    pub async fn post(&self, address: SocketAddr, path: &str, body: &Value) -> Reply {
+        let mut request = self.client.post(format!("http://{address}{path}"));
         for (name, value) in self.headers() {
             request = request.insert_header((name, value));
         }
-        let none = |outcome| Reply { outcome, text: String::new(), times: Vec::new() };
+        let failed = |outcome| Reply { outcome, text: String::new(), times: Vec::new() };
         let response = match request.send_json(body).await {
             Ok(response) => response,
-            Err(error) => return none(unanswered(&error)),
+            Err(error) => return failed(transport_error(&error)),
         };
         if response.status() != 200 {
-            return none(refused(response).await);
+            return failed(read_refusal(response).await);
         }
         if body["stream"] == json!(true) {
-            return streamed(response).await;
+            return read_stream(response).await;
         }
-        let mut response = response.timeout(Duration::from_secs(600));
-        match response.json::<Value>().limit(64 << 20).await {
-            Ok(value) => Reply { outcome: Outcome::Complete, text: text_of(&value), times: vec![Instant::now()] },
-            Err(_) => none(Outcome::Interrupted),
+        let mut response = response.timeout(ANSWER_TIMEOUT);
+        match response.json::<Value>().limit(MAX_BODY_BYTES).await {
+            Ok(value) => Reply { outcome: Outcome::Complete, text: answer_text(&value), times: vec![Instant::now()] },
+            Err(_) => failed(Outcome::Interrupted),
         }
     }
 
     /// Sends a request with a text body, as to a plain service, and collects the response body.
-    pub async fn request(&self, door: SocketAddr, method: &str, path: &str, body: &str) -> Reply {
+    pub async fn request(&self, address: SocketAddr, method: &str, path: &str, body: &str) -> Reply {
         let method = awc::http::Method::from_bytes(method.as_bytes()).unwrap_or(awc::http::Method::GET);
-        let mut request = self.client.request(method, format!("http://{door}{path}"));
+        let mut request = self.client.request(method, format!("http://{address}{path}"));
         for (name, value) in self.headers() {
             request = request.insert_header((name, value));
         }
-        let none = |outcome| Reply { outcome, text: String::new(), times: Vec::new() };
+        let failed = |outcome| Reply { outcome, text: String::new(), times: Vec::new() };
         let mut response = match request.send_body(body.to_owned()).await {
             Ok(response) => response,
-            Err(error) => return none(unanswered(&error)),
+            Err(error) => return failed(transport_error(&error)),
         };
         if response.status() != 200 {
-            return none(refused(response).await);
+            return failed(read_refusal(response).await);
         }
-        match response.body().limit(64 << 20).await {
+        match response.body().limit(MAX_BODY_BYTES).await {
             Ok(bytes) => {
                 let text = String::from_utf8_lossy(&bytes).into_owned();
                 Reply { outcome: Outcome::Complete, text, times: vec![Instant::now()] }
             }
-            Err(_) => none(Outcome::Interrupted),
+            Err(_) => failed(Outcome::Interrupted),
         }
     }
 }
 
 /// Classifies a failed request. Only if no connection was made is it certain that no box received it.
-fn unanswered(error: &SendRequestError) -> Outcome {
+fn transport_error(error: &SendRequestError) -> Outcome {
     match error {
         SendRequestError::Connect(ConnectError::Disconnected) => Outcome::Interrupted,
         SendRequestError::Connect(_) => Outcome::Unreachable,
@@ -167,7 +173,7 @@
     }
 }
 
-fn text_of(value: &Value) -> String {
+fn answer_text(value: &Value) -> String {
     let choice = &value["choices"][0];
     let chat = choice["message"]["content"].as_str().or_else(|| choice["delta"]["content"].as_str());
     chat.or_else(|| choice["text"].as_str()).unwrap_or_default().to_owned()
@@ -175,7 +181,7 @@
 
 type Response<S> = awc::ClientResponse<S>;
 
-async fn refused<S>(mut response: Response<S>) -> Outcome
+async fn read_refusal<S>(mut response: Response<S>) -> Outcome
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
@@ -188,11 +194,11 @@
     Outcome::Refused { status, code, ran, retry_ms }
 }
 
-async fn streamed<S>(response: Response<S>) -> Reply
+async fn read_stream<S>(response: Response<S>) -> Reply
 where
     S: futures_util::Stream<Item = Result<bytes::Bytes, awc::error::PayloadError>> + Unpin,
 {
-    let mut body = response.timeout(Duration::from_secs(600));
+    let mut body = response.timeout(ANSWER_TIMEOUT);
     let mut events = EventSplitter::default();
     let mut reply = Reply { outcome: Outcome::Interrupted, text: String::new(), times: Vec::new() };
     while let Some(Ok(bytes)) = body.next().await {
@@ -205,7 +211,7 @@
                 continue;
             }
             let value: Value = serde_json::from_slice(EventSplitter::data(&event)).unwrap_or_default();
-            let text = text_of(&value);
+            let text = answer_text(&value);
             if !text.is_empty() {
                 reply.text.push_str(&text);
                 reply.times.push(Instant::now());
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -59,7 +59,7 @@
 /// Adds the totals counted by engines and boxes to the report.
 pub async fn add_server_totals(report: &mut LoadReport, deployment: &Deployment, generated_before: u64) {
     report.generated = deployment.generated_tokens() - generated_before;
-    let lost = report.generated.saturating_sub(report.delivered);
-    report.wasted = if report.generated == 0 { 0.0 } else { lost as f64 / report.generated as f64 };
+    let undelivered = report.generated.saturating_sub(report.delivered);
+    report.wasted = if report.generated == 0 { 0.0 } else { undelivered as f64 / report.generated as f64 };
     report.broken = deployment.invariant_violations().await;
 }
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -13,6 +13,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+const MAX_STATUS_BYTES: usize = 64 << 20;
+
 /// Configuration of a deployment.
 #[derive(Clone, Debug)]
 pub struct DeploymentSpec {
@@ -130,8 +132,8 @@
             for i in 0..*engine_count {
                 // Of every three engines, the second takes a quarter longer per token than the first and the third half
                 // as long again.
-                let slower = if spec.equal_engine_speed { 0 } else { i as u64 % 3 };
-                let token_ms = spec.token_ms * (4 + slower) / 4;
+                let slowness = if spec.equal_engine_speed { 0 } else { i as u64 % 3 };
+                let token_ms = spec.token_ms * (4 + slowness) / 4;
                 let spec = EngineSpec {
                     name: format!("{hall}-llm-{}", i + 1),
                     slots: spec.slots,
@@ -171,13 +173,13 @@
             program: program.to_owned(),
             folder: tempfile::tempdir()?,
         };
-        deployment.wire_up();
+        deployment.start_relays();
         deployment.write_settings()?;
         deployment.publish_members();
         Ok(deployment)
     }
 
-    fn wire_up(&mut self) {
+    fn start_relays(&mut self) {
         if !self.spec.with_relays {
             return;
         }
@@ -199,7 +201,7 @@
         for name in names {
             let text = self.settings_of(&name);
             let path = self.folder.path().join(format!("{name}.toml"));
-            std::fs::write(&path, text).wrap_err("can't write settings")?;
+            std::fs::write(&path, text).wrap_err("cannot write the settings file")?;
             if let Some(process) = self.boxes.get_mut(&name) {
                 process.settings = path;
             }
@@ -208,13 +210,13 @@
     }
 
     fn settings_of(&self, name: &str) -> String {
-        let this = &self.boxes[name];
-        let platform = self.platform_relays.get(&this.peer.hall).map_or(self.platform.address(), |r| r.address);
+        let process = &self.boxes[name];
+        let platform = self.platform_relays.get(&process.peer.hall).map_or(self.platform.address(), |r| r.address);
         let mut text = format!(
             "name = \"{name}\"\nhall = \"{}\"\nlisten_callers = \"{}\"\nlisten_boxes = \"{}\"\nlisten_operators = \"{}\"\n\
              platform_config = \"{platform}\"\nplatform_members = \"{platform}\"\nlink_key = \"a-key-for-stand-ins-only\"\n\
              traffic_threads = {}\nway = \"{}\"\nstop_seconds = 60\nbody_bytes = 1000000\nbody_seconds = 2\n",
-            this.peer.hall, this.callers, this.peer.address, this.operators, self.spec.traffic_threads, self.spec.scheduling_mode
+            process.peer.hall, process.callers, process.peer.address, process.operators, self.spec.traffic_threads, self.spec.scheduling_mode
         );
         for (other, process) in &self.boxes {
             if other == name || self.spec.peers_from_platform_only {
@@ -274,7 +276,7 @@
     pub fn start_box(&mut self, name: &str) -> eyre::Result<()> {
         let log = self.folder.path().join(format!("{name}.log"));
         let out = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
-        let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("no box {name}"))?;
+        let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("unknown box {name}"))?;
         let child = Command::new(&self.program)
             .args(["box", "--settings"])
             .arg(&process.settings)
@@ -291,7 +293,7 @@
     /// # Errors
     /// If the settings can't be written.
     pub fn reassign_addresses(&mut self, name: &str) -> eyre::Result<()> {
-        let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("no box {name}"))?;
+        let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("unknown box {name}"))?;
         process.peer.address = ports::free_address();
         process.callers = ports::free_address();
         process.operators = ports::free_address();
@@ -328,10 +330,10 @@
     }
 
     /// Waits for the process of a box to exit and returns its exit code, or `None` after `timeout`.
-    pub fn wait_for_exit(&mut self, name: &str, most: Duration) -> Option<i32> {
+    pub fn wait_for_exit(&mut self, name: &str, timeout: Duration) -> Option<i32> {
         let began = Instant::now();
         let child = self.boxes.get_mut(name)?.child.as_mut()?;
-        while began.elapsed() < most {
+        while began.elapsed() < timeout {
             if let Ok(Some(status)) = child.try_wait() {
                 return Some(status.code().unwrap_or(-1));
             }
@@ -345,19 +347,19 @@
         let address = self.boxes.get(name)?.operators;
         let client = awc::Client::builder().timeout(Duration::from_secs(2)).finish();
         let mut response = client.get(format!("http://{address}/status")).send().await.ok()?;
-        let body = response.body().limit(64 << 20).await.ok()?;
+        let body = response.body().limit(MAX_STATUS_BYTES).await.ok()?;
         serde_json::from_slice(&body).ok()
     }
 
     /// Waits until `condition` holds for the status of every running box; false after `timeout`.
-    pub async fn wait_until(&self, most: Duration, fits: impl Fn(&Status) -> bool) -> bool {
+    pub async fn wait_until(&self, timeout: Duration, condition: impl Fn(&Status) -> bool) -> bool {
         let began = Instant::now();
-        while began.elapsed() < most {
-            let mut all = true;
+        while began.elapsed() < timeout {
+            let mut all_match = true;
             for name in self.running_boxes() {
-                all &= self.status(&name).await.is_some_and(|s| fits(&s));
+                all_match &= self.status(&name).await.is_some_and(|s| condition(&s));
             }
-            if all {
+            if all_match {
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -366,9 +368,9 @@
     }
 
     /// Waits until every running box is ready with the last published release and sees all others alive.
-    pub async fn wait_until_ready(&self, most: Duration) -> bool {
+    pub async fn wait_until_ready(&self, timeout: Duration) -> bool {
         let others = self.running_boxes().len() - 1;
-        self.wait_until(most, |s| {
+        self.wait_until(timeout, |s| {
             s.ready
                 && s.release >= self.release_number
                 && s.peers.iter().filter(|p| p.state == "alive").count() >= others
@@ -420,11 +422,11 @@
 
     /// Returns the number of invariant violations counted by all running boxes.
     pub async fn invariant_violations(&self) -> u64 {
-        let mut sum = 0;
+        let mut total = 0;
         for name in self.running_boxes() {
-            sum += self.status(&name).await.map_or(0, |s| s.broken);
+            total += self.status(&name).await.map_or(0, |s| s.broken);
         }
-        sum
+        total
     }
 
     /// Returns the number of tokens generated by all engines.
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -11,13 +11,13 @@
 use tokio::sync::oneshot;
 
 /// Prompt prefixes that the engine's cache holds.
-const CACHE_MOST: usize = 16;
+const MAX_CACHED_PREFIXES: usize = 16;
 
 /// Length of the prompt prefix that is cached.
-const PREFIX: usize = 1_024;
+const PREFIX_BYTES: usize = 1_024;
 
 /// Share of the prefill time that a cached prefix saves.
-const CACHED_SAVES: u64 = 70;
+const CACHED_SAVING_PERCENT: u64 = 70;
 
 /// Configuration of an engine stand-in.
 #[derive(Clone, Debug)]
@@ -50,7 +50,7 @@
 struct Batch {
     running: u32,
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
-    next: u64,
+    next_number: u64,
     cache: VecDeque<Vec<u8>>,
     runs: HashMap<String, PromptRuns>,
     reports: VecDeque<(Instant, u32, u32)>,
@@ -60,11 +60,11 @@
     spec: EngineSpec,
     batch: Mutex<Batch>,
     /// Time per token in percent of the configured one.
-    slowness: AtomicU32,
+    token_time_percent: AtomicU32,
     frozen: AtomicBool,
     leaving: AtomicBool,
     /// Incremented by each crash; streams of an earlier instance fail.
-    life: AtomicU64,
+    instance: AtomicU64,
     tokens: AtomicU64,
 }
 
@@ -72,7 +72,7 @@
 #[derive(Clone)]
 pub struct Engine {
     inner: Arc<Inner>,
-    serving: Arc<StandInServer>,
+    server: Arc<StandInServer>,
 }
 
 /// A slot in the batch, released when dropped.
@@ -80,11 +80,11 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let mut batch = self.0.batch.lock().expect("no thread died");
+        let mut batch = self.0.batch.lock().expect("the lock is not poisoned");
         batch.running -= 1;
         // The waiting request may have been cancelled; then the next one gets the slot.
-        while let Some((_, call)) = batch.waiting.pop_first() {
-            if call.send(()).is_ok() {
+        while let Some((_, grant)) = batch.waiting.pop_first() {
+            if grant.send(()).is_ok() {
                 batch.running += 1;
                 break;
             }
@@ -99,7 +99,7 @@
         let batch = Batch {
             running: 0,
             waiting: BTreeMap::new(),
-            next: 0,
+            next_number: 0,
             cache: VecDeque::new(),
             runs: HashMap::new(),
             reports: VecDeque::new(),
@@ -107,20 +107,20 @@
         let inner = Arc::new(Inner {
             spec,
             batch: Mutex::new(batch),
-            slowness: AtomicU32::new(100),
+            token_time_percent: AtomicU32::new(100),
             frozen: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            life: AtomicU64::new(0),
+            instance: AtomicU64::new(0),
             tokens: AtomicU64::new(0),
         });
-        let serving = Arc::new(StandInServer::start(routes(&inner)));
-        Self { inner, serving }
+        let server = Arc::new(StandInServer::start(routes(&inner)));
+        Self { inner, server }
     }
 
     /// Returns the listening address.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
-        self.serving.address
+        self.server.address
     }
 
     /// Returns the engine's name.
@@ -131,7 +131,7 @@
 
     /// Sets the time per token, in percent of the configured one.
     pub fn set_token_time_percent(&self, percent: u32) {
-        self.inner.slowness.store(percent, Ordering::Relaxed);
+        self.inner.token_time_percent.store(percent, Ordering::Relaxed);
     }
 
     /// Pauses or resumes generation; connections stay open.
@@ -146,19 +146,19 @@
 
     /// Closes every connection abruptly and refuses new ones.
     pub fn crash(&self) {
-        self.inner.life.fetch_add(1, Ordering::Relaxed);
-        self.serving.stop();
+        self.inner.instance.fetch_add(1, Ordering::Relaxed);
+        self.server.stop();
     }
 
     /// Accepts connections again after a crash.
     pub fn restart(&self) {
-        self.serving.restart(routes(&self.inner));
+        self.server.restart(routes(&self.inner));
     }
 
     /// Returns the counts for the prompt `text`.
     #[must_use]
     pub fn runs_of(&self, text: &str) -> PromptRuns {
-        self.inner.batch.lock().expect("no thread died").runs.get(text).copied().unwrap_or_default()
+        self.inner.batch.lock().expect("the lock is not poisoned").runs.get(text).copied().unwrap_or_default()
     }
 
     /// Returns the number of tokens generated so far.
@@ -170,20 +170,20 @@
     /// Returns the number of starts from the first token so far, over all prompts.
     #[must_use]
     pub fn starts(&self) -> u64 {
-        let batch = self.inner.batch.lock().expect("no thread died");
+        let batch = self.inner.batch.lock().expect("the lock is not poisoned");
         batch.runs.values().map(|run| u64::from(run.starts)).sum()
     }
 
     /// Returns the number of requests in the batch.
     #[must_use]
     pub fn running_requests(&self) -> u32 {
-        self.inner.batch.lock().expect("no thread died").running
+        self.inner.batch.lock().expect("the lock is not poisoned").running
     }
 
     /// Returns the highest number of starts of any one prompt.
     #[must_use]
     pub fn max_starts(&self) -> u32 {
-        let batch = self.inner.batch.lock().expect("no thread died");
+        let batch = self.inner.batch.lock().expect("the lock is not poisoned");
         batch.runs.values().map(|run| run.starts).max().unwrap_or(0)
     }
 }
@@ -201,7 +201,7 @@
 }
 
 async fn load(inner: Data<Inner>) -> Json<Value> {
-    let mut batch = inner.batch.lock().expect("no thread died");
+    let mut batch = inner.batch.lock().expect("the lock is not poisoned");
     let now = Instant::now();
     let present = (now, batch.running, batch.waiting.len() as u32);
     batch.reports.push_back(present);
@@ -215,58 +215,58 @@
 }
 
 /// Returns the text of the last chat message, or of the prompt.
-fn text_of(body: &Value) -> String {
+fn prompt_text(body: &Value) -> String {
     let chat = body["messages"].as_array().and_then(|m| m.last()).and_then(|m| m["content"].as_str());
     chat.or_else(|| body["prompt"].as_str()).unwrap_or_default().to_owned()
 }
 
 async fn complete(inner: Data<Inner>, request: HttpRequest, body: Json<Value>) -> HttpResponse {
     let inner = inner.into_inner();
-    let text = text_of(&body);
-    let most = body["max_tokens"].as_u64().unwrap_or(64) as u32;
+    let text = prompt_text(&body);
+    let max_tokens = body["max_tokens"].as_u64().unwrap_or(64) as u32;
     let resume = body["resume"]["tokens"].as_u64().unwrap_or(0) as usize;
-    let tokens = answer_tokens(&text, most);
-    let known: String = tokens.iter().take(resume).map(String::as_str).collect();
-    if resume > 0 && body["resume"]["text"].as_str() != Some(&known) {
-        return HttpResponse::BadRequest().json(json!({"error": {"message": "resume doesn't fit"}}));
+    let tokens = answer_tokens(&text, max_tokens);
+    let expected: String = tokens.iter().take(resume).map(String::as_str).collect();
+    if resume > 0 && body["resume"]["text"].as_str() != Some(&expected) {
+        return HttpResponse::BadRequest().json(json!({"error": {"message": "resume text does not match the answer"}}));
     }
-    let shape = Shape {
+    let format = ResponseFormat {
         chat: request.path().contains("chat"),
         id: body["request_id"].as_str().unwrap_or("cmpl").to_owned(),
         model: body["model"].as_str().unwrap_or_default().to_owned(),
     };
-    let life = inner.life.load(Ordering::Relaxed);
+    let instance = inner.instance.load(Ordering::Relaxed);
     let slot = take_slot(&inner, body["priority"].as_u64().unwrap_or(255) as u8).await;
-    begin(&inner, &text, resume);
+    record_start(&inner, &text, resume);
     prefill(&inner, &text).await;
-    let state = Generation { inner, slot, life, text, tokens, at: resume, shape };
+    let state = Generation { inner, slot, instance, text, tokens, position: resume, format };
     let stream = futures_util::stream::unfold(Some(state), next_event);
     HttpResponse::Ok().content_type("text/event-stream").streaming(stream)
 }
 
 async fn take_slot(inner: &Arc<Inner>, priority: u8) -> Slot {
     let wait = {
-        let mut batch = inner.batch.lock().expect("no thread died");
+        let mut batch = inner.batch.lock().expect("the lock is not poisoned");
         if batch.running < inner.spec.slots {
             batch.running += 1;
             None
         } else {
-            let (call, called) = oneshot::channel();
-            let number = batch.next;
-            batch.next += 1;
-            batch.waiting.insert((priority, number), call);
-            Some(called)
+            let (grant, granted) = oneshot::channel();
+            let number = batch.next_number;
+            batch.next_number += 1;
+            batch.waiting.insert((priority, number), grant);
+            Some(granted)
         }
     };
-    if let Some(called) = wait {
+    if let Some(granted) = wait {
         // The sender stays in the queue until the slot is granted, so this can't fail.
-        let _ = called.await;
+        let _ = granted.await;
     }
     Slot(Arc::clone(inner))
 }
 
-fn begin(inner: &Inner, text: &str, resume: usize) {
-    let mut batch = inner.batch.lock().expect("no thread died");
+fn record_start(inner: &Inner, text: &str, resume: usize) {
+    let mut batch = inner.batch.lock().expect("the lock is not poisoned");
     let run = batch.runs.entry(text.to_owned()).or_default();
     if resume == 0 {
         run.starts += 1;
@@ -276,39 +276,39 @@
 }
 
 async fn prefill(inner: &Inner, text: &str) {
-    let beginning = text.as_bytes()[..text.len().min(PREFIX)].to_vec();
+    let prefix = text.as_bytes()[..text.len().min(PREFIX_BYTES)].to_vec();
     let cached = {
-        let mut batch = inner.batch.lock().expect("no thread died");
-        let cached = batch.cache.contains(&beginning);
+        let mut batch = inner.batch.lock().expect("the lock is not poisoned");
+        let cached = batch.cache.contains(&prefix);
         if !cached {
-            batch.cache.push_back(beginning);
+            batch.cache.push_back(prefix);
         }
-        if batch.cache.len() > CACHE_MOST {
+        if batch.cache.len() > MAX_CACHED_PREFIXES {
             batch.cache.pop_front();
         }
         cached
     };
-    let full = inner.spec.prefill_ms;
-    let ms = if cached { full * (100 - CACHED_SAVES) / 100 } else { full };
-    pause(inner, ms).await;
+    let full_ms = inner.spec.prefill_ms;
+    let ms = if cached { full_ms * (100 - CACHED_SAVING_PERCENT) / 100 } else { full_ms };
+    generation_delay(inner, ms).await;
 }
 
-/// Waits for `ms` scaled by the engine's slowness, and then until the engine is not frozen.
-async fn pause(inner: &Inner, ms: u64) {
-    let percent = u64::from(inner.slowness.load(Ordering::Relaxed));
+/// Waits for `ms` scaled by the engine's time per token, and then until the engine is not frozen.
+async fn generation_delay(inner: &Inner, ms: u64) {
+    let percent = u64::from(inner.token_time_percent.load(Ordering::Relaxed));
     tokio::time::sleep(Duration::from_millis(ms * percent / 100)).await;
     while inner.frozen.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-struct Shape {
+struct ResponseFormat {
     chat: bool,
     id: String,
     model: String,
 }
 
-impl Shape {
+impl ResponseFormat {
     fn event(&self, text: &str, finish: Option<&str>) -> String {
         let choice = if self.chat {
             let delta = if finish.is_some() { json!({}) } else { json!({"content": text}) };
@@ -325,35 +325,35 @@
 struct Generation {
     inner: Arc<Inner>,
     slot: Slot,
-    life: u64,
+    instance: u64,
     text: String,
     tokens: Vec<String>,
-    at: usize,
-    shape: Shape,
+    position: usize,
+    format: ResponseFormat,
 }
 
 async fn next_event(state: Option<Generation>) -> Option<(Result<Bytes, std::io::Error>, Option<Generation>)> {
     let mut state = state?;
-    pause(&state.inner, state.inner.spec.token_ms).await;
-    if state.inner.life.load(Ordering::Relaxed) != state.life {
+    generation_delay(&state.inner, state.inner.spec.token_ms).await;
+    if state.inner.instance.load(Ordering::Relaxed) != state.instance {
         drop(state.slot);
         return Some((Err(std::io::Error::other("crashed")), None));
     }
-    if state.at < state.tokens.len() {
-        let event = state.shape.event(&state.tokens[state.at], None);
-        state.at += 1;
+    if state.position < state.tokens.len() {
+        let event = state.format.event(&state.tokens[state.position], None);
+        state.position += 1;
         state.inner.tokens.fetch_add(1, Ordering::Relaxed);
-        state.count(|run| run.tokens += 1);
+        state.record(|run| run.tokens += 1);
         return Some((Ok(Bytes::from(event)), Some(state)));
     }
-    state.count(|run| run.completed += 1);
-    let last = format!("{}data: [DONE]\n\n", state.shape.event("", Some("stop")));
+    state.record(|run| run.completed += 1);
+    let last = format!("{}data: [DONE]\n\n", state.format.event("", Some("stop")));
     Some((Ok(Bytes::from(last)), None))
 }
 
 impl Generation {
-    fn count(&self, change: impl FnOnce(&mut PromptRuns)) {
-        let mut batch = self.inner.batch.lock().expect("no thread died");
+    fn record(&self, change: impl FnOnce(&mut PromptRuns)) {
+        let mut batch = self.inner.batch.lock().expect("the lock is not poisoned");
         change(batch.runs.entry(self.text.clone()).or_default());
     }
 }
--- a/crates/lab/src/exchange.rs
+++ b/crates/lab/src/exchange.rs
@@ -11,17 +11,18 @@
 use std::ops::Range;
 
 /// Classes of the requests, all equally frequent.
-const CLASSES: usize = 8;
+const CLASS_COUNT: usize = 8;
 
 /// Number of servers of the shard.
-const SERVERS: usize = 12;
+const SERVER_COUNT: usize = 12;
 
 /// Step of virtual time.
 const STEP_MS: u64 = 10;
-const TICK_STEPS: u64 = 2;
+/// Number of steps between two ticks of a box.
+const STEPS_PER_TICK: u64 = 2;
 
 /// First id of a box's requests, as large as the wall-clock time makes it in production.
-const FIRST: u64 = 3 << 30;
+const FIRST_REQUEST_ID: u64 = 3 << 30;
 
 /// A shard, the boxes that use it and their load.
 #[derive(Clone, Debug)]
@@ -63,14 +64,14 @@
     /// Runs the simulation and returns the counts of the measurement time.
     #[must_use]
     pub fn run(&self, seed: u64) -> ExchangeStats {
-        let mut world = World::new(self, seed);
+        let mut simulation = Simulation::new(self, seed);
         for step in 0..(self.warmup_s + self.duration_s) * 1_000 / STEP_MS {
             if step == self.warmup_s * 1_000 / STEP_MS {
-                world.seen = ExchangeStats::default();
+                simulation.stats = ExchangeStats::default();
             }
-            world.step(self, step);
+            simulation.step(self, step);
         }
-        world.seen
+        simulation.stats
     }
 }
 
@@ -101,58 +102,59 @@
     }
 }
 
-struct World {
+struct Simulation {
     now: Time,
     random: ChaCha8Rng,
     ids: Vec<BoxId>,
     brokers: Vec<Broker>,
-    mail: Vec<(usize, BoxId, Message)>,
+    messages_in_flight: Vec<(usize, BoxId, Message)>,
     /// Running requests: end time, index of the box and request id.
-    ends: Vec<(Time, usize, u64)>,
+    running: Vec<(Time, usize, u64)>,
     length_ms: Range<u64>,
-    seen: ExchangeStats,
+    stats: ExchangeStats,
 }
 
-impl World {
+impl Simulation {
     fn new(exchange: &Exchange, seed: u64) -> Self {
         let now = Time(10_000);
         let ids: Vec<BoxId> = (0..exchange.boxes).map(|i| BoxId::of(&format!("b{i}"))).collect();
-        let brokers = ids.iter().map(|id| Broker::new(*id, "h", SchedulingMode::Owner, FIRST, now)).collect();
-        let mut world = Self {
+        let brokers =
+            ids.iter().map(|id| Broker::new(*id, "h", SchedulingMode::Owner, FIRST_REQUEST_ID, now)).collect();
+        let mut simulation = Self {
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
             ids: ids.clone(),
             brokers,
-            mail: Vec::new(),
-            ends: Vec::new(),
+            messages_in_flight: Vec::new(),
+            running: Vec::new(),
             length_ms: exchange.length_ms.clone(),
-            seen: ExchangeStats::default(),
+            stats: ExchangeStats::default(),
         };
-        let layout = layout(SERVERS, exchange.slots, CLASSES);
+        let layout = layout(SERVER_COUNT, exchange.slots, CLASS_COUNT);
         let view = BTreeMap::from([("h".to_owned(), ids)]);
-        for i in 0..world.brokers.len() {
-            let actions = world.brokers[i].set_layout(std::rc::Rc::clone(&layout), now);
-            world.take(i, actions);
-            let actions = world.brokers[i].set_boxes(view.clone(), Vec::new(), now);
-            world.take(i, actions);
+        for i in 0..simulation.brokers.len() {
+            let actions = simulation.brokers[i].set_layout(std::rc::Rc::clone(&layout), now);
+            simulation.apply(i, actions);
+            let actions = simulation.brokers[i].set_boxes(view.clone(), Vec::new(), now);
+            simulation.apply(i, actions);
         }
-        world
+        simulation
     }
 
-    fn take(&mut self, from: usize, actions: Vec<Action>) {
+    fn apply(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => {
                     let envelope = Envelope::Policy(message.clone());
-                    self.seen.bytes += wire::Frame::encode(&envelope).map_or(0, |f| f.wire_bytes()) as u64;
-                    self.seen.messages += 1;
-                    self.mail.push((from, to, message));
+                    self.stats.bytes += wire::Frame::encode(&envelope).map_or(0, |f| f.wire_bytes()) as u64;
+                    self.stats.messages += 1;
+                    self.messages_in_flight.push((from, to, message));
                 }
                 Action::Granted { id, .. } => {
                     let length = self.random.random_range(self.length_ms.clone());
-                    self.ends.push((self.now.after(length), from, id));
+                    self.running.push((self.now.after(length), from, id));
                 }
-                Action::Refused(..) => self.seen.refused += 1,
+                Action::Refused(..) => self.stats.refused += 1,
                 _ => {}
             }
         }
@@ -160,28 +162,28 @@
 
     fn step(&mut self, exchange: &Exchange, step: u64) {
         self.now = self.now.after(STEP_MS);
-        for (from, to, message) in std::mem::take(&mut self.mail) {
+        for (from, to, message) in std::mem::take(&mut self.messages_in_flight) {
             let Some(target) = self.ids.iter().position(|id| *id == to) else { continue };
             let actions = self.brokers[target].receive(self.ids[from], message, self.now);
-            self.take(target, actions);
+            self.apply(target, actions);
         }
         if self.random.random_bool((exchange.requests_per_s * STEP_MS as f64 / 1_000.0).min(1.0)) {
-            self.request(exchange);
+            self.start_request(exchange);
         }
-        self.end_some();
-        if step.is_multiple_of(TICK_STEPS) {
+        self.return_ended_leases();
+        if step.is_multiple_of(STEPS_PER_TICK) {
             for i in 0..self.brokers.len() {
                 let actions = self.brokers[i].tick(self.now);
-                self.take(i, actions);
+                self.apply(i, actions);
             }
         }
     }
 
-    fn request(&mut self, exchange: &Exchange) {
+    fn start_request(&mut self, exchange: &Exchange) {
         let i = self.random.random_range(0..self.brokers.len());
         let acquire = Acquire {
             serves: "m".into(),
-            class: ClassId::of(&format!("c{}", self.random.random_range(0..CLASSES))),
+            class: ClassId::of(&format!("c{}", self.random.random_range(0..CLASS_COUNT))),
             customer: CustomerId(self.random.random()),
             tokens: 500,
             prefix: self.random.random_range(0..exchange.prefixes) * 0x0101_0101,
@@ -190,20 +192,20 @@
             cause: Cause::First,
             avoid: None,
         };
-        self.seen.requests += 1;
+        self.stats.requests += 1;
         let (_, actions) = self.brokers[i].acquire(acquire, self.now);
-        self.take(i, actions);
+        self.apply(i, actions);
     }
 
-    fn end_some(&mut self) {
+    fn return_ended_leases(&mut self) {
         let now = self.now;
-        let (over, going) = std::mem::take(&mut self.ends).into_iter().partition(|(at, ..)| *at <= now);
-        self.ends = going;
-        let over: Vec<(Time, usize, u64)> = over;
-        for (_, i, id) in over {
+        let (ended, still_running) = std::mem::take(&mut self.running).into_iter().partition(|(at, ..)| *at <= now);
+        self.running = still_running;
+        let ended: Vec<(Time, usize, u64)> = ended;
+        for (_, i, id) in ended {
             let report = Report { tokens: 500, first_ms: 300, between_tenths: 400, failed: false, unused: false };
             let actions = self.brokers[i].return_lease(id, report, now);
-            self.take(i, actions);
+            self.apply(i, actions);
         }
     }
 }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -8,8 +8,9 @@
 use std::time::Instant;
 
 /// Duration of generated deployments that are printed.
-const DRAWN_SECONDS: f64 = 30.0;
-const DRAWN_MACHINES: usize = 400;
+const GENERATED_DURATION_S: f64 = 30.0;
+/// Maximum number of boxes and engines in generated deployments.
+const MAX_GENERATED_MACHINES: usize = 400;
 
 /// Results of an experiment.
 pub struct ExperimentResults {
@@ -26,10 +27,14 @@
 /// # Errors
 /// If a file can't be read or has faults.
 pub fn run_experiment(file: &Path) -> eyre::Result<ExperimentResults> {
-    let experiment = Experiment::parse(&file.display().to_string(), &read(file)?).map_err(|faults| all(&faults))?;
+    let experiment =
+        Experiment::parse(&file.display().to_string(), &read_file(file)?).map_err(|faults| combined_error(&faults))?;
     let folder = file.parent().unwrap_or(Path::new("."));
-    let deployments: Vec<Deployment> =
-        experiment.sources.iter().map(|source| deployment(&experiment, source, folder)).collect::<Result<_, _>>()?;
+    let deployments: Vec<Deployment> = experiment
+        .sources
+        .iter()
+        .map(|source| load_deployment(&experiment, source, folder))
+        .collect::<Result<_, _>>()?;
     let bar = ProgressBar::new(experiment.run_count() as u64);
     bar.set_style(ProgressStyle::with_template("{wide_bar} {pos} of {len} plays, {eta} left")?);
     let threads = std::thread::available_parallelism().map_or(1, |cores| cores.get().div_ceil(2));
@@ -41,22 +46,22 @@
     Ok(ExperimentResults { played, compared, elapsed_s: began.elapsed().as_secs_f64() })
 }
 
-fn deployment(experiment: &Experiment, source: &Source, folder: &Path) -> eyre::Result<Deployment> {
+fn load_deployment(experiment: &Experiment, source: &Source, folder: &Path) -> eyre::Result<Deployment> {
     match source {
         Source::Drawn(seed) => Ok(Deployment::draw(*seed, experiment.seconds, experiment.max_machines)),
         Source::File(file) => {
             let file = folder.join(file);
-            Deployment::parse(&file.display().to_string(), &read(&file)?).map_err(|faults| all(&faults))
+            Deployment::parse(&file.display().to_string(), &read_file(&file)?).map_err(|faults| combined_error(&faults))
         }
     }
 }
 
-fn read(file: &Path) -> eyre::Result<String> {
+fn read_file(file: &Path) -> eyre::Result<String> {
     std::fs::read_to_string(file).wrap_err_with(|| file.display().to_string())
 }
 
 /// Combines all faults of a file into one error.
-fn all(faults: &[catalog::Fault]) -> eyre::Report {
+fn combined_error(faults: &[catalog::Fault]) -> eyre::Report {
     let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
     eyre::eyre!("{}", faults.join("\n"))
 }
@@ -66,7 +71,7 @@
 /// # Errors
 /// If the deployment can't be serialized.
 pub fn draw_deployment(seed: u64) -> eyre::Result<String> {
-    Ok(Deployment::draw(seed, DRAWN_SECONDS, DRAWN_MACHINES).to_text()?)
+    Ok(Deployment::draw(seed, GENERATED_DURATION_S, MAX_GENERATED_MACHINES).to_text()?)
 }
 
 impl ExperimentResults {
@@ -96,7 +101,7 @@
             let outcomes = || self.played.iter().filter(|played| played.arm == *arm).map(|played| &played.outcome);
             let classes = || outcomes().flat_map(|outcome| &outcome.classes);
             let asked = classes().map(|class| class.requests).sum::<u64>().max(1) as f64;
-            let part = |count: u64| count as f64 / asked;
+            let share = |count: u64| count as f64 / asked;
             let half_width = half_width.map_or_else(String::new, |half_width| format!(" ±{half_width:.4}"));
             // Writing to memory can't fail.
             let _ = writeln!(
@@ -104,10 +109,10 @@
                 "{:<18} {worth:>6.4} {:>16} {better:>6} {worse:>6} {:>7.4} {:>6.4} {:>7.4} {:>6.4} {:>9.2} {:>9.2}",
                 arm.as_str(),
                 format!("{mean_difference:+.4}{half_width}"),
-                part(classes().map(|class| class.in_time).sum()),
-                part(classes().map(|class| class.late).sum()),
-                part(classes().map(|class| class.refused).sum()),
-                part(classes().map(|class| class.lost).sum()),
+                share(classes().map(|class| class.in_time).sum()),
+                share(classes().map(|class| class.late).sum()),
+                share(classes().map(|class| class.refused).sum()),
+                share(classes().map(|class| class.lost).sum()),
                 outcomes().map(|outcome| outcome.recomputed_tokens).sum::<u64>() as f64 / 1e6,
                 outcomes().map(|outcome| outcome.fetched_tokens).sum::<u64>() as f64 / 1e6,
             );
--- a/crates/lab/src/fleet_measurement.rs
+++ b/crates/lab/src/fleet_measurement.rs
@@ -11,17 +11,18 @@
 const RELEASES: usize = 100;
 
 /// Number of owners killed.
-const DEATHS: usize = 3;
+const OWNER_KILLS: usize = 3;
 
 /// Hotline requests sent around the death of an owner.
-const CALLS: u64 = 150;
-const CALL_EVERY: Duration = Duration::from_millis(20);
+const FAILOVER_CALLS: u64 = 150;
+/// Interval between these requests.
+const CALL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Measurement time of idle boxes.
-const IDLE: Duration = Duration::from_secs(10);
+const IDLE_WINDOW: Duration = Duration::from_secs(10);
 
 /// Maximum wait for boxes to become ready or for a release to be in force.
-const MOST: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Measured figures of the fleet.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -45,37 +46,37 @@
     pub failover_lost: usize,
 }
 
-fn summary(mut times: Vec<u64>) -> (u64, u64, u64) {
+fn percentiles(mut times: Vec<u64>) -> (u64, u64, u64) {
     times.sort_unstable();
     let at = |hundredths: usize| times.get((times.len() * hundredths).div_ceil(100).max(1) - 1).copied().unwrap_or(0);
     (at(50), at(99), at(100))
 }
 
-async fn publish(deployment: &mut Deployment) -> eyre::Result<u64> {
+async fn publish_and_time(deployment: &mut Deployment) -> eyre::Result<u64> {
     let began = Instant::now();
     let number = deployment.publish()?;
-    if !deployment.wait_until(MOST, |s| s.release >= number).await {
-        eyre::bail!("release {number} is not in force everywhere");
+    if !deployment.wait_until(READY_TIMEOUT, |s| s.release >= number).await {
+        eyre::bail!("release {number} did not come into force on all boxes");
     }
     Ok(began.elapsed().as_millis() as u64)
 }
 
-async fn idle(deployment: &Deployment, run: &mut FleetReport) {
-    let sums = |statuses: &[cleatshelf::Status]| {
+async fn measure_idle(deployment: &Deployment, report: &mut FleetReport) {
+    let totals = |statuses: &[cleatshelf::Status]| {
         let bytes: u64 = statuses.iter().map(|s| s.sent_bytes).sum();
         let messages: u64 = statuses.iter().map(|s| s.sent_messages).sum();
         (bytes as f64, messages as f64)
     };
-    let before = (sums(&all(deployment).await), deployment.platform.calls());
-    tokio::time::sleep(IDLE).await;
-    let after = (sums(&all(deployment).await), deployment.platform.calls());
-    let share = IDLE.as_secs_f64() * run.boxes as f64;
-    run.idle_bytes = (after.0 .0 - before.0 .0) / share;
-    run.idle_messages = (after.0 .1 - before.0 .1) / share;
-    run.platform_calls = (after.1 - before.1) as f64 / IDLE.as_secs_f64();
+    let before = (totals(&statuses(deployment).await), deployment.platform.calls());
+    tokio::time::sleep(IDLE_WINDOW).await;
+    let after = (totals(&statuses(deployment).await), deployment.platform.calls());
+    let box_seconds = IDLE_WINDOW.as_secs_f64() * report.boxes as f64;
+    report.idle_bytes = (after.0 .0 - before.0 .0) / box_seconds;
+    report.idle_messages = (after.0 .1 - before.0 .1) / box_seconds;
+    report.platform_calls = (after.1 - before.1) as f64 / IDLE_WINDOW.as_secs_f64();
 }
 
-async fn all(deployment: &Deployment) -> Vec<cleatshelf::Status> {
+async fn statuses(deployment: &Deployment) -> Vec<cleatshelf::Status> {
     let mut statuses = Vec::new();
     for name in deployment.running_boxes() {
         statuses.extend(deployment.status(&name).await);
@@ -84,39 +85,42 @@
 }
 
 /// Kills the owner of the first hall's engines during hotline calls and starts it again.
-async fn kill_owner(deployment: &mut Deployment, run: &mut FleetReport) -> eyre::Result<()> {
+async fn kill_owner(deployment: &mut Deployment, report: &mut FleetReport) -> eyre::Result<()> {
     let hall = deployment.spec.halls[0].0.clone();
-    let owner = deployment.shard_owner(&hall, crate::MODEL).await.ok_or_else(|| eyre::eyre!("no owner"))?;
-    let near = deployment.boxes.values().filter(|b| b.peer.hall == hall && b.peer.name != owner);
-    let doors: Vec<_> = near.map(|b| b.callers).collect();
+    let owner = deployment
+        .shard_owner(&hall, crate::MODEL)
+        .await
+        .ok_or_else(|| eyre::eyre!("no box owns the shard of {hall}"))?;
+    let same_hall = deployment.boxes.values().filter(|b| b.peer.hall == hall && b.peer.name != owner);
+    let addresses: Vec<_> = same_hall.map(|b| b.callers).collect();
     let mut calls = Vec::new();
-    for i in 0..CALLS {
-        let door = doors[i as usize % doors.len()];
+    for i in 0..FAILOVER_CALLS {
+        let address = addresses[i as usize % addresses.len()];
         calls.push(actix_rt::spawn(async move {
             let sent = Instant::now();
             let reply = Caller::new("large-1")
                 .class("hotline")
                 .non_repeatable()
-                .complete(door, &format!("failover {i}"), 8)
+                .complete(address, &format!("failover {i}"), 8)
                 .await;
             let first = reply.times.first().map(|at| at.duration_since(sent).as_millis() as u64);
             first.filter(|_| reply.outcome == Outcome::Complete)
         }));
-        if i == CALLS / 3 {
+        if i == FAILOVER_CALLS / 3 {
             deployment.kill(&owner);
         }
-        tokio::time::sleep(CALL_EVERY).await;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
-    let mut worst = 0;
+    let mut slowest = 0;
     for call in calls {
         match call.await {
-            Ok(Some(first)) => worst = worst.max(first),
-            _ => run.failover_lost += 1,
+            Ok(Some(first)) => slowest = slowest.max(first),
+            _ => report.failover_lost += 1,
         }
     }
-    run.failover_worst_ms.push(worst);
+    report.failover_worst_ms.push(slowest);
     deployment.start_box(&owner)?;
-    if !deployment.wait_until_ready(MOST).await {
+    if !deployment.wait_until_ready(READY_TIMEOUT).await {
         eyre::bail!("the boxes did not become ready again");
     }
     Ok(())
@@ -129,24 +133,24 @@
 pub async fn measure_fleet(program: &Path) -> eyre::Result<FleetReport> {
     let plan = DeploymentSpec { with_relays: true, ..DeploymentSpec::default() };
     let mut deployment = Deployment::start(plan, program)?;
-    if !deployment.wait_until_ready(MOST).await {
+    if !deployment.wait_until_ready(READY_TIMEOUT).await {
         eyre::bail!("the boxes did not become ready");
     }
-    let mut run = FleetReport { boxes: deployment.boxes.len(), ..FleetReport::default() };
-    idle(&deployment, &mut run).await;
+    let mut report = FleetReport { boxes: deployment.boxes.len(), ..FleetReport::default() };
+    measure_idle(&deployment, &mut report).await;
     let mut times = Vec::new();
     for _ in 0..RELEASES {
-        times.push(publish(&mut deployment).await?);
+        times.push(publish_and_time(&mut deployment).await?);
     }
-    run.in_force_ms = summary(std::mem::take(&mut times));
+    report.in_force_ms = percentiles(std::mem::take(&mut times));
     deployment.platform_relays[&deployment.spec.halls[0].0].set_mode(RelayMode::Cut);
     for _ in 0..RELEASES {
-        times.push(publish(&mut deployment).await?);
+        times.push(publish_and_time(&mut deployment).await?);
     }
-    run.through_peers_ms = summary(times);
+    report.through_peers_ms = percentiles(times);
     deployment.platform_relays[&deployment.spec.halls[0].0].set_mode(RelayMode::Pass(0));
-    for _ in 0..DEATHS {
-        kill_owner(&mut deployment, &mut run).await?;
+    for _ in 0..OWNER_KILLS {
+        kill_owner(&mut deployment, &mut report).await?;
     }
-    Ok(run)
+    Ok(report)
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -12,6 +12,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// Maximum immediate retries of a request at other boxes.
+const MAX_IMMEDIATE_RETRIES: u32 = 5;
+
 /// A load run against some boxes.
 pub struct LoadRun<'a> {
     /// Name of the report.
@@ -46,7 +49,7 @@
         }
     }
 
-    fn close(mut self) -> (ClassReport, Self) {
+    fn finish(mut self) -> (ClassReport, Self) {
         let at = |h: &Histogram<u64>, q| h.value_at_quantile(q);
         self.row.first_ms = (at(&self.first, 0.5), at(&self.first, 0.99), self.first.max());
         self.row.between_p95_ms = at(&self.between, 0.95) as f64 / 10.0;
@@ -57,11 +60,11 @@
 type Shared = Rc<RefCell<Tally>>;
 
 /// One intended request.
-struct Shot {
+struct PlannedRequest {
     stream: Rc<RequestStream>,
     caller: Caller,
     prompt: String,
-    doors: Rc<Vec<SocketAddr>>,
+    addresses: Rc<Vec<SocketAddr>>,
     intended: Instant,
     random: ChaCha8Rng,
 }
@@ -70,15 +73,16 @@
 /// to add.
 pub async fn run_load(load: LoadRun<'_>) -> LoadReport {
     let began = Instant::now();
-    let doors = Rc::new(load.addresses);
+    let addresses = Rc::new(load.addresses);
     let mut tallies = Vec::new();
-    let mut feeds = Vec::new();
+    let mut generators = Vec::new();
     for (index, stream) in load.profile.streams.iter().enumerate() {
         let tally: Shared = Rc::new(RefCell::new(Tally::new(&stream.class)));
         tallies.push(Rc::clone(&tally));
         let seed = load.profile.seed.wrapping_mul(1_000).wrapping_add(index as u64);
-        let feed = feed(Rc::new(stream.clone()), seed, load.profile.seconds, Rc::clone(&doors), tally, began);
-        feeds.push(actix_rt::spawn(feed));
+        let generator =
+            generate_requests(Rc::new(stream.clone()), seed, load.profile.seconds, Rc::clone(&addresses), tally, began);
+        generators.push(actix_rt::spawn(generator));
     }
     if load.progress {
         let shown: Vec<Shared> = tallies.iter().map(Rc::clone).collect();
@@ -95,9 +99,9 @@
             }
         });
     }
-    for feed in feeds {
+    for generator in generators {
         // Requests of a generator task that panicked are reported as unfinished.
-        let _ = feed.await;
+        let _ = generator.await;
     }
     let drain = Instant::now();
     let open = |t: &Shared| {
@@ -107,16 +111,16 @@
     while tallies.iter().any(open) && drain.elapsed().as_secs_f64() < load.profile.drain_s {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    sum_up(load.name, load.profile, &tallies)
+    summarize(load.name, load.profile, &tallies)
 }
 
-fn sum_up(name: &str, profile: &Profile, tallies: &[Shared]) -> LoadReport {
+fn summarize(name: &str, profile: &Profile, tallies: &[Shared]) -> LoadReport {
     let mut report = LoadReport { name: name.to_owned(), seconds: profile.seconds, ..LoadReport::default() };
     let mut codes: BTreeMap<String, u64> = BTreeMap::new();
     let mut tokens_in_time = 0;
     for tally in tallies {
-        let taken = tally.replace(Tally::new("ended"));
-        let (mut row, tally) = taken.close();
+        let finished = tally.replace(Tally::new("ended"));
+        let (mut row, tally) = finished.finish();
         row.unfinished = row.sent - row.whole - row.refused - row.failed;
         report.delivered += tally.tokens_whole;
         tokens_in_time += tally.tokens_in_time;
@@ -131,11 +135,11 @@
     report
 }
 
-async fn feed(
+async fn generate_requests(
     stream: Rc<RequestStream>,
     seed: u64,
     seconds: f64,
-    doors: Rc<Vec<SocketAddr>>,
+    addresses: Rc<Vec<SocketAddr>>,
     tally: Shared,
     began: Instant,
 ) {
@@ -167,76 +171,76 @@
         if stream.non_repeatable {
             caller = caller.non_repeatable().key(&uuid::Uuid::now_v7().to_string());
         }
-        let shot = Shot {
+        let request = PlannedRequest {
             stream: Rc::clone(&stream),
             caller,
             prompt,
-            doors: Rc::clone(&doors),
+            addresses: Rc::clone(&addresses),
             intended,
             random: ChaCha8Rng::seed_from_u64(random.random()),
         };
         tally.borrow_mut().row.sent += 1;
-        actix_rt::spawn(shoot(shot, Rc::clone(&tally)));
+        actix_rt::spawn(send_request(request, Rc::clone(&tally)));
     }
 }
 
-async fn shoot(mut shot: Shot, tally: Shared) {
-    let mut elsewhere = 0;
+async fn send_request(mut request: PlannedRequest, tally: Shared) {
+    let mut immediate_retries = 0;
     loop {
-        let door = shot.doors[shot.random.random_range(0..shot.doors.len())];
-        let reply = match &shot.stream.service {
-            None => shot.caller.complete(door, &shot.prompt, shot.stream.max_tokens).await,
+        let address = request.addresses[request.random.random_range(0..request.addresses.len())];
+        let reply = match &request.stream.service {
+            None => request.caller.complete(address, &request.prompt, request.stream.max_tokens).await,
             Some(service) => {
-                let path = format!("/services/{service}/records/{}", shot.prompt.trim_end_matches('x').trim_end());
-                shot.caller.request(door, "GET", &path, "").await
+                let path = format!("/services/{service}/records/{}", request.prompt.trim_end_matches('x').trim_end());
+                request.caller.request(address, "GET", &path, "").await
             }
         };
-        let wait = match after(&reply, &tally) {
-            Next::Ended => return ended(&shot, &reply, &tally),
-            Next::Elsewhere if elsewhere < 5 => {
-                elsewhere += 1;
+        let wait = match next_step(&reply, &tally) {
+            NextStep::Finished => return record_reply(&request, &reply, &tally),
+            NextStep::RetryElsewhere if immediate_retries < MAX_IMMEDIATE_RETRIES => {
+                immediate_retries += 1;
                 Duration::from_millis(5)
             }
-            Next::Elsewhere => return refused(&tally),
-            Next::Later(wait) => wait,
+            NextStep::RetryElsewhere => return record_refusal(&tally),
+            NextStep::RetryAfter(wait) => wait,
         };
-        let patience = Duration::from_secs_f64(shot.stream.patience_s);
-        if shot.intended.elapsed() + wait > patience {
-            return refused(&tally);
+        let patience = Duration::from_secs_f64(request.stream.patience_s);
+        if request.intended.elapsed() + wait > patience {
+            return record_refusal(&tally);
         }
         tokio::time::sleep(wait).await;
     }
 }
 
-enum Next {
-    Ended,
+enum NextStep {
+    Finished,
     /// Retry immediately at another box, as a load balancer would.
-    Elsewhere,
-    Later(Duration),
+    RetryElsewhere,
+    RetryAfter(Duration),
 }
 
-fn after(reply: &Reply, tally: &Shared) -> Next {
+fn next_step(reply: &Reply, tally: &Shared) -> NextStep {
     let Outcome::Refused { code, ran, retry_ms, .. } = &reply.outcome else {
-        return if reply.outcome == Outcome::Unreachable { Next::Elsewhere } else { Next::Ended };
+        return if reply.outcome == Outcome::Unreachable { NextStep::RetryElsewhere } else { NextStep::Finished };
     };
     let mut tally = tally.borrow_mut();
     *tally.codes.entry(code.clone()).or_default() += 1;
     if ran != "no" {
-        return Next::Ended;
+        return NextStep::Finished;
     }
     tally.row.refusals += 1;
     match retry_ms {
-        _ if code == "not_ready" => Next::Elsewhere,
-        Some(ms) => Next::Later(Duration::from_millis(*ms)),
-        None => Next::Ended,
+        _ if code == "not_ready" => NextStep::RetryElsewhere,
+        Some(ms) => NextStep::RetryAfter(Duration::from_millis(*ms)),
+        None => NextStep::Finished,
     }
 }
 
-fn refused(tally: &Shared) {
+fn record_refusal(tally: &Shared) {
     tally.borrow_mut().row.refused += 1;
 }
 
-fn ended(shot: &Shot, reply: &Reply, tally: &Shared) {
+fn record_reply(request: &PlannedRequest, reply: &Reply, tally: &Shared) {
     let mut tally = tally.borrow_mut();
     match &reply.outcome {
         Outcome::Complete => {}
@@ -250,13 +254,13 @@
         }
     }
     tally.row.whole += 1;
-    let right = match &shot.stream.service {
-        None => answer_tokens(&shot.prompt, shot.stream.max_tokens).concat() == reply.text,
-        Some(_) => reply.text.contains(shot.prompt.trim_end_matches('x').trim_end()),
+    let matches = match &request.stream.service {
+        None => answer_tokens(&request.prompt, request.stream.max_tokens).concat() == reply.text,
+        Some(_) => reply.text.contains(request.prompt.trim_end_matches('x').trim_end()),
     };
-    tally.row.mismatched += u64::from(!right);
+    tally.row.mismatched += u64::from(!matches);
     let Some(first) = reply.times.first() else { return };
-    let first_ms = first.duration_since(shot.intended).as_millis() as u64;
+    let first_ms = first.duration_since(request.intended).as_millis() as u64;
     tally.first.saturating_record(first_ms);
     let count = reply.times.len() as u64;
     let between_tenths = match reply.times.last() {
@@ -264,11 +268,11 @@
         _ => 0,
     };
     tally.between.saturating_record(between_tenths);
-    let tokens = if shot.stream.service.is_some() { 0 } else { count };
+    let tokens = if request.stream.service.is_some() { 0 } else { count };
     tally.tokens_whole += tokens;
-    if first_ms > shot.stream.first_token_ms {
+    if first_ms > request.stream.first_token_ms {
         tally.row.late += 1;
-    } else if between_tenths > shot.stream.between_tokens_ms * 10 {
+    } else if between_tenths > request.stream.between_tokens_ms * 10 {
         tally.row.slow += 1;
     } else {
         tally.row.in_time += 1;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -14,12 +14,12 @@
 #[derive(FromArgs)]
 struct Command {
     #[argh(subcommand)]
-    what: What,
+    subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum What {
+enum Subcommand {
     Demo(DemoArgs),
     Up(UpArgs),
     Load(LoadArgs),
@@ -181,21 +181,21 @@
 
 fn main() -> ExitCode {
     let command: Command = argh::from_env();
-    let done = match command.what {
-        What::Box(args) => return run_box(&args.settings),
-        What::Demo(args) => actix_rt::System::new().block_on(demo(&args)),
-        What::Up(args) => actix_rt::System::new().block_on(up(&args)),
-        What::Load(args) => actix_rt::System::new().block_on(load(&args)),
-        What::Compare(args) => actix_rt::System::new().block_on(compare_all(&args)),
-        What::Plot(args) => draw_plot(&args),
-        What::Experiment(args) => experiment(&args),
-        What::Draw(args) => draw(&args),
-        What::Fleet(_) => actix_rt::System::new().block_on(measure_fleet()),
-        What::Overhead(_) => actix_rt::System::new().block_on(measure_overhead()),
-        What::Slopes(args) => measure_slopes(&args),
-        What::Soak(args) => actix_rt::System::new().block_on(soak(&args)),
+    let result = match command.subcommand {
+        Subcommand::Box(args) => return run_box(&args.settings),
+        Subcommand::Demo(args) => actix_rt::System::new().block_on(demo(&args)),
+        Subcommand::Up(args) => actix_rt::System::new().block_on(up(&args)),
+        Subcommand::Load(args) => actix_rt::System::new().block_on(run_load_command(&args)),
+        Subcommand::Compare(args) => actix_rt::System::new().block_on(run_comparison(&args)),
+        Subcommand::Plot(args) => draw_plot(&args),
+        Subcommand::Experiment(args) => experiment(&args),
+        Subcommand::Draw(args) => print_deployment(&args),
+        Subcommand::Fleet(_) => actix_rt::System::new().block_on(measure_fleet()),
+        Subcommand::Overhead(_) => actix_rt::System::new().block_on(measure_overhead()),
+        Subcommand::Slopes(args) => measure_slopes(&args),
+        Subcommand::Soak(args) => actix_rt::System::new().block_on(run_soak(&args)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("lab: {error:#}");
@@ -206,7 +206,7 @@
 
 fn run_box(settings: &Path) -> ExitCode {
     let path = settings.display().to_string();
-    cleatshelf::run(match Command::as_serve(&path) {
+    cleatshelf::run(match Command::box_command(&path) {
         Some(command) => command,
         None => return ExitCode::FAILURE,
     })
@@ -214,16 +214,16 @@
 
 impl Command {
     /// Builds the command of the cleatshelf binary, so that boxes run the same code as in production.
-    fn as_serve(settings: &str) -> Option<cleatshelf::Command> {
+    fn box_command(settings: &str) -> Option<cleatshelf::Command> {
         cleatshelf::Command::from_args(&["cleatshelf"], &["serve", "--settings", settings]).ok()
     }
 }
 
-fn program() -> eyre::Result<PathBuf> {
+fn current_program() -> eyre::Result<PathBuf> {
     Ok(std::env::current_exe()?)
 }
 
-fn plan(himalkosh: bool) -> DeploymentSpec {
+fn deployment_spec(himalkosh: bool) -> DeploymentSpec {
     if !himalkosh {
         return DeploymentSpec::default();
     }
@@ -232,7 +232,7 @@
     DeploymentSpec { halls, himalkosh: true, ..DeploymentSpec::default() }
 }
 
-fn parse(file: &str, text: &str, himalkosh: bool) -> eyre::Result<Profile> {
+fn parse_profile(file: &str, text: &str, himalkosh: bool) -> eyre::Result<Profile> {
     let classes = if himalkosh { HIMALKOSH_CLASSES } else { LAKES_CLASSES };
     Profile::parse(file, text, classes).map_err(|faults| {
         let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
@@ -240,7 +240,7 @@
     })
 }
 
-fn show(report: &LoadReport, json: bool) -> eyre::Result<()> {
+fn print_report(report: &LoadReport, json: bool) -> eyre::Result<()> {
     if json {
         println!("{}", serde_json::to_string(report)?);
     } else {
@@ -250,9 +250,9 @@
 }
 
 async fn demo(args: &DemoArgs) -> eyre::Result<()> {
-    let profile = parse("demo", DEMO_PROFILE, false)?;
+    let profile = parse_profile("demo", DEMO_PROFILE, false)?;
     eprintln!("starting 8 boxes in 3 halls, 9 engines, 3 plain services on loopback");
-    let deployment = Deployment::start(DeploymentSpec::default(), &program()?)?;
+    let deployment = Deployment::start(DeploymentSpec::default(), &current_program()?)?;
     if !deployment.wait_until_ready(Duration::from_secs(20)).await {
         eyre::bail!("the boxes did not become ready");
     }
@@ -260,11 +260,11 @@
     let load = LoadRun { name: "demo", profile: &profile, addresses: deployment.caller_addresses(), progress: true };
     let mut report = run_load(load).await;
     lab::add_server_totals(&mut report, &deployment, 0).await;
-    show(&report, args.json)
+    print_report(&report, args.json)
 }
 
 async fn up(args: &UpArgs) -> eyre::Result<()> {
-    let deployment = Deployment::start(DeploymentSpec::default(), &program()?)?;
+    let deployment = Deployment::start(DeploymentSpec::default(), &current_program()?)?;
     if !deployment.wait_until_ready(Duration::from_secs(20)).await {
         eyre::bail!("the boxes did not become ready");
     }
@@ -279,17 +279,17 @@
     Ok(())
 }
 
-async fn load(args: &LoadArgs) -> eyre::Result<()> {
+async fn run_load_command(args: &LoadArgs) -> eyre::Result<()> {
     let text = std::fs::read_to_string(&args.profile)?;
-    let profile = parse(&args.profile.display().to_string(), &text, args.himalkosh)?;
+    let profile = parse_profile(&args.profile.display().to_string(), &text, args.himalkosh)?;
     let case = ComparisonCase { scheduling_mode: args.way.clone(), load: args.load, faults: args.faults };
-    let report = run_case(&case, &plan(args.himalkosh), &profile, &program()?).await?;
-    show(&report, args.json)
+    let report = run_case(&case, &deployment_spec(args.himalkosh), &profile, &current_program()?).await?;
+    print_report(&report, args.json)
 }
 
-async fn compare_all(args: &CompareArgs) -> eyre::Result<()> {
+async fn run_comparison(args: &CompareArgs) -> eyre::Result<()> {
     let text = std::fs::read_to_string(&args.profile)?;
-    let profile = parse(&args.profile.display().to_string(), &text, args.himalkosh)?;
+    let profile = parse_profile(&args.profile.display().to_string(), &text, args.himalkosh)?;
     let loads: Vec<f64> = args.loads.split(',').map(str::parse).collect::<Result<_, _>>()?;
     let mut lines = String::new();
     for load in loads {
@@ -299,7 +299,7 @@
             }
             for way in args.ways.split(',') {
                 let case = ComparisonCase { scheduling_mode: way.to_owned(), load, faults };
-                let report = run_case(&case, &plan(args.himalkosh), &profile, &program()?).await?;
+                let report = run_case(&case, &deployment_spec(args.himalkosh), &profile, &current_program()?).await?;
                 println!("\n== {} at load {load}\n{}", report.name, report.table());
                 lines.push_str(&serde_json::to_string(&report)?);
                 lines.push('\n');
@@ -311,18 +311,18 @@
 }
 
 async fn measure_fleet() -> eyre::Result<()> {
-    println!("{}", serde_json::to_string_pretty(&lab::measure_fleet(&program()?).await?)?);
+    println!("{}", serde_json::to_string_pretty(&lab::measure_fleet(&current_program()?).await?)?);
     Ok(())
 }
 
 async fn measure_overhead() -> eyre::Result<()> {
-    let overhead = lab::measure_overhead(&program()?).await?;
+    let overhead = lab::measure_overhead(&current_program()?).await?;
     println!("{}", serde_json::to_string_pretty(&overhead)?);
     Ok(())
 }
 
 fn measure_slopes(args: &SlopesArgs) -> eyre::Result<()> {
-    let slopes = lab::measure_slopes(args.only.as_deref()).map_err(|why| eyre::eyre!(why))?;
+    let slopes = lab::measure_slopes(args.only.as_deref()).map_err(|error| eyre::eyre!(error))?;
     if args.json {
         println!("{}", serde_json::to_string(&slopes)?);
     } else {
@@ -331,14 +331,14 @@
     Ok(())
 }
 
-async fn soak(args: &SoakArgs) -> eyre::Result<()> {
+async fn run_soak(args: &SoakArgs) -> eyre::Result<()> {
     let soak = Soak { seed: args.seed, duration: Duration::from_secs(args.seconds) };
-    let soaked = soak.run(&program()?).await?;
-    println!("{}", serde_json::to_string_pretty(&soaked)?);
-    if soaked.violations.is_empty() {
+    let report = soak.run(&current_program()?).await?;
+    println!("{}", serde_json::to_string_pretty(&report)?);
+    if report.violations.is_empty() {
         Ok(())
     } else {
-        eyre::bail!("{} things that must never happen", soaked.violations.len())
+        eyre::bail!("{} invariant violations", report.violations.len())
     }
 }
 
@@ -351,7 +351,7 @@
     Ok(())
 }
 
-fn draw(args: &DrawArgs) -> eyre::Result<()> {
+fn print_deployment(args: &DrawArgs) -> eyre::Result<()> {
     print!("{}", lab::draw_deployment(args.seed)?);
     Ok(())
 }
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -10,21 +10,22 @@
 use std::time::{Duration, Instant};
 
 /// Requests per second on each path.
-const RATE: u64 = 50;
-const SECONDS: u64 = 12;
+const REQUESTS_PER_S: u64 = 50;
+/// Duration of each run in seconds.
+const DURATION_S: u64 = 12;
 
 /// Tokens per answer in the long run; at 40 ms a token and 50 requests a second about 200
 /// streams are open.
-const LONG: u32 = 160;
+const LONG_ANSWER_TOKENS: u32 = 160;
 
 /// Tokens per answer in the short run, which separates the cost per request from the cost per token.
-const SHORT: u32 = 8;
+const SHORT_ANSWER_TOKENS: u32 = 8;
 
 /// Measurement time of an idle box.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_WINDOW: Duration = Duration::from_secs(5);
 
 /// Kernel clock ticks per second, the unit of processor time in /proc/PID/stat.
-const TICKS: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 /// Measured overhead, in microseconds.
 #[derive(Clone, Debug, Default, Serialize)]
@@ -51,20 +52,20 @@
     pub requests: u64,
 }
 
-struct Way {
+struct PathStats {
     first: Histogram<u64>,
     token: Histogram<u64>,
     tokens: u64,
     requests: u64,
 }
 
-impl Way {
+impl PathStats {
     fn new() -> Self {
         let histogram = || Histogram::new_with_max(60_000_000, 3).expect("valid bounds");
         Self { first: histogram(), token: histogram(), tokens: 0, requests: 0 }
     }
 
-    fn take(&mut self, sent: Instant, reply: &Reply) {
+    fn record(&mut self, sent: Instant, reply: &Reply) {
         if reply.outcome != Outcome::Complete || reply.times.is_empty() {
             return;
         }
@@ -79,7 +80,7 @@
         }
     }
 
-    fn figures(histogram: &Histogram<u64>) -> (u64, u64) {
+    fn percentiles(histogram: &Histogram<u64>) -> (u64, u64) {
         (histogram.value_at_quantile(0.5), histogram.value_at_quantile(0.99))
     }
 }
@@ -90,17 +91,17 @@
     let after_name = text.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let field = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
-    (field(11) + field(12)) / TICKS
+    (field(11) + field(12)) / CLOCK_TICKS_PER_S
 }
 
-async fn one_run(
+async fn run_requests(
     deployment: &Deployment,
     tokens: u32,
     idle: f64,
-    direct: &mut Way,
-    through: &mut Way,
+    direct: &mut PathStats,
+    through: &mut PathStats,
 ) -> (f64, u64, u64, u32) {
-    let door = deployment.caller_addresses()[0];
+    let address = deployment.caller_addresses()[0];
     let engines: Vec<SocketAddr> = deployment.engines.iter().map(|(_, e)| e.address()).collect();
     let name = deployment.running_boxes()[0].clone();
     let pid = deployment.pid(&name).unwrap_or(0);
@@ -108,58 +109,58 @@
     let (began, before) = (Instant::now(), cpu_seconds(pid));
     let (requests, token_count) = (through.requests, through.tokens);
     let mut tasks = Vec::new();
-    let mut most_open = 0;
-    for i in 0..RATE * SECONDS {
-        tokio::time::sleep_until((began + Duration::from_micros(i * 1_000_000 / RATE)).into()).await;
+    let mut max_open = 0;
+    for i in 0..REQUESTS_PER_S * DURATION_S {
+        tokio::time::sleep_until((began + Duration::from_micros(i * 1_000_000 / REQUESTS_PER_S)).into()).await;
         // The order alternates, since the second request competes with the first for the processor.
         for is_direct in [i % 2 == 0, i % 2 == 1] {
             let caller = caller.clone();
-            let to = if is_direct { engines[i as usize % engines.len()] } else { door };
+            let to = if is_direct { engines[i as usize % engines.len()] } else { address };
             tasks.push(actix_rt::spawn(async move {
                 let sent = Instant::now();
                 // Both paths use the same prompt, so that both answers have the same length.
                 (is_direct, sent, caller.complete(to, &format!("overhead {tokens} {i}"), tokens).await)
             }));
         }
-        if i % RATE == 0 {
+        if i % REQUESTS_PER_S == 0 {
             let open = deployment.status(&name).await.map_or(0, |s| s.running as u32);
-            most_open = most_open.max(open);
+            max_open = max_open.max(open);
         }
     }
     for task in tasks {
         if let Ok((is_direct, sent, reply)) = task.await {
-            (if is_direct { &mut *direct } else { &mut *through }).take(sent, &reply);
+            (if is_direct { &mut *direct } else { &mut *through }).record(sent, &reply);
         }
     }
     let cpu = cpu_seconds(pid) - before - idle * began.elapsed().as_secs_f64();
-    (cpu, through.requests - requests, through.tokens - token_count, most_open)
+    (cpu, through.requests - requests, through.tokens - token_count, max_open)
 }
 
 /// Measures short requests per second through one box, from callers that send the next request as soon as
 /// the last one is answered.
 async fn requests_per_second(deployment: &Deployment) -> f64 {
-    const CALLERS: usize = 64;
-    const LENGTH: Duration = Duration::from_secs(5);
-    let door = deployment.caller_addresses()[0];
+    const CALLER_COUNT: usize = 64;
+    const DURATION: Duration = Duration::from_secs(5);
+    let address = deployment.caller_addresses()[0];
     let began = Instant::now();
-    let callers: Vec<_> = (0..CALLERS)
+    let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|_| {
             actix_rt::spawn(async move {
                 let caller = Caller::new("large-1").class("lookup");
-                let mut whole = 0u64;
-                while began.elapsed() < LENGTH {
-                    let reply = caller.request(door, "GET", "/services/registry/short", "").await;
-                    whole += u64::from(reply.outcome == Outcome::Complete);
+                let mut completed = 0u64;
+                while began.elapsed() < DURATION {
+                    let reply = caller.request(address, "GET", "/services/registry/short", "").await;
+                    completed += u64::from(reply.outcome == Outcome::Complete);
                 }
-                whole
+                completed
             })
         })
         .collect();
-    let mut whole = 0;
+    let mut completed = 0;
     for caller in callers {
-        whole += caller.await.unwrap_or(0);
+        completed += caller.await.unwrap_or(0);
     }
-    whole as f64 / began.elapsed().as_secs_f64()
+    completed as f64 / began.elapsed().as_secs_f64()
 }
 
 /// Measures the overhead of one box.
@@ -183,30 +184,30 @@
     }
     let pid = deployment.pid(&deployment.running_boxes()[0]).unwrap_or(0);
     let before = cpu_seconds(pid);
-    tokio::time::sleep(IDLE).await;
-    let idle = (cpu_seconds(pid) - before) / IDLE.as_secs_f64();
-    let (mut direct, mut through) = (Way::new(), Way::new());
-    let long = one_run(&deployment, LONG, idle, &mut direct, &mut through).await;
-    let figures = (
-        Way::figures(&direct.first),
-        Way::figures(&through.first),
-        Way::figures(&direct.token),
-        Way::figures(&through.token),
+    tokio::time::sleep(IDLE_WINDOW).await;
+    let idle = (cpu_seconds(pid) - before) / IDLE_WINDOW.as_secs_f64();
+    let (mut direct, mut through) = (PathStats::new(), PathStats::new());
+    let long = run_requests(&deployment, LONG_ANSWER_TOKENS, idle, &mut direct, &mut through).await;
+    let percentiles = (
+        PathStats::percentiles(&direct.first),
+        PathStats::percentiles(&through.first),
+        PathStats::percentiles(&direct.token),
+        PathStats::percentiles(&through.token),
     );
-    let short = one_run(&deployment, SHORT, idle, &mut direct, &mut through).await;
+    let short = run_requests(&deployment, SHORT_ANSWER_TOKENS, idle, &mut direct, &mut through).await;
     // The two runs give two equations for two unknowns: cpu = requests x a + tokens x b.
     let requests_per_second = requests_per_second(&deployment).await;
     let (r1, t1, r2, t2) = (long.1 as f64, long.2 as f64, short.1 as f64, short.2 as f64);
-    let under = r1 * t2 - r2 * t1;
+    let determinant = r1 * t2 - r2 * t1;
     Ok(Overhead {
-        direct_first_us: figures.0,
-        box_first_us: figures.1,
-        direct_token_us: figures.2,
-        box_token_us: figures.3,
+        direct_first_us: percentiles.0,
+        box_first_us: percentiles.1,
+        direct_token_us: percentiles.2,
+        box_token_us: percentiles.3,
         open_streams: long.3,
         cpu_idle_us: 1e6 * idle,
-        cpu_request_us: 1e6 * (long.0 * t2 - short.0 * t1) / under,
-        cpu_token_us: 1e6 * (r1 * short.0 - r2 * long.0) / under,
+        cpu_request_us: 1e6 * (long.0 * t2 - short.0 * t1) / determinant,
+        cpu_token_us: 1e6 * (r1 * short.0 - r2 * long.0) / determinant,
         requests_per_second,
         requests: through.requests,
     })
--- a/crates/lab/src/owner_benchmark.rs
+++ b/crates/lab/src/owner_benchmark.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 /// Number of requests in one measurement.
-const REQUESTS: usize = 20_000;
+const REQUEST_COUNT: usize = 20_000;
 
 /// Builds a layout with `servers` servers of one model and `classes` classes, the first of them urgent.
 pub(crate) fn layout(servers: usize, slots: usize, classes: usize) -> Rc<Layout> {
@@ -30,22 +30,22 @@
             "[[upstream]]\nname = \"s{i}\"\nhall = \"h\"\nmodel = \"m\"\naddress = \"127.0.0.1:1\"\nslots = {slots}\nresume = true\n"
         );
     }
-    let catalog = Catalog::parse(&[("classes", &text), ("upstreams", &upstreams)]).expect("good files");
+    let catalog = Catalog::parse(&[("classes", &text), ("upstreams", &upstreams)]).expect("valid files");
     Rc::new(Layout::from_catalog(&catalog))
 }
 
 /// Creates one owner of all servers, however many: the measurements are to show when a split into shards is
 /// worthwhile.
-fn owner(layout: &Rc<Layout>) -> Shard {
+fn shard_of_all_servers(layout: &Rc<Layout>) -> Shard {
     let mut specs = layout.shards.values();
-    let mut spec = specs.next().expect("one shard").clone();
+    let mut spec = specs.next().expect("at least one shard").clone();
     for other in specs {
         spec.servers.extend(other.servers.clone());
     }
     Shard::new(&spec, Rc::clone(layout))
 }
 
-fn ask(id: u64, classes: usize, random: &mut ChaCha8Rng) -> SlotRequest {
+fn slot_request(id: u64, classes: usize, random: &mut ChaCha8Rng) -> SlotRequest {
     SlotRequest {
         id,
         class: ClassId::of(&format!("c{}", random.random_range(0..classes))),
@@ -60,7 +60,7 @@
     }
 }
 
-fn granted(decisions: &[Decision], held: &mut Vec<(BoxId, u64)>) {
+fn collect_grants(decisions: &[Decision], held: &mut Vec<(BoxId, u64)>) {
     for decision in decisions {
         if let Decision::Send(to, Message::Grant { id, .. }) = decision {
             held.push((*to, *id));
@@ -73,70 +73,70 @@
 #[must_use]
 pub fn request_micros(servers: usize, slots: usize, classes: usize, seed: u64) -> f64 {
     let layout = layout(servers, slots, classes);
-    let mut shard = owner(&layout);
+    let mut shard = shard_of_all_servers(&layout);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut now = Time(1_000);
     let mut held = Vec::new();
     let mut next = 0;
-    let mut put = |shard: &mut Shard, held: &mut Vec<(BoxId, u64)>, now, random: &mut ChaCha8Rng| {
+    let mut request_slot = |shard: &mut Shard, held: &mut Vec<(BoxId, u64)>, now, random: &mut ChaCha8Rng| {
         next += 1;
         let from = BoxId(random.random_range(0..8));
-        let said = shard.request_slot(from, ask(next, classes, random), now);
-        granted(&said, held);
+        let decisions = shard.request_slot(from, slot_request(next, classes, random), now);
+        collect_grants(&decisions, held);
     };
     for _ in 0..servers * slots + 50 {
-        put(&mut shard, &mut held, now, &mut random);
+        request_slot(&mut shard, &mut held, now, &mut random);
     }
     let report = Report { tokens: 100, first_ms: 50, between_tenths: 100, failed: false, unused: false };
     let began = Instant::now();
-    for i in 0..REQUESTS {
+    for i in 0..REQUEST_COUNT {
         if i % 20 == 0 {
             now = now.after(20);
-            granted(&shard.tick(now), &mut held);
+            collect_grants(&shard.tick(now), &mut held);
         }
         let (from, id) = held.swap_remove(random.random_range(0..held.len()));
-        let said = shard.return_lease(from, &LeaseReturn { id, report }, now);
-        granted(&said, &mut held);
-        put(&mut shard, &mut held, now, &mut random);
+        let decisions = shard.return_lease(from, &LeaseReturn { id, report }, now);
+        collect_grants(&decisions, &mut held);
+        request_slot(&mut shard, &mut held, now, &mut random);
     }
-    began.elapsed().as_secs_f64() * 1e6 / REQUESTS as f64
+    began.elapsed().as_secs_f64() * 1e6 / REQUEST_COUNT as f64
 }
 
 /// Returns the processor microseconds of one tick with `waiting` requests in the queue.
 #[must_use]
 pub fn tick_micros(waiting: usize, seed: u64) -> f64 {
-    const TICKS: usize = 50;
+    const TICK_COUNT: usize = 50;
     let layout = layout(12, 8, 8);
-    let mut shard = owner(&layout);
+    let mut shard = shard_of_all_servers(&layout);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut now = Time(1_000);
     for id in 0..(96 + waiting) as u64 {
-        let mut one = ask(id, 8, &mut random);
-        one.begun = true;
-        shard.request_slot(BoxId((id % 8) as u32), one, now);
+        let mut request = slot_request(id, 8, &mut random);
+        request.begun = true;
+        shard.request_slot(BoxId((id % 8) as u32), request, now);
     }
     let began = Instant::now();
-    for _ in 0..TICKS {
+    for _ in 0..TICK_COUNT {
         now = now.after(20);
         shard.tick(now);
     }
-    began.elapsed().as_secs_f64() * 1e6 / TICKS as f64
+    began.elapsed().as_secs_f64() * 1e6 / TICK_COUNT as f64
 }
 
 /// Returns the processor microseconds to renew `held` leases of one lessee.
 #[must_use]
 pub fn renew_micros(held: usize, seed: u64) -> f64 {
-    const TIMES: usize = 50;
+    const RENEWAL_COUNT: usize = 50;
     let layout = layout(12, held.div_ceil(12), 2);
-    let mut shard = owner(&layout);
+    let mut shard = shard_of_all_servers(&layout);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut leases = Vec::new();
     for id in 0..held as u64 {
-        granted(&shard.request_slot(BoxId(1), ask(id, 2, &mut random), Time(1_000)), &mut leases);
+        collect_grants(&shard.request_slot(BoxId(1), slot_request(id, 2, &mut random), Time(1_000)), &mut leases);
     }
     let began = Instant::now();
-    for i in 0..TIMES {
+    for i in 0..RENEWAL_COUNT {
         shard.renew(BoxId(1), 0, i as u64, Time(1_001));
     }
-    began.elapsed().as_secs_f64() * 1e6 / TIMES as f64
+    began.elapsed().as_secs_f64() * 1e6 / RENEWAL_COUNT as f64
 }
--- a/crates/lab/src/plain_service.rs
+++ b/crates/lab/src/plain_service.rs
@@ -11,14 +11,14 @@
 struct Inner {
     name: String,
     delay_ms: AtomicU64,
-    ran: Mutex<HashMap<String, u32>>,
+    runs: Mutex<HashMap<String, u32>>,
 }
 
 /// A running stand-in for a plain service.
 #[derive(Clone)]
 pub struct PlainService {
     inner: Arc<Inner>,
-    serving: Arc<StandInServer>,
+    server: Arc<StandInServer>,
 }
 
 impl PlainService {
@@ -28,16 +28,16 @@
         let inner = Arc::new(Inner {
             name: name.to_owned(),
             delay_ms: AtomicU64::new(delay_ms),
-            ran: Mutex::new(HashMap::new()),
+            runs: Mutex::new(HashMap::new()),
         });
-        let serving = Arc::new(StandInServer::start(routes(&inner)));
-        Self { inner, serving }
+        let server = Arc::new(StandInServer::start(routes(&inner)));
+        Self { inner, server }
     }
 
     /// Returns the listening address.
     #[must_use]
     pub fn address(&self) -> std::net::SocketAddr {
-        self.serving.address
+        self.server.address
     }
 
     /// Returns the service's name.
@@ -49,14 +49,14 @@
     /// Returns how often a request with this path and body ran.
     #[must_use]
     pub fn runs(&self, path: &str, body: &str) -> u32 {
-        let ran = self.inner.ran.lock().expect("no thread died");
-        ran.get(&format!("{path}|{body}")).copied().unwrap_or(0)
+        let runs = self.inner.runs.lock().expect("the lock is not poisoned");
+        runs.get(&format!("{path}|{body}")).copied().unwrap_or(0)
     }
 
     /// Returns the total number of requests that ran.
     #[must_use]
     pub fn total_runs(&self) -> u32 {
-        self.inner.ran.lock().expect("no thread died").values().sum()
+        self.inner.runs.lock().expect("the lock is not poisoned").values().sum()
     }
 
     /// Sets the delay before each answer.
@@ -66,12 +66,12 @@
 
     /// Closes every connection abruptly and refuses new ones.
     pub fn crash(&self) {
-        self.serving.stop();
+        self.server.stop();
     }
 
     /// Accepts connections again after a crash.
     pub fn restart(&self) {
-        self.serving.restart(routes(&self.inner));
+        self.server.restart(routes(&self.inner));
     }
 }
 
@@ -87,7 +87,7 @@
 
 async fn serve(inner: Data<Inner>, request: HttpRequest, body: Bytes) -> HttpResponse {
     let text = String::from_utf8_lossy(&body).into_owned();
-    *inner.ran.lock().expect("no thread died").entry(format!("{}|{text}", request.path())).or_default() += 1;
+    *inner.runs.lock().expect("the lock is not poisoned").entry(format!("{}|{text}", request.path())).or_default() += 1;
     tokio::time::sleep(Duration::from_millis(inner.delay_ms.load(Ordering::Relaxed))).await;
     HttpResponse::Ok().body(format!("{} {} {text}", request.method(), request.path()))
 }
--- a/crates/lab/src/ports.rs
+++ b/crates/lab/src/ports.rs
@@ -3,14 +3,14 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-const FIRST: u32 = 10_000;
-const COUNT: u32 = 22_000;
+const FIRST_PORT: u32 = 10_000;
+const PORT_COUNT: u32 = 22_000;
 
 /// Distance between the first ports of processes with consecutive ids, so that the processes of one test
 /// run rarely collide.
-const STRIDE: u32 = 397;
+const PROCESS_STRIDE: u32 = 397;
 
-static NEXT: AtomicU32 = AtomicU32::new(0);
+static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
 
 /// Returns a listener bound to a port that this process has not used before.
 ///
@@ -18,9 +18,9 @@
 /// If no port is free, since no test can continue without one.
 #[must_use]
 pub fn bind_listener() -> TcpListener {
-    let offset = std::process::id().wrapping_mul(STRIDE);
-    for _ in 0..COUNT {
-        let port = FIRST + offset.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % COUNT;
+    let offset = std::process::id().wrapping_mul(PROCESS_STRIDE);
+    for _ in 0..PORT_COUNT {
+        let port = FIRST_PORT + offset.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed)) % PORT_COUNT;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port as u16)) {
             return listener;
         }
--- a/crates/lab/src/profile.rs
+++ b/crates/lab/src/profile.rs
@@ -42,7 +42,7 @@
     pub streams: Vec<RequestStream>,
 }
 
-fn number(reader: &mut TableReader<'_>, key: &str, default: Option<f64>) -> f64 {
+fn read_number(reader: &mut TableReader<'_>, key: &str, default: Option<f64>) -> f64 {
     let text = reader.string_opt(key);
     match text.map(|t| t.parse::<f64>()) {
         Some(Ok(number)) if number >= 0.0 => number,
@@ -61,14 +61,14 @@
     fn read(reader: &mut TableReader<'_>) -> Self {
         Self {
             class: reader.name("class"),
-            rate: number(reader, "rate", None),
+            rate: read_number(reader, "rate", None),
             max_tokens: reader.integer_opt("tokens", &(1..=100_000)).unwrap_or(64) as u32,
             prompt_bytes: reader.integer_opt("prompt_bytes", &(1..=1_000_000)).unwrap_or(200) as usize,
-            burst_factor: number(reader, "burst_factor", Some(1.0)),
-            burst: (number(reader, "burst_from_s", Some(0.0)), number(reader, "burst_to_s", Some(0.0))),
+            burst_factor: read_number(reader, "burst_factor", Some(1.0)),
+            burst: (read_number(reader, "burst_from_s", Some(0.0)), read_number(reader, "burst_to_s", Some(0.0))),
             non_repeatable: reader.flag("once", false),
             service: reader.string_opt("service"),
-            patience_s: number(reader, "patience_s", Some(5.0)),
+            patience_s: read_number(reader, "patience_s", Some(5.0)),
             first_token_ms: 0,
             between_tokens_ms: 0,
         }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -8,6 +8,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 
+const BUFFER_BYTES: usize = 64 * 1024;
+
 /// Behaviour of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayMode {
@@ -36,8 +38,8 @@
     #[must_use]
     pub fn start(target: SocketAddr) -> Self {
         let listener = crate::ports::bind_listener();
-        listener.set_nonblocking(true).expect("a socket option");
-        let address = listener.local_addr().expect("a bound address");
+        listener.set_nonblocking(true).expect("the listener can be made non-blocking");
+        let address = listener.local_addr().expect("the listener is bound");
         let (mode, modes) = watch::channel(RelayMode::Pass(0));
         let target = Arc::new(Mutex::new(target));
         let to = Arc::clone(&target);
@@ -52,17 +54,17 @@
 
     /// Sets the target of new connections.
     pub fn set_target(&self, target: SocketAddr) {
-        *self.target.lock().expect("no thread died") = target;
+        *self.target.lock().expect("the lock is not poisoned") = target;
     }
 }
 
 async fn accept(listener: TcpListener, target: Arc<Mutex<SocketAddr>>, modes: watch::Receiver<RelayMode>) {
-    let listener = tokio::net::TcpListener::from_std(listener).expect("a non-blocking listener");
+    let listener = tokio::net::TcpListener::from_std(listener).expect("the listener is non-blocking");
     while let Ok((from, _)) = listener.accept().await {
         if *modes.borrow() == RelayMode::Cut {
             continue;
         }
-        let to = *target.lock().expect("no thread died");
+        let to = *target.lock().expect("the lock is not poisoned");
         let modes = modes.clone();
         actix_rt::spawn(async move {
             let Ok(to) = TcpStream::connect(to).await else { return };
@@ -71,20 +73,20 @@
             let (from_read, from_write) = from.into_split();
             let (to_read, to_write) = to.into_split();
             tokio::select! {
-                () = pass(from_read, to_write, modes.clone()) => {}
-                () = pass(to_read, from_write, modes) => {}
+                () = forward(from_read, to_write, modes.clone()) => {}
+                () = forward(to_read, from_write, modes) => {}
             }
         });
     }
 }
 
 /// Bytes in flight with their arrival times.
-type Line = mpsc::UnboundedReceiver<(Instant, Vec<u8>)>;
+type InFlight = mpsc::UnboundedReceiver<(Instant, Vec<u8>)>;
 
-async fn pass(mut from: OwnedReadHalf, to: OwnedWriteHalf, mut modes: watch::Receiver<RelayMode>) {
-    let (line, arriving) = mpsc::unbounded_channel();
-    let writer = actix_rt::spawn(arrive(to, arriving, modes.clone()));
-    let mut buffer = vec![0; 64 * 1024];
+async fn forward(mut from: OwnedReadHalf, to: OwnedWriteHalf, mut modes: watch::Receiver<RelayMode>) {
+    let (queue, queued) = mpsc::unbounded_channel();
+    let writer = actix_rt::spawn(deliver(to, queued, modes.clone()));
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
@@ -93,17 +95,17 @@
         let Ok(count @ 1..) = read else { break };
         let delay = if let RelayMode::Pass(ms) = *modes.borrow() { ms } else { 0 };
         let at = Instant::now() + Duration::from_millis(delay);
-        if line.send((at, buffer[..count].to_vec())).is_err() {
+        if queue.send((at, buffer[..count].to_vec())).is_err() {
             break;
         }
     }
-    drop(line);
+    drop(queue);
     // Bytes in flight are still delivered, unless the link was cut.
     let _ = writer.await;
 }
 
-async fn arrive(mut to: OwnedWriteHalf, mut line: Line, mut modes: watch::Receiver<RelayMode>) {
-    while let Some((at, bytes)) = line.recv().await {
+async fn deliver(mut to: OwnedWriteHalf, mut queue: InFlight, mut modes: watch::Receiver<RelayMode>) {
+    while let Some((at, bytes)) = queue.recv().await {
         tokio::time::sleep_until(at.into()).await;
         let mode = modes.wait_for(|mode| *mode != RelayMode::Freeze).await.map(|m| *m);
         if !matches!(mode, Ok(RelayMode::Pass(_))) || to.write_all(&bytes).await.is_err() {
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 
 /// Number of measurements of each point.
-const REPEATS: usize = 3;
+const REPETITIONS: usize = 3;
 
 /// The measurements at one size.
 #[derive(Clone, Debug, Serialize)]
@@ -33,7 +33,8 @@
     /// The role whose cost is measured.
     pub role: &'static str,
     /// Name of the metric, with its unit.
-    pub what: &'static str,
+    #[serde(rename = "what")]
+    pub metric: &'static str,
     /// Unit of the size.
     pub size: &'static str,
     /// The measured points.
@@ -42,39 +43,43 @@
     pub line: (f64, f64),
 }
 
-fn line(points: &[Point]) -> (f64, f64) {
+fn least_squares(points: &[Point]) -> (f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.size).sum::<f64>() / n;
     let mean_y = points.iter().map(|p| p.value).sum::<f64>() / n;
-    let over = points.iter().map(|p| (p.size - mean_x) * (p.value - mean_y)).sum::<f64>();
-    let under = points.iter().map(|p| (p.size - mean_x).powi(2)).sum::<f64>();
-    let slope = if under == 0.0 { 0.0 } else { over / under };
+    let covariance = points.iter().map(|p| (p.size - mean_x) * (p.value - mean_y)).sum::<f64>();
+    let variance = points.iter().map(|p| (p.size - mean_x).powi(2)).sum::<f64>();
+    let slope = if variance == 0.0 { 0.0 } else { covariance / variance };
     (mean_y - slope * mean_x, slope)
 }
 
 fn measure_slope(
     role: &'static str,
-    what: &'static str,
+    metric: &'static str,
     size: &'static str,
     sizes: &[usize],
     mut run: impl FnMut(usize, u64) -> f64,
 ) -> Slope {
     let mut points = Vec::new();
     for size in sizes {
-        let mut values: Vec<f64> = (0..REPEATS).map(|i| run(*size, i as u64 + 1)).collect();
+        let mut values: Vec<f64> = (0..REPETITIONS).map(|i| run(*size, i as u64 + 1)).collect();
         values.sort_by(f64::total_cmp);
-        points.push(Point { size: *size as f64, value: values[REPEATS / 2], spread: (values[0], values[REPEATS - 1]) });
+        points.push(Point {
+            size: *size as f64,
+            value: values[REPETITIONS / 2],
+            spread: (values[0], values[REPETITIONS - 1]),
+        });
     }
-    let line = line(&points);
-    Slope { role, what, size, points, line }
+    let line = least_squares(&points);
+    Slope { role, metric, size, points, line }
 }
 
-fn micros(began: Instant, count: usize) -> f64 {
+fn mean_micros(began: Instant, count: usize) -> f64 {
     began.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
 /// Builds the classes, customers and upstreams files of a release with `customers` customers.
-fn files(customers: usize) -> (String, String, String) {
+fn release_files(customers: usize) -> (String, String, String) {
     let classes = include_str!("../../../examples/lakes/classes.toml").to_owned();
     let mut text = String::new();
     for i in 0..customers {
@@ -94,12 +99,12 @@
 /// # Panics
 /// Never, because the generated files are valid.
 #[must_use]
-pub fn release(number: u64, customers: usize, changed: usize) -> Release {
-    let (classes, mut text, upstreams) = files(customers);
+pub fn release_with_customers(number: u64, customers: usize, changed: usize) -> Release {
+    let (classes, mut text, upstreams) = release_files(customers);
     if changed > 0 {
         text = text.replacen("weight = 1", &format!("weight = {}", 1 + changed), 1);
     }
-    Release::pack(number, &classes, &text, &upstreams).expect("good files")
+    Release::pack(number, &classes, &text, &upstreams).expect("valid files")
 }
 
 fn resident_bytes() -> f64 {
@@ -109,35 +114,35 @@
     kilobytes * 1024.0
 }
 
-fn release_slopes(out: &mut Vec<Slope>) {
+fn measure_release(slopes: &mut Vec<Slope>) {
     let sizes = [3_500, 7_000, 14_000, 28_000];
     // Memory is measured first, before there is freed memory that could be reused. The results of each
     // size are kept alive for the same reason.
-    let mut kept = Vec::new();
-    out.push(measure_slope("release", "bytes of memory for a release in force", "customers", &sizes, |size, _| {
+    let mut retained = Vec::new();
+    slopes.push(measure_slope("release", "bytes of memory for a release in force", "customers", &sizes, |size, _| {
         let before = resident_bytes();
-        let release = release(1, size, 0);
-        let catalog: Catalog = release.check().expect("a good release");
+        let release = release_with_customers(1, size, 0);
+        let catalog: Catalog = release.check().expect("a valid release");
         let layout = policy::Layout::from_catalog(&catalog);
-        kept.push((release, catalog, layout));
+        retained.push((release, catalog, layout));
         (resident_bytes() - before).max(0.0)
     }));
-    drop(kept);
-    out.push(measure_slope("release", "ms to check a release", "customers", &sizes, |size, _| {
-        let release = release(1, size, 0);
+    drop(retained);
+    slopes.push(measure_slope("release", "ms to check a release", "customers", &sizes, |size, _| {
+        let release = release_with_customers(1, size, 0);
         let began = Instant::now();
         let checked = release.check();
         assert!(checked.is_ok());
         began.elapsed().as_secs_f64() * 1e3
     }));
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "release",
         "ms to take a change of one customer into force",
         "customers",
         &sizes,
         |size, _| fleet_simulation::change_ms(size),
     ));
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "release",
         "bytes that one changed customer moves to a box",
         "customers",
@@ -146,14 +151,14 @@
     ));
 }
 
-fn spread_slopes(out: &mut Vec<Slope>) {
+fn measure_propagation(slopes: &mut Vec<Slope>) {
     let sizes = [8, 78, 195, 390];
     let runs: Vec<(usize, Vec<FleetOutcome>)> = sizes
         .iter()
-        .map(|n| (*n, (0..REPEATS).map(|seed| fleet_simulation::run(*n, 5, seed as u64)).collect()))
+        .map(|n| (*n, (0..REPETITIONS).map(|seed| fleet_simulation::run(*n, 5, seed as u64)).collect()))
         .collect();
-    let mut push = |role, what, value: &dyn Fn(&FleetOutcome) -> f64| {
-        out.push(measure_slope(role, what, "boxes in 5 halls", &sizes, |size, seed| {
+    let mut push = |role, metric, value: &dyn Fn(&FleetOutcome) -> f64| {
+        slopes.push(measure_slope(role, metric, "boxes in 5 halls", &sizes, |size, seed| {
             let found = runs.iter().find(|(n, _)| *n == size).map(|(_, outcomes)| &outcomes[seed as usize - 1]);
             found.map_or(0.0, value)
         }));
@@ -169,9 +174,9 @@
     push("probe", "bytes a second sent by a box while one box dies", &|o| o.death_bytes);
 }
 
-fn owner_slopes(out: &mut Vec<Slope>) {
+fn measure_owner(slopes: &mut Vec<Slope>) {
     let servers = [3, 6, 12, 24];
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "shard owner",
         "processor us a request, full, 8 classes",
         "servers of 8 slots",
@@ -179,7 +184,7 @@
         |n, seed| owner_benchmark::request_micros(n, 8, 8, seed),
     ));
     let slots = [8, 45, 90, 180];
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "shard owner",
         "processor us a request, full, 12 servers, 8 classes",
         "slots of a server",
@@ -187,7 +192,7 @@
         |n, seed| owner_benchmark::request_micros(12, n, 8, seed),
     ));
     let classes = [2, 4, 8, 16];
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "shard owner",
         "processor us a request, full, 12 servers",
         "classes",
@@ -195,7 +200,7 @@
         |n, seed| owner_benchmark::request_micros(12, 8, n, seed),
     ));
     let waiting = [100, 400, 1_600, 3_200];
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "shard owner",
         "processor us a tick with so many waiting",
         "asks",
@@ -203,7 +208,7 @@
         owner_benchmark::tick_micros,
     ));
     let held = [100, 400, 1_600, 6_400];
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "shard owner",
         "processor us to renew a lessee's leases",
         "leases held",
@@ -212,33 +217,37 @@
     ));
 }
 
-fn exchange_slopes(out: &mut Vec<Slope>) {
+fn measure_exchange(slopes: &mut Vec<Slope>) {
     let role = "owner and lessee";
     let boxes = [8, 26, 52, 78];
-    let today = |n, seed| Exchange { boxes: n, ..Exchange::default() }.run(seed);
-    out.push(measure_slope(role, "messages a request, 8 slots a server", "boxes at a shard", &boxes, |n, seed| {
-        today(n, seed).messages_per_request()
+    let default_size = |n, seed| Exchange { boxes: n, ..Exchange::default() }.run(seed);
+    slopes.push(measure_slope(role, "messages a request, 8 slots a server", "boxes at a shard", &boxes, |n, seed| {
+        default_size(n, seed).messages_per_request()
     }));
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         role,
         "bytes of frames a request, 8 slots a server",
         "boxes at a shard",
         &boxes,
-        |n, seed| today(n, seed).bytes_per_request(),
+        |n, seed| default_size(n, seed).bytes_per_request(),
     ));
     let boxes = [9, 18, 27, 36];
     let planned = |n, seed| Exchange { boxes: n, ..Exchange::planned() }.run(seed);
-    out.push(measure_slope(role, "messages a request, planned size", "boxes at a shard", &boxes, |n, seed| {
+    slopes.push(measure_slope(role, "messages a request, planned size", "boxes at a shard", &boxes, |n, seed| {
         planned(n, seed).messages_per_request()
     }));
-    out.push(measure_slope(role, "bytes of frames a request, planned size", "boxes at a shard", &boxes, |n, seed| {
-        planned(n, seed).bytes_per_request()
-    }));
+    slopes.push(measure_slope(
+        role,
+        "bytes of frames a request, planned size",
+        "boxes at a shard",
+        &boxes,
+        |n, seed| planned(n, seed).bytes_per_request(),
+    ));
 }
 
-fn keeper_slopes(out: &mut Vec<Slope>) {
+fn measure_limits_and_keys(slopes: &mut Vec<Slope>) {
     let sizes = [100, 1_000, 7_000, 28_000];
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "limit keeper",
         "processor us for all boxes' words of a second",
         "active customers",
@@ -246,13 +255,13 @@
         |n, _| {
             let usages: Vec<Usage> =
                 (0..n).map(|i| Usage { customer: catalog::CustomerId(i as u32), running: 1, tokens: 100 }).collect();
-            let mut limit = UsageTable::default();
+            let mut usage_table = UsageTable::default();
             let began = Instant::now();
-            limit.record(catalog::BoxId(1), &usages, Time(1));
+            usage_table.record(catalog::BoxId(1), &usages, Time(1));
             began.elapsed().as_secs_f64() * 1e6
         },
     ));
-    out.push(measure_slope(
+    slopes.push(measure_slope(
         "limit meter",
         "processor us to tell a second's use",
         "active customers",
@@ -264,23 +273,23 @@
                 assert!(meter.admit(catalog::CustomerId(i as u32), none, Time(1)));
             }
             let began = Instant::now();
-            let told = meter.usage_to_report(Time(2)).len();
-            assert_eq!(told, n);
+            let reported = meter.usage_to_report(Time(2)).len();
+            assert_eq!(reported, n);
             began.elapsed().as_secs_f64() * 1e6
         },
     ));
     let keys = [10_000, 50_000, 100_000, 400_000];
-    out.push(measure_slope("key keeper", "processor us a claim", "keys remembered", &keys, |n, _| {
-        let mut memory = KeyHistory::new(Time(0));
+    slopes.push(measure_slope("key keeper", "processor us a claim", "keys remembered", &keys, |n, _| {
+        let mut history = KeyHistory::new(Time(0));
         let claim = |key: u64| policy::Claim { key: key.wrapping_mul(0x9e37_79b9), delivery: key, age_ms: Some(0) };
         (0..n as u64).for_each(|key| {
-            memory.claim(&claim(key), Time(5_000));
+            history.claim(&claim(key), Time(5_000));
         });
         let began = Instant::now();
         (0..1_000).for_each(|key| {
-            memory.claim(&claim(n as u64 + key), Time(5_001));
+            history.claim(&claim(n as u64 + key), Time(5_001));
         });
-        micros(began, 1_000)
+        mean_micros(began, 1_000)
     }));
 }
 
@@ -289,11 +298,11 @@
 
 /// All groups in the order of their measurement.
 const GROUPS: [Group; 5] = [
-    ("release", release_slopes),
-    ("owner", owner_slopes),
-    ("exchange", exchange_slopes),
-    ("keeper", keeper_slopes),
-    ("spread", spread_slopes),
+    ("release", measure_release),
+    ("owner", measure_owner),
+    ("exchange", measure_exchange),
+    ("keeper", measure_limits_and_keys),
+    ("spread", measure_propagation),
 ];
 
 /// Measures every slope, or only those of one group.
@@ -301,17 +310,17 @@
 /// # Errors
 /// Returns a message that lists the known groups if the group is unknown.
 pub fn measure_slopes(only: Option<&str>) -> Result<Vec<Slope>, String> {
-    let wanted = |name: &str| only.is_none_or(|only| only == name);
-    let mut out = Vec::new();
-    let chosen: Vec<&Group> = GROUPS.iter().filter(|(name, _)| wanted(name)).collect();
-    if chosen.is_empty() {
+    let is_selected = |name: &str| only.is_none_or(|only| only == name);
+    let mut slopes = Vec::new();
+    let selected: Vec<&Group> = GROUPS.iter().filter(|(name, _)| is_selected(name)).collect();
+    if selected.is_empty() {
         let names: Vec<&str> = GROUPS.iter().map(|(name, _)| *name).collect();
-        return Err(format!("no such group; there are {}", names.join(", ")));
+        return Err(format!("unknown group; the groups are {}", names.join(", ")));
     }
-    for (_, group) in chosen {
-        group(&mut out);
+    for (_, group) in selected {
+        group(&mut slopes);
     }
-    Ok(out)
+    Ok(slopes)
 }
 
 /// Formats the slopes as a text table.
@@ -319,7 +328,7 @@
 pub fn slopes_table(slopes: &[Slope]) -> String {
     let mut text = String::new();
     for slope in slopes {
-        let _ = writeln!(text, "{}: {} by {}", slope.role, slope.what, slope.size);
+        let _ = writeln!(text, "{}: {} by {}", slope.role, slope.metric, slope.size);
         for p in &slope.points {
             let _ = writeln!(text, "  {:>8} {:>14.2}   ({:.2} to {:.2})", p.size, p.value, p.spread.0, p.spread.1);
         }
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -17,13 +17,13 @@
 use std::time::{Duration, Instant};
 
 /// Interval between two steps of faults and callers.
-const STEP: Duration = Duration::from_millis(20);
+const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time that a plain service takes for a call.
 const SERVICE_MS: u64 = 100;
 
 /// Maximum wait for boxes to become ready, and to become idle after the run.
-const REST_MOST: Duration = Duration::from_secs(60);
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Configuration of a soak test.
 #[derive(Clone, Copy, Debug)]
@@ -78,7 +78,7 @@
     /// If the boxes can't be started or don't become ready at the start.
     pub async fn run(&self, program: &Path) -> eyre::Result<SoakReport> {
         let mut deployment = Deployment::start(Self::plan(), program)?;
-        if !deployment.wait_until_ready(REST_MOST).await {
+        if !deployment.wait_until_ready(READY_TIMEOUT).await {
             eyre::bail!("the boxes did not become ready");
         }
         // The delay is long enough for some calls to be in progress when their service crashes.
@@ -90,43 +90,46 @@
         while began.elapsed() < self.duration {
             faults.step(&mut deployment)?;
             callers.step();
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(STEP_INTERVAL).await;
         }
-        faults.end(&mut deployment)?;
-        let mut soaked = callers.end(&deployment).await;
-        soaked.violations.extend(at_rest(&deployment).await);
-        soaked.violations.extend(releases.finish());
-        soaked.violations.extend(broken(&deployment));
-        (soaked.seed, soaked.seconds) = (self.seed, self.duration.as_secs());
-        soaked.faults = faults.counts;
-        Ok(soaked)
+        faults.end_all(&mut deployment)?;
+        let mut report = callers.finish(&deployment).await;
+        report.violations.extend(check_idle(&deployment).await);
+        report.violations.extend(releases.finish());
+        report.violations.extend(logged_violations(&deployment));
+        (report.seed, report.seconds) = (self.seed, self.duration.as_secs());
+        report.faults = faults.counts;
+        Ok(report)
     }
 }
 
 /// Checks that after the last fault all boxes are ready with the newest release and hold no requests or
 /// leases.
-async fn at_rest(deployment: &Deployment) -> Option<String> {
+async fn check_idle(deployment: &Deployment) -> Option<String> {
     let idle = |s: &cleatshelf::Status| {
         s.held == 0 && s.pending == 0 && s.running == 0 && s.shards.iter().all(|row| row.held == 0)
     };
-    let rest = |s: &cleatshelf::Status| s.ready && s.release >= deployment.release_number && idle(s);
-    if deployment.wait_until(REST_MOST, rest).await {
+    let settled = |s: &cleatshelf::Status| s.ready && s.release >= deployment.release_number && idle(s);
+    if deployment.wait_until(READY_TIMEOUT, settled).await {
         return None;
     }
-    let mut left = Vec::new();
+    let mut busy = Vec::new();
     for name in deployment.running_boxes() {
         let Some(s) = deployment.status(&name).await else {
-            left.push(format!("{name} doesn't answer"));
+            busy.push(format!("{name} does not answer"));
             continue;
         };
         let (held, pending, running) = (s.held, s.pending, s.running);
-        left.push(format!("{name}: release {} ready {} {held} {pending} {running}", s.release, s.ready));
+        busy.push(format!(
+            "{name}: release {} ready {} held {held} pending {pending} running {running}",
+            s.release, s.ready
+        ));
     }
-    Some(format!("not at rest: {}", left.join("; ")))
+    Some(format!("boxes not idle after the run: {}", busy.join("; ")))
 }
 
 /// Returns the invariant violations logged by any instance of a box.
-fn broken(deployment: &Deployment) -> Vec<String> {
+fn logged_violations(deployment: &Deployment) -> Vec<String> {
     let mut lines = Vec::new();
     for name in deployment.boxes.keys() {
         let log = deployment.log(name);
--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -9,99 +9,101 @@
 use std::time::{Duration, Instant};
 
 /// Range of the delay between two faults.
-const PAUSE_MS: std::ops::Range<u64> = 200..1_500;
+const FAULT_DELAY_MS: std::ops::Range<u64> = 200..1_500;
 
 /// Range of the duration of a fault.
-const LENGTH_MS: std::ops::Range<u64> = 300..5_000;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 300..5_000;
 
 /// Delay of a slow link.
-const DELAY_MS: u64 = 150;
+const LINK_DELAY_MS: u64 = 150;
 
 /// Action that ends a fault.
 #[derive(Clone, Debug)]
-enum Cure {
-    Start(String),
-    Wake(String),
-    Link(String, String),
-    Halls,
-    PlatformLink(String),
-    Platform,
-    EngineStart(usize),
-    EngineSpeed(usize),
-    EngineWake(usize),
-    ServiceStart(usize),
+enum Recovery {
+    StartBox(String),
+    ResumeBox(String),
+    RestoreLink(String, String),
+    RestoreHallLinks,
+    RestorePlatformLink(String),
+    StartPlatform,
+    RestartEngine(usize),
+    RestoreEngineSpeed(usize),
+    ResumeEngine(usize),
+    RestartService(usize),
 }
 
 /// Injects random faults and ends them.
 pub(super) struct Faults {
     random: ChaCha8Rng,
-    next: Instant,
+    next_fault: Instant,
     /// Pending recoveries of active faults and their times.
-    cures: Vec<(Instant, Cure)>,
+    recoveries: Vec<(Instant, Recovery)>,
     /// Number of faults by kind.
     pub(super) counts: BTreeMap<String, u64>,
 }
 
 impl Faults {
     pub(super) fn new(random: ChaCha8Rng) -> Self {
-        Self { random, next: Instant::now(), cures: Vec::new(), counts: BTreeMap::new() }
+        Self { random, next_fault: Instant::now(), recoveries: Vec::new(), counts: BTreeMap::new() }
     }
 
     /// Ends the faults that are due, and injects another one if its time has come.
     pub(super) fn step(&mut self, deployment: &mut Deployment) -> eyre::Result<()> {
         let now = Instant::now();
-        let (due, later) = std::mem::take(&mut self.cures).into_iter().partition(|(at, _)| *at <= now);
-        self.cures = later;
-        let due: Vec<(Instant, Cure)> = due;
-        for (_, cure) in due {
-            end(cure, deployment)?;
+        let (due, later) = std::mem::take(&mut self.recoveries).into_iter().partition(|(at, _)| *at <= now);
+        self.recoveries = later;
+        let due: Vec<(Instant, Recovery)> = due;
+        for (_, recovery) in due {
+            recover(recovery, deployment)?;
         }
-        if now >= self.next {
-            self.next = now + Duration::from_millis(self.random.random_range(PAUSE_MS));
-            self.bring(deployment)?;
+        if now >= self.next_fault {
+            self.next_fault = now + Duration::from_millis(self.random.random_range(FAULT_DELAY_MS));
+            self.inject(deployment)?;
         }
         Ok(())
     }
 
     /// Ends all active faults.
-    pub(super) fn end(&mut self, deployment: &mut Deployment) -> eyre::Result<()> {
-        for (_, cure) in std::mem::take(&mut self.cures) {
-            end(cure, deployment)?;
+    pub(super) fn end_all(&mut self, deployment: &mut Deployment) -> eyre::Result<()> {
+        for (_, recovery) in std::mem::take(&mut self.recoveries) {
+            recover(recovery, deployment)?;
         }
         Ok(())
     }
 
-    fn lasts(&mut self, kind: &str, cure: Cure) {
+    fn schedule_recovery(&mut self, kind: &str, recovery: Recovery) {
         *self.counts.entry(kind.to_owned()).or_default() += 1;
-        let length = Duration::from_millis(self.random.random_range(LENGTH_MS));
-        self.cures.push((Instant::now() + length, cure));
+        let duration = Duration::from_millis(self.random.random_range(FAULT_DURATION_MS));
+        self.recoveries.push((Instant::now() + duration, recovery));
     }
 
     /// Returns true while the box is down or frozen by an earlier fault.
-    fn is_ill(&self, name: &str) -> bool {
-        self.cures.iter().any(|(_, cure)| matches!(cure, Cure::Start(n) | Cure::Wake(n) if n == name))
+    fn is_box_faulty(&self, name: &str) -> bool {
+        self.recoveries
+            .iter()
+            .any(|(_, recovery)| matches!(recovery, Recovery::StartBox(n) | Recovery::ResumeBox(n) if n == name))
     }
 
-    fn is_engine_ill(&self, index: usize) -> bool {
-        let same = |cure: &Cure| match cure {
-            Cure::EngineStart(i) | Cure::EngineSpeed(i) | Cure::EngineWake(i) => *i == index,
+    fn is_engine_faulty(&self, index: usize) -> bool {
+        let affects_engine = |recovery: &Recovery| match recovery {
+            Recovery::RestartEngine(i) | Recovery::RestoreEngineSpeed(i) | Recovery::ResumeEngine(i) => *i == index,
             _ => false,
         };
-        self.cures.iter().any(|(_, cure)| same(cure))
+        self.recoveries.iter().any(|(_, recovery)| affects_engine(recovery))
     }
 
-    fn bring(&mut self, deployment: &mut Deployment) -> eyre::Result<()> {
+    fn inject(&mut self, deployment: &mut Deployment) -> eyre::Result<()> {
         match self.random.random_range(0..11) {
-            0 => self.kill(deployment),
-            1 => self.freeze(deployment),
-            2 => self.link(deployment, "link cut", RelayMode::Cut),
-            3 => self.link(deployment, "link frozen", RelayMode::Freeze),
-            4 => self.link(deployment, "link slow", RelayMode::Pass(DELAY_MS)),
-            5 => self.halls(deployment),
-            6 => self.platform(deployment),
-            7 => self.engine(deployment),
-            8 => self.platform_link(deployment),
-            9 => self.service(deployment),
+            0 => self.kill_box(deployment),
+            1 => self.freeze_box(deployment),
+            2 => self.disturb_link(deployment, "link cut", RelayMode::Cut),
+            3 => self.disturb_link(deployment, "link frozen", RelayMode::Freeze),
+            4 => self.disturb_link(deployment, "link slow", RelayMode::Pass(LINK_DELAY_MS)),
+            5 => self.disconnect_halls(deployment),
+            6 => self.stop_platform(deployment),
+            7 => self.disturb_engine(deployment),
+            8 => self.cut_platform_link(deployment),
+            9 => self.crash_service(deployment),
             _ => {
                 *self.counts.entry("release".to_owned()).or_default() += 1;
                 deployment.publish()?;
@@ -110,80 +112,81 @@
         Ok(())
     }
 
-    fn well_box(&mut self, deployment: &Deployment) -> Option<String> {
-        let well: Vec<String> = deployment.running_boxes().into_iter().filter(|name| !self.is_ill(name)).collect();
+    fn healthy_box(&mut self, deployment: &Deployment) -> Option<String> {
+        let healthy: Vec<String> =
+            deployment.running_boxes().into_iter().filter(|name| !self.is_box_faulty(name)).collect();
         // At least one box stays healthy.
-        (well.len() > 1).then(|| well.choose(&mut self.random).cloned()).flatten()
+        (healthy.len() > 1).then(|| healthy.choose(&mut self.random).cloned()).flatten()
     }
 
-    fn kill(&mut self, deployment: &mut Deployment) {
-        let Some(name) = self.well_box(deployment) else { return };
+    fn kill_box(&mut self, deployment: &mut Deployment) {
+        let Some(name) = self.healthy_box(deployment) else { return };
         deployment.kill(&name);
         deployment.forget_process(&name);
-        self.lasts("box killed", Cure::Start(name));
+        self.schedule_recovery("box killed", Recovery::StartBox(name));
     }
 
-    fn freeze(&mut self, deployment: &Deployment) {
-        let Some(name) = self.well_box(deployment) else { return };
+    fn freeze_box(&mut self, deployment: &Deployment) {
+        let Some(name) = self.healthy_box(deployment) else { return };
         deployment.signal(&name, Signal::STOP);
-        self.lasts("box frozen", Cure::Wake(name));
+        self.schedule_recovery("box frozen", Recovery::ResumeBox(name));
     }
 
-    fn link(&mut self, deployment: &Deployment, kind: &str, mode: RelayMode) {
+    fn disturb_link(&mut self, deployment: &Deployment, kind: &str, mode: RelayMode) {
         let links: Vec<&(String, String)> = deployment.relays.keys().collect();
         let Some((from, to)) = links.choose(&mut self.random).copied().cloned() else { return };
         // This affects one direction only; the other one has its own relay.
         deployment.relays[&(from.clone(), to.clone())].set_mode(mode);
-        self.lasts(kind, Cure::Link(from, to));
+        self.schedule_recovery(kind, Recovery::RestoreLink(from, to));
     }
 
-    fn halls(&mut self, deployment: &Deployment) {
+    fn disconnect_halls(&mut self, deployment: &Deployment) {
         set_all_links(deployment, RelayMode::Cut);
-        self.lasts("halls cut off", Cure::Halls);
+        self.schedule_recovery("halls cut off", Recovery::RestoreHallLinks);
     }
 
-    fn platform(&mut self, deployment: &Deployment) {
-        if self.cures.iter().any(|(_, cure)| matches!(cure, Cure::Platform)) {
+    fn stop_platform(&mut self, deployment: &Deployment) {
+        if self.recoveries.iter().any(|(_, recovery)| matches!(recovery, Recovery::StartPlatform)) {
             return;
         }
         deployment.platform.stop();
-        self.lasts("platform down", Cure::Platform);
+        self.schedule_recovery("platform down", Recovery::StartPlatform);
     }
 
-    fn platform_link(&mut self, deployment: &Deployment) {
+    fn cut_platform_link(&mut self, deployment: &Deployment) {
         let halls: Vec<&String> = deployment.platform_relays.keys().collect();
         let Some(hall) = halls.choose(&mut self.random).map(|hall| (*hall).clone()) else { return };
         deployment.platform_relays[&hall].set_mode(RelayMode::Cut);
-        self.lasts("hall cut from the platform", Cure::PlatformLink(hall));
+        self.schedule_recovery("hall cut from the platform", Recovery::RestorePlatformLink(hall));
     }
 
-    fn service(&mut self, deployment: &Deployment) {
+    fn crash_service(&mut self, deployment: &Deployment) {
         let index = self.random.random_range(0..deployment.plain_services.len());
-        if self.cures.iter().any(|(_, cure)| matches!(cure, Cure::ServiceStart(i) if *i == index)) {
+        if self.recoveries.iter().any(|(_, recovery)| matches!(recovery, Recovery::RestartService(i) if *i == index)) {
             return;
         }
         deployment.plain_services[index].2.crash();
-        self.lasts("service crashed", Cure::ServiceStart(index));
+        self.schedule_recovery("service crashed", Recovery::RestartService(index));
     }
 
-    fn engine(&mut self, deployment: &Deployment) {
+    fn disturb_engine(&mut self, deployment: &Deployment) {
         let index = self.random.random_range(0..deployment.engines.len());
-        if self.is_engine_ill(index) {
+        if self.is_engine_faulty(index) {
             return;
         }
         let engine = &deployment.engines[index].1;
         match self.random.random_range(0..3) {
             0 => {
                 engine.crash();
-                self.lasts("engine crashed", Cure::EngineStart(index));
+                self.schedule_recovery("engine crashed", Recovery::RestartEngine(index));
             }
             1 => {
                 engine.set_token_time_percent(1_000);
-                self.lasts("engine slow", Cure::EngineSpeed(index));
+                self.schedule_recovery("engine slow", Recovery::RestoreEngineSpeed(index));
             }
             _ => {
                 engine.set_frozen(true);
-                self.lasts("engine frozen", Cure::EngineWake(index));
+                self.schedule_recovery("engine frozen", Recovery::ResumeEngine(index));
             }
         }
     }
@@ -193,18 +196,18 @@
     deployment.set_relays_between("hall-lansing", "hall-toledo", mode);
 }
 
-fn end(cure: Cure, deployment: &mut Deployment) -> eyre::Result<()> {
-    match cure {
-        Cure::Start(name) => deployment.start_box(&name)?,
-        Cure::Wake(name) => deployment.signal(&name, Signal::CONT),
-        Cure::Link(from, to) => deployment.relays[&(from, to)].set_mode(RelayMode::Pass(0)),
-        Cure::Halls => set_all_links(deployment, RelayMode::Pass(0)),
-        Cure::PlatformLink(hall) => deployment.platform_relays[&hall].set_mode(RelayMode::Pass(0)),
-        Cure::Platform => deployment.platform.restart(),
-        Cure::EngineStart(index) => deployment.engines[index].1.restart(),
-        Cure::EngineSpeed(index) => deployment.engines[index].1.set_token_time_percent(100),
-        Cure::EngineWake(index) => deployment.engines[index].1.set_frozen(false),
-        Cure::ServiceStart(index) => deployment.plain_services[index].2.restart(),
+fn recover(recovery: Recovery, deployment: &mut Deployment) -> eyre::Result<()> {
+    match recovery {
+        Recovery::StartBox(name) => deployment.start_box(&name)?,
+        Recovery::ResumeBox(name) => deployment.signal(&name, Signal::CONT),
+        Recovery::RestoreLink(from, to) => deployment.relays[&(from, to)].set_mode(RelayMode::Pass(0)),
+        Recovery::RestoreHallLinks => set_all_links(deployment, RelayMode::Pass(0)),
+        Recovery::RestorePlatformLink(hall) => deployment.platform_relays[&hall].set_mode(RelayMode::Pass(0)),
+        Recovery::StartPlatform => deployment.platform.restart(),
+        Recovery::RestartEngine(index) => deployment.engines[index].1.restart(),
+        Recovery::RestoreEngineSpeed(index) => deployment.engines[index].1.set_token_time_percent(100),
+        Recovery::ResumeEngine(index) => deployment.engines[index].1.set_frozen(false),
+        Recovery::RestartService(index) => deployment.plain_services[index].2.restart(),
     }
     Ok(())
 }
--- a/crates/lab/src/stand_in_server.rs
+++ b/crates/lab/src/stand_in_server.rs
@@ -6,6 +6,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Mutex;
 
+const MAX_CONNECTIONS: usize = 20_000;
+
 /// A server that can be stopped and restarted under the same address.
 pub struct StandInServer {
     /// The listening address.
@@ -24,10 +26,10 @@
         F: Fn(&mut ServiceConfig) + Send + Clone + 'static,
     {
         let listener = crate::ports::bind_listener();
-        let address = listener.local_addr().expect("a bound address");
-        let serving = Self { address, handle: Mutex::new(None) };
-        serving.serve(listener, routes);
-        serving
+        let address = listener.local_addr().expect("the listener is bound");
+        let server = Self { address, handle: Mutex::new(None) };
+        server.serve(listener, routes);
+        server
     }
 
     /// Serves again after [`StandInServer::stop`].
@@ -45,23 +47,23 @@
     where
         F: Fn(&mut ServiceConfig) + Send + Clone + 'static,
     {
-        let make = move || App::new().configure(routes.clone());
-        let server = HttpServer::new(make)
+        let app = move || App::new().configure(routes.clone());
+        let http_server = HttpServer::new(app)
             .workers(1)
-            .max_connections(20_000)
+            .max_connections(MAX_CONNECTIONS)
             .shutdown_timeout(0)
             .disable_signals()
             .listen(listener)
-            .expect("a bound listener")
+            .expect("the listener is bound")
             .run();
-        *self.handle.lock().expect("no thread died") = Some(server.handle());
+        *self.handle.lock().expect("the lock is not poisoned") = Some(http_server.handle());
         // Each server has its own thread, so that the stand-ins of one test don't delay each other.
-        std::thread::spawn(move || actix_web::rt::System::new().block_on(server));
+        std::thread::spawn(move || actix_web::rt::System::new().block_on(http_server));
     }
 
     /// Stops immediately and closes every connection.
     pub fn stop(&self) {
-        let handle = self.handle.lock().expect("no thread died").take();
+        let handle = self.handle.lock().expect("the lock is not poisoned").take();
         if let Some(handle) = handle {
             // The stop command is sent by this call; the returned future only waits for completion.
             drop(handle.stop(false));
