--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -14,11 +14,11 @@
 
 /// Results of an experiment.
 pub struct ExperimentResults {
-    /// Result of each play.
-    pub played: Vec<RunResult>,
+    /// Result of each run.
+    pub results: Vec<RunResult>,
     /// Comparison of each arm with the first.
-    pub compared: Vec<ArmComparison>,
-    /// Elapsed time of all plays in seconds; unlike the other results it differs between runs.
+    pub comparisons: Vec<ArmComparison>,
+    /// Elapsed time of all runs in seconds; unlike the other results it differs between runs.
     pub elapsed_s: f64,
 }
 
@@ -40,10 +40,10 @@
     let threads = std::thread::available_parallelism().map_or(1, |cores| cores.get().div_ceil(2));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build()?;
     let began = Instant::now();
-    let played = pool.install(|| experiment.run(&deployments, &|| bar.inc(1)));
+    let results = pool.install(|| experiment.run(&deployments, &|| bar.inc(1)));
     bar.finish_and_clear();
-    let compared = experiment.compare(&played);
-    Ok(ExperimentResults { played, compared, elapsed_s: began.elapsed().as_secs_f64() })
+    let comparisons = experiment.compare(&results);
+    Ok(ExperimentResults { results, comparisons, elapsed_s: began.elapsed().as_secs_f64() })
 }
 
 fn load_deployment(experiment: &Experiment, source: &Source, folder: &Path) -> eyre::Result<Deployment> {
@@ -75,17 +75,17 @@
 }
 
 impl ExperimentResults {
-    /// Returns one JSON line for each play and one for each arm. The same file always gives the same lines.
+    /// Returns one JSON line for each run and one for each arm. The same file always gives the same lines.
     ///
     /// # Errors
     /// If a result can't be serialized.
     pub fn json_lines(&self) -> eyre::Result<String> {
         let mut lines = String::new();
-        for played in &self.played {
-            writeln!(lines, "{}", serde_json::to_string(played)?)?;
+        for result in &self.results {
+            writeln!(lines, "{}", serde_json::to_string(result)?)?;
         }
-        for compared in &self.compared {
-            writeln!(lines, "{}", serde_json::to_string(compared)?)?;
+        for comparison in &self.comparisons {
+            writeln!(lines, "{}", serde_json::to_string(comparison)?)?;
         }
         Ok(lines)
     }
@@ -97,11 +97,11 @@
             "{:<18} {:>6} {:>16} {:>6} {:>6} {:>7} {:>6} {:>7} {:>6} {:>9} {:>9}\n",
             "arm", "worth", "more", "better", "worse", "in time", "late", "refused", "lost", "again Mt", "moved Mt"
         );
-        for ArmComparison { arm, worth, mean_difference, half_width, better, worse } in &self.compared {
-            let outcomes = || self.played.iter().filter(|played| played.arm == *arm).map(|played| &played.outcome);
+        for ArmComparison { arm, worth, mean_difference, half_width, better, worse } in &self.comparisons {
+            let outcomes = || self.results.iter().filter(|result| result.arm == *arm).map(|result| &result.outcome);
             let classes = || outcomes().flat_map(|outcome| &outcome.classes);
-            let asked = classes().map(|class| class.requests).sum::<u64>().max(1) as f64;
-            let share = |count: u64| count as f64 / asked;
+            let request_count = classes().map(|class| class.requests).sum::<u64>().max(1) as f64;
+            let share = |count: u64| count as f64 / request_count;
             let half_width = half_width.map_or_else(String::new, |half_width| format!(" ±{half_width:.4}"));
             // Writing to memory can't fail.
             let _ = writeln!(
@@ -117,7 +117,7 @@
                 outcomes().map(|outcome| outcome.fetched_tokens).sum::<u64>() as f64 / 1e6,
             );
         }
-        let _ = writeln!(table, "{} plays in {:.1} s", self.played.len(), self.elapsed_s);
+        let _ = writeln!(table, "{} plays in {:.1} s", self.results.len(), self.elapsed_s);
         table
     }
 }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -31,7 +31,7 @@
     row: ClassReport,
     first: Histogram<u64>,
     between: Histogram<u64>,
-    tokens_whole: u64,
+    tokens_complete: u64,
     tokens_in_time: u64,
     codes: BTreeMap<String, u64>,
 }
@@ -43,7 +43,7 @@
             row: ClassReport { class: class.to_owned(), ..ClassReport::default() },
             first: histogram(),
             between: histogram(),
-            tokens_whole: 0,
+            tokens_complete: 0,
             tokens_in_time: 0,
             codes: BTreeMap::new(),
         }
@@ -122,7 +122,7 @@
         let finished = tally.replace(Tally::new("ended"));
         let (mut row, tally) = finished.finish();
         row.unfinished = row.sent - row.whole - row.refused - row.failed;
-        report.delivered += tally.tokens_whole;
+        report.delivered += tally.tokens_complete;
         tokens_in_time += tally.tokens_in_time;
         report.goodput += row.in_time as f64 / profile.seconds;
         for (code, count) in tally.codes {
@@ -269,7 +269,7 @@
     };
     tally.between.saturating_record(between_tenths);
     let tokens = if request.stream.service.is_some() { 0 } else { count };
-    tally.tokens_whole += tokens;
+    tally.tokens_complete += tokens;
     if first_ms > request.stream.first_token_ms {
         tally.row.late += 1;
     } else if between_tenths > request.stream.between_tokens_ms * 10 {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -156,7 +156,7 @@
     /// the experiment file
     #[argh(positional)]
     file: PathBuf,
-    /// file for the JSON lines, one for each play and each arm
+    /// file for the JSON lines, one for each run and each arm
     #[argh(option)]
     out: Option<PathBuf>,
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -21,7 +21,7 @@
     boxes: Vec<(Peer, bool)>,
     upstreams: Vec<(String, bool)>,
     revision: u64,
-    /// Member member_lists with the times from which they are served.
+    /// Member lists with the times from which they are served.
     member_lists: Vec<(Instant, Value)>,
 }
 
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -13,9 +13,9 @@
 const CLASSES: [&str; 3] = ["hotline", "contract-check", "review"];
 
 #[actix_rt::test]
-async fn each_of_many_concurrent_callers_gets_its_own_whole_answer() {
-    let deployment = start(small()).await;
-    let doors = deployment.caller_addresses();
+async fn concurrent_callers_each_get_their_own_complete_answer() {
+    let deployment = start(one_hall()).await;
+    let addresses = deployment.caller_addresses();
     let mut tasks = Vec::new();
     for i in 0..120usize {
         let class = CLASSES[i % CLASSES.len()];
@@ -24,88 +24,88 @@
         if i % 5 == 0 {
             caller = caller.non_repeatable().key(&uuid::Uuid::now_v7().to_string());
         }
-        let doors = doors.clone();
+        let addresses = addresses.clone();
         tasks.push(actix_rt::spawn(async move {
             let prompt = format!("{class} {i}");
-            (persist(&caller, &doors, &prompt, 30).await, prompt)
+            (complete_with_retries(&caller, &addresses, &prompt, 30).await, prompt)
         }));
     }
     for task in tasks {
-        let (reply, prompt) = task.await.expect("no panic");
-        assert!(is_whole(&reply, &prompt, 30), "{prompt}: {:?}", reply.outcome);
+        let (reply, prompt) = task.await.expect("the task did not panic");
+        assert!(is_complete(&reply, &prompt, 30), "{prompt}: {:?}", reply.outcome);
     }
-    assert!(at_rest(&deployment).await, "something leaked");
+    assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
     assert_eq!(deployment.invariant_violations().await, 0);
     let starts = |prompt: &str| deployment.engines.iter().map(|(_, e)| e.runs_of(prompt).starts).sum::<u32>();
     for i in 0..120usize {
         let class = CLASSES[i % CLASSES.len()];
         let starts = starts(&format!("{class} {i}"));
         // A review may be recalled before its first token and then starts again at another engine.
-        let most = if class == "review" && i % 5 != 0 { 4 } else { 1 };
-        assert!((1..=most).contains(&starts), "{class} {i} began {starts} times");
+        let max_starts = if class == "review" && i % 5 != 0 { 4 } else { 1 };
+        assert!((1..=max_starts).contains(&starts), "{class} {i} began {starts} times");
     }
 }
 
 #[actix_rt::test]
-async fn answers_come_in_one_piece_and_as_text_as_well() {
-    let deployment = start(small()).await;
-    let door = first_door(&deployment);
+async fn unstreamed_answers_and_text_completions_are_supported() {
+    let deployment = start(one_hall()).await;
+    let address = first_address(&deployment);
     let caller = Caller::new("large-1");
     let body = json!({"model": MODEL, "max_tokens": 20, "messages": [{"role": "user", "content": "in one piece"}]});
-    let reply = caller.post(door, "/v1/chat/completions", &body).await;
-    assert!(is_whole(&reply, "in one piece", 20), "{reply:?}");
+    let reply = caller.post(address, "/v1/chat/completions", &body).await;
+    assert!(is_complete(&reply, "in one piece", 20), "{reply:?}");
     let body = json!({"model": MODEL, "max_tokens": 20, "prompt": "as text", "stream": true});
-    let reply = caller.post(door, "/v1/completions", &body).await;
-    assert!(is_whole(&reply, "as text", 20), "{reply:?}");
-    let reply = caller.request(door, "GET", "/v1/models", "").await;
+    let reply = caller.post(address, "/v1/completions", &body).await;
+    assert!(is_complete(&reply, "as text", 20), "{reply:?}");
+    let reply = caller.request(address, "GET", "/v1/models", "").await;
     assert!(reply.text.contains(MODEL));
 }
 
 #[actix_rt::test]
-async fn plain_services_are_reached_with_any_method_and_body() {
-    let deployment = start(small()).await;
-    let door = first_door(&deployment);
+async fn plain_services_accept_any_method_and_body() {
+    let deployment = start(one_hall()).await;
+    let address = first_address(&deployment);
     let caller = Caller::new("large-1").class("lookup");
-    let reply = caller.request(door, "GET", "/services/registry/lenders/7?full=1", "").await;
+    let reply = caller.request(address, "GET", "/services/registry/lenders/7?full=1", "").await;
     assert_eq!(reply.text, "GET /lenders/7 ");
-    let reply = caller.request(door, "PUT", "/services/registry/notes", "a note").await;
+    let reply = caller.request(address, "PUT", "/services/registry/notes", "a note").await;
     assert_eq!(reply.text, "PUT /notes a note");
     assert_eq!(deployment.plain_services[0].2.runs("/notes", "a note"), 1);
-    let reply = caller.request(door, "GET", "/services/nowhere/x", "").await;
-    assert_eq!(code_of(&reply), (404, "not_found".into(), "no".into()));
+    let reply = caller.request(address, "GET", "/services/nowhere/x", "").await;
+    assert_eq!(refusal(&reply), (404, "not_found".into(), "no".into()));
 }
 
 #[actix_rt::test]
-async fn bad_input_of_each_kind_gets_a_clear_error_and_leaks_nothing() {
-    let deployment = start(small()).await;
-    let door = first_door(&deployment);
+async fn invalid_input_gets_a_specific_error_and_leaks_nothing() {
+    let deployment = start(one_hall()).await;
+    let address = first_address(&deployment);
     let caller = Caller::new("large-1");
     let good = json!({"model": MODEL, "messages": [{"role": "user", "content": "x"}]});
     let chat = "/v1/chat/completions";
 
-    let reply = caller.request(door, "POST", chat, "{not json").await;
-    assert_eq!(code_of(&reply), (400, "invalid_json".into(), "no".into()));
-    let reply = caller.post(door, chat, &json!({"messages": [1]})).await;
-    assert_eq!(code_of(&reply), (400, "invalid_request".into(), "no".into()));
-    let reply = caller.post(door, chat, &json!({"model": MODEL, "messages": "x"})).await;
-    assert_eq!(code_of(&reply), (400, "invalid_request".into(), "no".into()));
-    let reply = caller.post(door, chat, &json!({"model": "none", "messages": [1]})).await;
-    assert_eq!(code_of(&reply), (404, "not_found".into(), "no".into()));
-    let reply = Caller::new("stranger").post(door, chat, &good).await;
-    assert_eq!(code_of(&reply), (401, "invalid_api_key".into(), "no".into()));
-    let reply = caller.clone().class("no-class").post(door, chat, &good).await;
-    assert_eq!(code_of(&reply), (400, "unknown_class".into(), "no".into()));
-    let reply = caller.clone().non_repeatable().key(&"k".repeat(500)).post(door, chat, &good).await;
-    assert_eq!(code_of(&reply), (400, "invalid_request".into(), "no".into()));
+    let reply = caller.request(address, "POST", chat, "{not json").await;
+    assert_eq!(refusal(&reply), (400, "invalid_json".into(), "no".into()));
+    let reply = caller.post(address, chat, &json!({"messages": [1]})).await;
+    assert_eq!(refusal(&reply), (400, "invalid_request".into(), "no".into()));
+    let reply = caller.post(address, chat, &json!({"model": MODEL, "messages": "x"})).await;
+    assert_eq!(refusal(&reply), (400, "invalid_request".into(), "no".into()));
+    let reply = caller.post(address, chat, &json!({"model": "none", "messages": [1]})).await;
+    assert_eq!(refusal(&reply), (404, "not_found".into(), "no".into()));
+    let reply = Caller::new("stranger").post(address, chat, &good).await;
+    assert_eq!(refusal(&reply), (401, "invalid_api_key".into(), "no".into()));
+    let reply = caller.clone().class("no-class").post(address, chat, &good).await;
+    assert_eq!(refusal(&reply), (400, "unknown_class".into(), "no".into()));
+    let reply = caller.clone().non_repeatable().key(&"k".repeat(500)).post(address, chat, &good).await;
+    assert_eq!(refusal(&reply), (400, "invalid_request".into(), "no".into()));
     let large = "y".repeat(1_200_000);
-    let reply = caller.post(door, chat, &json!({"model": MODEL, "messages": [large]})).await;
-    assert_eq!(code_of(&reply), (413, "body_too_large".into(), "no".into()));
-    let reply = caller.request(door, "GET", "/elsewhere", "").await;
-    assert_eq!(code_of(&reply), (404, "not_found".into(), "no".into()));
+    let reply = caller.post(address, chat, &json!({"model": MODEL, "messages": [large]})).await;
+    assert_eq!(refusal(&reply), (413, "body_too_large".into(), "no".into()));
+    let reply = caller.request(address, "GET", "/elsewhere", "").await;
+    assert_eq!(refusal(&reply), (404, "not_found".into(), "no".into()));
 
-    assert!(at_rest(&deployment).await, "something leaked");
+    assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
     let starts: u64 = deployment.engines.iter().map(|(_, e)| e.starts()).sum();
-    assert_eq!(starts, 0, "refused as not run is true");
+    assert_eq!(starts, 0, "requests refused as not run must not start");
     let scrape = scrape(&deployment).await;
     for code in ["invalid_json", "invalid_request", "not_found", "invalid_api_key", "unknown_class", "body_too_large"] {
         let counted = format!("cleatshelf_problems_total{{code=\"{code}\"}}");
@@ -124,11 +124,11 @@
 }
 
 #[actix_rt::test]
-async fn a_served_request_shows_in_the_histograms_of_its_class_and_customer() {
-    let deployment = start(small()).await;
-    let door = first_door(&deployment);
-    let reply = Caller::new("large-1").class("review").complete(door, "measured", 10).await;
-    assert!(is_whole(&reply, "measured", 10));
+async fn served_requests_appear_in_the_histograms_of_class_and_customer() {
+    let deployment = start(one_hall()).await;
+    let address = first_address(&deployment);
+    let reply = Caller::new("large-1").class("review").complete(address, "measured", 10).await;
+    assert!(is_complete(&reply, "measured", 10));
     let text = scrape(&deployment).await;
     for name in ["first_token", "between_tokens", "whole_answer"] {
         let series = format!("cleatshelf_{name}_seconds_bucket{{class=\"review\",customer=\"large-1\"");
@@ -138,105 +138,112 @@
 }
 
 #[actix_rt::test]
-async fn a_slow_sender_is_told_so_and_holds_nothing() {
-    let deployment = start(small()).await;
-    let mut socket = tokio::net::TcpStream::connect(first_door(&deployment)).await.expect("a connection");
+async fn slow_request_bodies_time_out_and_leak_nothing() {
+    let deployment = start(one_hall()).await;
+    let mut socket = tokio::net::TcpStream::connect(first_address(&deployment)).await.expect("a connection");
     let key = lab::api_key("large-1");
     let head = format!(
         "POST /v1/chat/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {key}\r\ncontent-length: 1000\r\n\r\n{{\"model\""
     );
     socket.write_all(head.as_bytes()).await.expect("sent");
     let mut answer = vec![0; 4_096];
-    let read = tokio::time::timeout(NEVER, socket.read(&mut answer)).await.expect("an answer").expect("bytes");
+    let read = tokio::time::timeout(EVENT_TIMEOUT, socket.read(&mut answer)).await.expect("an answer").expect("bytes");
     let text = String::from_utf8_lossy(&answer[..read]).into_owned();
     assert!(text.contains("408") && text.contains("body_too_slow"), "{text}");
     drop(socket);
-    assert!(at_rest(&deployment).await, "something leaked");
+    assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
 }
 
 #[actix_rt::test]
-async fn a_caller_that_goes_away_cancels_its_work() {
-    let plan = lab::DeploymentSpec { token_ms: 50, ..small() };
+async fn disconnecting_callers_cancel_their_work() {
+    let plan = lab::DeploymentSpec { token_ms: 50, ..one_hall() };
     let deployment = start(plan).await;
-    let door = first_door(&deployment);
+    let address = first_address(&deployment);
     // One caller disconnects while the answer is streamed, another while it waits for a complete response.
     for streamed in [true, false] {
         let body = json!({"model": MODEL, "max_tokens": 4_000, "stream": streamed,
             "messages": [{"role": "user", "content": format!("long {streamed}")}]});
         let caller = Caller::new("large-1");
-        let task = actix_rt::spawn(async move { caller.post(door, "/v1/chat/completions", &body).await });
+        let task = actix_rt::spawn(async move { caller.post(address, "/v1/chat/completions", &body).await });
         let engines = deployment.engines.clone();
-        assert!(until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "it began");
+        assert!(wait_until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "the request started");
         tokio::time::sleep(Duration::from_millis(300)).await;
         task.abort();
-        let idle = until(|| engines.iter().all(|(_, e)| e.running_requests() == 0)).await;
-        assert!(idle, "the engine still works for a caller that is gone (streamed: {streamed})");
+        let idle = wait_until(|| engines.iter().all(|(_, e)| e.running_requests() == 0)).await;
+        assert!(idle, "the engine still generates for a disconnected caller (streamed: {streamed})");
     }
-    assert!(at_rest(&deployment).await, "something leaked");
+    assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
 }
 
 #[actix_rt::test]
-async fn callers_that_go_away_leave_no_connection_open() {
+async fn disconnecting_callers_leave_no_open_connections() {
     const GONE: usize = 40;
-    let deployment = start(DeploymentSpec { token_ms: 20, ..small() }).await;
-    let door = first_door(&deployment);
+    let deployment = start(DeploymentSpec { token_ms: 20, ..one_hall() }).await;
+    let address = first_address(&deployment);
     let pid = deployment.pid(&deployment.running_boxes()[0]).expect("a process");
-    let handles = || std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
-    let before = handles();
+    let open_files = || std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
+    let before = open_files();
     for i in 0..GONE {
         let task =
-            actix_rt::spawn(async move { Caller::new("large-1").complete(door, &format!("gone {i}"), 400).await });
+            actix_rt::spawn(async move { Caller::new("large-1").complete(address, &format!("gone {i}"), 400).await });
         tokio::time::sleep(Duration::from_millis(30)).await;
         task.abort();
     }
-    assert!(at_rest(&deployment).await, "something leaked");
+    assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
     // A few connections to engines are kept open for the next request.
-    assert!(until(|| handles() < before + GONE / 2).await, "{} handles, {before} before", handles());
+    assert!(wait_until(|| open_files() < before + GONE / 2).await, "{} open files, {before} before", open_files());
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_cuts_nothing_off_and_takes_nothing_new() {
-    let plan = lab::DeploymentSpec { token_ms: 20, ..small() };
+async fn graceful_stop_finishes_running_requests_and_refuses_new_ones() {
+    let plan = lab::DeploymentSpec { token_ms: 20, ..one_hall() };
     let mut deployment = start(plan).await;
     let name = deployment.running_boxes()[0].clone();
-    let door = first_door(&deployment);
+    let address = first_address(&deployment);
     let running: Vec<_> = (0..6)
         .map(|i| {
             let caller = Caller::new("large-1");
-            actix_rt::spawn(async move { caller.complete(door, &format!("stopping {i}"), 200).await })
+            actix_rt::spawn(async move { caller.complete(address, &format!("stopping {i}"), 200).await })
         })
         .collect();
     let engines = deployment.engines.clone();
-    assert!(until(|| engines.iter().map(|(_, e)| e.running_requests()).sum::<u32>() == 6).await, "all began");
+    assert!(
+        wait_until(|| engines.iter().map(|(_, e)| e.running_requests()).sum::<u32>() == 6).await,
+        "all requests started"
+    );
     deployment.signal(&name, Signal::TERM);
     let refused = loop {
-        let reply = Caller::new("large-1").complete(door, "too late", 5).await;
+        let reply = Caller::new("large-1").complete(address, "too late", 5).await;
         if reply.outcome != Outcome::Complete {
             break reply;
         }
     };
-    assert_eq!(code_of(&refused), (503, "not_ready".into(), "no".into()));
+    assert_eq!(refusal(&refused), (503, "not_ready".into(), "no".into()));
     for (i, task) in running.into_iter().enumerate() {
-        let reply = task.await.expect("no panic");
-        assert!(is_whole(&reply, &format!("stopping {i}"), 200), "{:?}", reply.outcome);
+        let reply = task.await.expect("the task did not panic");
+        assert!(is_complete(&reply, &format!("stopping {i}"), 200), "{:?}", reply.outcome);
     }
-    assert_eq!(deployment.wait_for_exit(&name, NEVER), Some(0), "{}", deployment.log(&name));
+    assert_eq!(deployment.wait_for_exit(&name, EVENT_TIMEOUT), Some(0), "{}", deployment.log(&name));
     assert!(deployment.log(&name).contains("E103 StopClean"));
 }
 
 #[actix_rt::test]
-async fn a_second_signal_ends_a_stop_and_says_what_was_cut() {
-    let plan = lab::DeploymentSpec { token_ms: 50, ..small() };
+async fn second_signal_aborts_a_stop_and_logs_the_cut_requests() {
+    let plan = lab::DeploymentSpec { token_ms: 50, ..one_hall() };
     let mut deployment = start(plan).await;
     let name = deployment.running_boxes()[0].clone();
-    let door = first_door(&deployment);
-    let task = actix_rt::spawn(async move { Caller::new("large-1").complete(door, "cut", 4_000).await });
+    let address = first_address(&deployment);
+    let task = actix_rt::spawn(async move { Caller::new("large-1").complete(address, "cut", 4_000).await });
     let engines = deployment.engines.clone();
-    assert!(until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "it began");
+    assert!(wait_until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "the request started");
     deployment.signal(&name, Signal::TERM);
-    assert!(until(|| deployment.log(&name).contains("E102 StopBegun")).await);
+    assert!(wait_until(|| deployment.log(&name).contains("E102 StopBegun")).await);
     deployment.signal(&name, Signal::TERM);
-    assert_eq!(deployment.wait_for_exit(&name, NEVER), Some(1));
+    assert_eq!(deployment.wait_for_exit(&name, EVENT_TIMEOUT), Some(1));
     assert!(deployment.log(&name).contains("E104 StopCut cut=1"), "{}", deployment.log(&name));
-    assert_ne!(task.await.expect("no panic").outcome, Outcome::Complete, "a cut answer never looks whole");
+    assert_ne!(
+        task.await.expect("the task did not panic").outcome,
+        Outcome::Complete,
+        "a cut answer must not look complete"
+    );
 }
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -8,15 +8,15 @@
 
 /// Uses two halls with three boxes and two engines each.
 #[actix_rt::test]
-async fn nothing_wrong_comes_of_random_faults() {
+async fn random_faults_violate_no_invariant() {
     let soak = Soak { seed: 21, duration: Duration::from_secs(15) };
-    let soaked = soak.run(program()).await.expect("boxes that become ready");
-    assert!(soaked.violations.is_empty(), "{:#?}", soaked.violations);
-    let faults: u64 = soaked.faults.values().sum();
-    assert!(faults >= 5 && soaked.whole > 0, "{soaked:#?}");
+    let report = soak.run(program()).await.expect("boxes that become ready");
+    assert!(report.violations.is_empty(), "{:#?}", report.violations);
+    let faults: u64 = report.faults.values().sum();
+    assert!(faults >= 5 && report.whole > 0, "{report:#?}");
     assert_eq!(
-        soaked.sent,
-        soaked.whole + soaked.not_run + soaked.failed + soaked.unreached,
-        "every request has an end"
+        report.sent,
+        report.whole + report.not_run + report.failed + report.unreached,
+        "every request has an outcome"
     );
 }
