--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -38,7 +38,7 @@
         let third = Duration::from_secs_f64(profile.seconds / 3.0);
         actix_rt::spawn(async move {
             tokio::time::sleep(third).await;
-            slow.set_token_time_percent(1_000);
+            slow.set_slowness_percent(1_000);
             crash.crash();
             tokio::time::sleep(third).await;
             crash.restart();
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -73,9 +73,9 @@
     /// Identity of the box, with its own address and not that of a relay.
     pub peer: Peer,
     /// Listening address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Listening address for operators.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     settings: PathBuf,
     child: Option<Child>,
 }
@@ -122,7 +122,7 @@
     /// Starts only the stand-ins, without publishing a release or starting boxes.
     ///
     /// # Errors
-    /// If a stand-in or box can't be started.
+    /// If a stand-in can't be started or the settings can't be written.
     pub fn prepare(spec: DeploymentSpec, program: &Path) -> eyre::Result<Self> {
         let platform = Platform::start(spec.member_list_lag_ms);
         let mut engines = Vec::new();
@@ -130,8 +130,8 @@
         let mut boxes = BTreeMap::new();
         for (hall, box_count, engine_count, plain_count) in &spec.halls {
             for i in 0..*engine_count {
-                // Of every three engines, the second takes a quarter longer per token than the first and the third half
-                // as long again.
+                // Of every three engines, the second takes a quarter longer per token than the first, and the
+                // third half as long again.
                 let slowness = if spec.equal_engine_speed { 0 } else { i as u64 % 3 };
                 let token_ms = spec.token_ms * (4 + slowness) / 4;
                 let spec = EngineSpec {
@@ -152,8 +152,8 @@
                 let peer = Peer { name: name.clone(), hall: hall.clone(), address: ports::free_address() };
                 let process = BoxProcess {
                     peer,
-                    callers: ports::free_address(),
-                    operators: ports::free_address(),
+                    caller_address: ports::free_address(),
+                    operator_address: ports::free_address(),
                     settings: PathBuf::new(),
                     child: None,
                 };
@@ -216,7 +216,12 @@
             "name = \"{name}\"\nhall = \"{}\"\nlisten_callers = \"{}\"\nlisten_boxes = \"{}\"\nlisten_operators = \"{}\"\n\
              platform_config = \"{platform}\"\nplatform_members = \"{platform}\"\nlink_key = \"a-key-for-stand-ins-only\"\n\
              traffic_threads = {}\nway = \"{}\"\nstop_seconds = 60\nbody_bytes = 1000000\nbody_seconds = 2\n",
-            process.peer.hall, process.callers, process.peer.address, process.operators, self.spec.traffic_threads, self.spec.scheduling_mode
+            process.peer.hall,
+            process.caller_address,
+            process.peer.address,
+            process.operator_address,
+            self.spec.traffic_threads,
+            self.spec.scheduling_mode
         );
         for (other, process) in &self.boxes {
             if other == name || self.spec.peers_from_platform_only {
@@ -295,8 +300,8 @@
     pub fn reassign_addresses(&mut self, name: &str) -> eyre::Result<()> {
         let process = self.boxes.get_mut(name).ok_or_else(|| eyre::eyre!("unknown box {name}"))?;
         process.peer.address = ports::free_address();
-        process.callers = ports::free_address();
-        process.operators = ports::free_address();
+        process.caller_address = ports::free_address();
+        process.operator_address = ports::free_address();
         self.write_settings()?;
         self.publish_members();
         Ok(())
@@ -331,9 +336,9 @@
 
     /// Waits for the process of a box to exit and returns its exit code, or `None` after `timeout`.
     pub fn wait_for_exit(&mut self, name: &str, timeout: Duration) -> Option<i32> {
-        let began = Instant::now();
+        let started = Instant::now();
         let child = self.boxes.get_mut(name)?.child.as_mut()?;
-        while began.elapsed() < timeout {
+        while started.elapsed() < timeout {
             if let Ok(Some(status)) = child.try_wait() {
                 return Some(status.code().unwrap_or(-1));
             }
@@ -344,7 +349,7 @@
 
     /// Returns the status of a box if it answers.
     pub async fn status(&self, name: &str) -> Option<Status> {
-        let address = self.boxes.get(name)?.operators;
+        let address = self.boxes.get(name)?.operator_address;
         let client = awc::Client::builder().timeout(Duration::from_secs(2)).finish();
         let mut response = client.get(format!("http://{address}/status")).send().await.ok()?;
         let body = response.body().limit(MAX_STATUS_BYTES).await.ok()?;
@@ -353,8 +358,8 @@
 
     /// Waits until `condition` holds for the status of every running box; false after `timeout`.
     pub async fn wait_until(&self, timeout: Duration, condition: impl Fn(&Status) -> bool) -> bool {
-        let began = Instant::now();
-        while began.elapsed() < timeout {
+        let started = Instant::now();
+        while started.elapsed() < timeout {
             let mut all_match = true;
             for name in self.running_boxes() {
                 all_match &= self.status(&name).await.is_some_and(|s| condition(&s));
@@ -394,7 +399,7 @@
     /// Returns the caller address of every running box.
     #[must_use]
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.boxes.values().filter(|b| b.child.is_some()).map(|b| b.callers).collect()
+        self.boxes.values().filter(|b| b.child.is_some()).map(|b| b.caller_address).collect()
     }
 
     /// Returns the box that reports itself as the owner of the shard for `serves` in `hall`.
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -59,8 +59,8 @@
 struct Inner {
     spec: EngineSpec,
     batch: Mutex<Batch>,
-    /// Time per token in percent of the configured one.
-    token_time_percent: AtomicU32,
+    /// Duration of prefill and of each token in percent of the configured one.
+    slowness_percent: AtomicU32,
     frozen: AtomicBool,
     leaving: AtomicBool,
     /// Incremented by each crash; streams of an earlier instance fail.
@@ -107,7 +107,7 @@
         let inner = Arc::new(Inner {
             spec,
             batch: Mutex::new(batch),
-            token_time_percent: AtomicU32::new(100),
+            slowness_percent: AtomicU32::new(100),
             frozen: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             instance: AtomicU64::new(0),
@@ -129,9 +129,9 @@
         &self.inner.spec.name
     }
 
-    /// Sets the time per token, in percent of the configured one.
-    pub fn set_token_time_percent(&self, percent: u32) {
-        self.inner.token_time_percent.store(percent, Ordering::Relaxed);
+    /// Sets the duration of prefill and of each token, in percent of the configured one.
+    pub fn set_slowness_percent(&self, percent: u32) {
+        self.inner.slowness_percent.store(percent, Ordering::Relaxed);
     }
 
     /// Pauses or resumes generation; connections stay open.
@@ -293,9 +293,9 @@
     generation_delay(inner, ms).await;
 }
 
-/// Waits for `ms` scaled by the engine's time per token, and then until the engine is not frozen.
+/// Waits for `ms` scaled by the engine's slowness, and then until the engine is not frozen.
 async fn generation_delay(inner: &Inner, ms: u64) {
-    let percent = u64::from(inner.token_time_percent.load(Ordering::Relaxed));
+    let percent = u64::from(inner.slowness_percent.load(Ordering::Relaxed));
     tokio::time::sleep(Duration::from_millis(ms * percent / 100)).await;
     while inner.frozen.load(Ordering::Relaxed) {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -39,11 +39,11 @@
     bar.set_style(ProgressStyle::with_template("{wide_bar} {pos} of {len} plays, {eta} left")?);
     let threads = std::thread::available_parallelism().map_or(1, |cores| cores.get().div_ceil(2));
     let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build()?;
-    let began = Instant::now();
+    let started = Instant::now();
     let results = pool.install(|| experiment.run(&deployments, &|| bar.inc(1)));
     bar.finish_and_clear();
     let comparisons = experiment.compare(&results);
-    Ok(ExperimentResults { results, comparisons, elapsed_s: began.elapsed().as_secs_f64() })
+    Ok(ExperimentResults { results, comparisons, elapsed_s: started.elapsed().as_secs_f64() })
 }
 
 fn load_deployment(experiment: &Experiment, source: &Source, folder: &Path) -> eyre::Result<Deployment> {
--- a/crates/lab/src/fleet_measurement.rs
+++ b/crates/lab/src/fleet_measurement.rs
@@ -53,12 +53,12 @@
 }
 
 async fn publish_and_time(deployment: &mut Deployment) -> eyre::Result<u64> {
-    let began = Instant::now();
+    let started = Instant::now();
     let number = deployment.publish()?;
     if !deployment.wait_until(READY_TIMEOUT, |s| s.release >= number).await {
         eyre::bail!("release {number} did not come into force on all boxes");
     }
-    Ok(began.elapsed().as_millis() as u64)
+    Ok(started.elapsed().as_millis() as u64)
 }
 
 async fn measure_idle(deployment: &Deployment, report: &mut FleetReport) {
@@ -92,7 +92,7 @@
         .await
         .ok_or_else(|| eyre::eyre!("no box owns the shard of {hall}"))?;
     let same_hall = deployment.boxes.values().filter(|b| b.peer.hall == hall && b.peer.name != owner);
-    let addresses: Vec<_> = same_hall.map(|b| b.callers).collect();
+    let addresses: Vec<_> = same_hall.map(|b| b.caller_address).collect();
     let mut calls = Vec::new();
     for i in 0..FAILOVER_CALLS {
         let address = addresses[i as usize % addresses.len()];
--- a/crates/lab/src/fleet_simulation.rs
+++ b/crates/lab/src/fleet_simulation.rs
@@ -225,13 +225,13 @@
     /// Publishes a release and returns the times after which half, 99 % and all of the boxes have it in force.
     fn publish(&mut self, release: Release) -> (f64, f64, f64) {
         self.in_force.clear();
-        let began = self.now;
+        let started = self.now;
         self.published = Some(release);
         let alive = self.nodes.iter().filter(|n| n.alive).count();
-        while self.in_force.len() < alive && self.now.since(began) < 60_000 {
+        while self.in_force.len() < alive && self.now.since(started) < 60_000 {
             self.run(10);
         }
-        let mut times: Vec<f64> = self.in_force.values().map(|at| at.since(began) as f64).collect();
+        let mut times: Vec<f64> = self.in_force.values().map(|at| at.since(started) as f64).collect();
         times.resize(alive, 60_000.0);
         times.sort_by(f64::total_cmp);
         let quantile = |share: f64| times[((times.len() - 1) as f64 * share).ceil() as usize];
@@ -242,15 +242,15 @@
     fn kill_and_detect_ms(&mut self) -> f64 {
         let (victim, hall) = (self.nodes[0].peer.id(), self.nodes[0].peer.hall.clone());
         self.nodes[0].alive = false;
-        let began = self.now;
+        let started = self.now;
         let detected = |n: &Node| n.detector.members().any(|m| m.peer.id() == victim && m.state == State::Dead);
-        while self.now.since(began) < 60_000 {
+        while self.now.since(started) < 60_000 {
             self.run(10);
             if self.nodes.iter().filter(|n| n.alive && n.peer.hall == hall).all(detected) {
                 break;
             }
         }
-        self.now.since(began) as f64
+        self.now.since(started) as f64
     }
 }
 
@@ -263,11 +263,11 @@
     fleet.publish(release_with_customers(1, CUSTOMER_COUNT, 0));
     fleet.run(SETTLE_TIME_MS);
     (fleet.bytes, fleet.messages) = (0, 0);
-    let began = Instant::now();
+    let started = Instant::now();
     fleet.run(IDLE_WINDOW_MS);
     let box_seconds = boxes as f64 * IDLE_WINDOW_MS as f64 / 1e3;
     let mut outcome = FleetOutcome {
-        idle_micros: began.elapsed().as_secs_f64() * 1e6 / box_seconds,
+        idle_micros: started.elapsed().as_secs_f64() * 1e6 / box_seconds,
         idle_bytes: fleet.bytes as f64 / box_seconds,
         idle_messages: fleet.messages as f64 / box_seconds,
         ..FleetOutcome::default()
@@ -323,7 +323,7 @@
 #[must_use]
 pub fn change_ms(customers: usize) -> f64 {
     let (mut to, received) = transfer_change(customers);
-    let began = Instant::now();
+    let started = Instant::now();
     for message in &received {
         if let Message::Parts(..) = message {
             for action in to.on_message(BoxId(1), message, Time(2)) {
@@ -333,7 +333,7 @@
             }
         }
     }
-    began.elapsed().as_secs_f64() * 1e3
+    started.elapsed().as_secs_f64() * 1e3
 }
 
 /// Returns the bytes of frames that a box receives for a change of one customer.
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -72,7 +72,7 @@
 /// Runs the load and waits for the answers. The totals counted by engines and boxes are left for the caller
 /// to add.
 pub async fn run_load(load: LoadRun<'_>) -> LoadReport {
-    let began = Instant::now();
+    let started = Instant::now();
     let addresses = Rc::new(load.addresses);
     let mut tallies = Vec::new();
     let mut generators = Vec::new();
@@ -80,22 +80,28 @@
         let tally: Shared = Rc::new(RefCell::new(Tally::new(&stream.class)));
         tallies.push(Rc::clone(&tally));
         let seed = load.profile.seed.wrapping_mul(1_000).wrapping_add(index as u64);
-        let generator =
-            generate_requests(Rc::new(stream.clone()), seed, load.profile.seconds, Rc::clone(&addresses), tally, began);
+        let generator = generate_requests(
+            Rc::new(stream.clone()),
+            seed,
+            load.profile.seconds,
+            Rc::clone(&addresses),
+            tally,
+            started,
+        );
         generators.push(actix_rt::spawn(generator));
     }
     if load.progress {
         let shown: Vec<Shared> = tallies.iter().map(Rc::clone).collect();
         let until = load.profile.seconds + load.profile.drain_s;
         actix_rt::spawn(async move {
-            while began.elapsed().as_secs_f64() < until {
+            while started.elapsed().as_secs_f64() < until {
                 tokio::time::sleep(Duration::from_secs(5)).await;
                 let line: Vec<String> = shown
                     .iter()
                     .map(|t| t.borrow())
                     .map(|t| format!("{} {}/{}", t.row.class, t.row.whole, t.row.sent))
                     .collect();
-                eprintln!("{:>4.0}s {}", began.elapsed().as_secs_f64(), line.join("  "));
+                eprintln!("{:>4.0}s {}", started.elapsed().as_secs_f64(), line.join("  "));
             }
         });
     }
@@ -141,7 +147,7 @@
     seconds: f64,
     addresses: Rc<Vec<SocketAddr>>,
     tally: Shared,
-    began: Instant,
+    started: Instant,
 ) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let names: Vec<&str> = customer_names().filter(|c| *c != "limited").collect();
@@ -159,7 +165,7 @@
         if at >= seconds {
             return;
         }
-        let intended = began + Duration::from_secs_f64(at);
+        let intended = started + Duration::from_secs_f64(at);
         tokio::time::sleep_until(intended.into()).await;
         // The first three customers are large and make two thirds of all requests.
         let large = random.random_bool(0.66);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -269,7 +269,7 @@
         eyre::bail!("the boxes did not become ready");
     }
     for (name, process) in &deployment.boxes {
-        println!("{name:<20} callers http://{}  operators http://{}", process.callers, process.operators);
+        println!("{name:<20} callers http://{}  operators http://{}", process.caller_address, process.operator_address);
     }
     println!("API key: {}", lab::api_key("large-1"));
     tokio::select! {
--- a/crates/lab/src/overhead.rs
+++ b/crates/lab/src/overhead.rs
@@ -14,8 +14,8 @@
 /// Duration of each run in seconds.
 const DURATION_S: u64 = 12;
 
-/// Tokens per answer in the long run; at 40 ms a token and 50 requests a second about 200
-/// streams are open.
+/// Tokens per answer in the long run; at 40 ms a token and 50 requests a second about 200 streams
+/// are open.
 const LONG_ANSWER_TOKENS: u32 = 160;
 
 /// Tokens per answer in the short run, which separates the cost per request from the cost per token.
@@ -106,12 +106,12 @@
     let name = deployment.running_boxes()[0].clone();
     let pid = deployment.pid(&name).unwrap_or(0);
     let caller = Caller::new("large-1").class("contract-check");
-    let (began, before) = (Instant::now(), cpu_seconds(pid));
+    let (started, before) = (Instant::now(), cpu_seconds(pid));
     let (requests, token_count) = (through.requests, through.tokens);
     let mut tasks = Vec::new();
     let mut max_open = 0;
     for i in 0..REQUESTS_PER_S * DURATION_S {
-        tokio::time::sleep_until((began + Duration::from_micros(i * 1_000_000 / REQUESTS_PER_S)).into()).await;
+        tokio::time::sleep_until((started + Duration::from_micros(i * 1_000_000 / REQUESTS_PER_S)).into()).await;
         // The order alternates, since the second request competes with the first for the processor.
         for is_direct in [i % 2 == 0, i % 2 == 1] {
             let caller = caller.clone();
@@ -132,7 +132,7 @@
             (if is_direct { &mut *direct } else { &mut *through }).record(sent, &reply);
         }
     }
-    let cpu = cpu_seconds(pid) - before - idle * began.elapsed().as_secs_f64();
+    let cpu = cpu_seconds(pid) - before - idle * started.elapsed().as_secs_f64();
     (cpu, through.requests - requests, through.tokens - token_count, max_open)
 }
 
@@ -142,13 +142,13 @@
     const CALLER_COUNT: usize = 64;
     const DURATION: Duration = Duration::from_secs(5);
     let address = deployment.caller_addresses()[0];
-    let began = Instant::now();
+    let started = Instant::now();
     let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|_| {
             actix_rt::spawn(async move {
                 let caller = Caller::new("large-1").class("lookup");
                 let mut completed = 0u64;
-                while began.elapsed() < DURATION {
+                while started.elapsed() < DURATION {
                     let reply = caller.request(address, "GET", "/services/registry/short", "").await;
                     completed += u64::from(reply.outcome == Outcome::Complete);
                 }
@@ -160,7 +160,7 @@
     for caller in callers {
         completed += caller.await.unwrap_or(0);
     }
-    completed as f64 / began.elapsed().as_secs_f64()
+    completed as f64 / started.elapsed().as_secs_f64()
 }
 
 /// Measures the overhead of one box.
--- a/crates/lab/src/owner_benchmark.rs
+++ b/crates/lab/src/owner_benchmark.rs
@@ -88,7 +88,7 @@
         request_slot(&mut shard, &mut held, now, &mut random);
     }
     let report = Report { tokens: 100, first_ms: 50, between_tenths: 100, failed: false, unused: false };
-    let began = Instant::now();
+    let started = Instant::now();
     for i in 0..REQUEST_COUNT {
         if i % 20 == 0 {
             now = now.after(20);
@@ -99,7 +99,7 @@
         collect_grants(&decisions, &mut held);
         request_slot(&mut shard, &mut held, now, &mut random);
     }
-    began.elapsed().as_secs_f64() * 1e6 / REQUEST_COUNT as f64
+    started.elapsed().as_secs_f64() * 1e6 / REQUEST_COUNT as f64
 }
 
 /// Returns the processor microseconds of one tick with `waiting` requests in the queue.
@@ -115,12 +115,12 @@
         request.begun = true;
         shard.request_slot(BoxId((id % 8) as u32), request, now);
     }
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..TICK_COUNT {
         now = now.after(20);
         shard.tick(now);
     }
-    began.elapsed().as_secs_f64() * 1e6 / TICK_COUNT as f64
+    started.elapsed().as_secs_f64() * 1e6 / TICK_COUNT as f64
 }
 
 /// Returns the processor microseconds to renew `held` leases of one lessee.
@@ -134,9 +134,9 @@
     for id in 0..held as u64 {
         collect_grants(&shard.request_slot(BoxId(1), slot_request(id, 2, &mut random), Time(1_000)), &mut leases);
     }
-    let began = Instant::now();
+    let started = Instant::now();
     for i in 0..RENEWAL_COUNT {
         shard.renew(BoxId(1), 0, i as u64, Time(1_001));
     }
-    began.elapsed().as_secs_f64() * 1e6 / RENEWAL_COUNT as f64
+    started.elapsed().as_secs_f64() * 1e6 / RENEWAL_COUNT as f64
 }
--- a/crates/lab/src/release_monitor.rs
+++ b/crates/lab/src/release_monitor.rs
@@ -31,7 +31,7 @@
     /// Starts to poll every box of the deployment, running or not.
     #[must_use]
     pub fn start(deployment: &Deployment) -> Self {
-        let addresses = deployment.boxes.iter().map(|(name, b)| (name.clone(), b.operators)).collect();
+        let addresses = deployment.boxes.iter().map(|(name, b)| (name.clone(), b.operator_address)).collect();
         let observations = Rc::<Observations>::default();
         let task = actix_rt::spawn(poll(addresses, Rc::clone(&observations)));
         Self { observations, task }
--- a/crates/lab/src/slopes.rs
+++ b/crates/lab/src/slopes.rs
@@ -74,8 +74,8 @@
     Slope { role, metric, size, points, line }
 }
 
-fn mean_micros(began: Instant, count: usize) -> f64 {
-    began.elapsed().as_secs_f64() * 1e6 / count as f64
+fn mean_micros(started: Instant, count: usize) -> f64 {
+    started.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
 /// Builds the classes, customers and upstreams files of a release with `customers` customers.
@@ -130,10 +130,10 @@
     drop(retained);
     slopes.push(measure_slope("release", "ms to check a release", "customers", &sizes, |size, _| {
         let release = release_with_customers(1, size, 0);
-        let began = Instant::now();
+        let started = Instant::now();
         let checked = release.check();
         assert!(checked.is_ok());
-        began.elapsed().as_secs_f64() * 1e3
+        started.elapsed().as_secs_f64() * 1e3
     }));
     slopes.push(measure_slope(
         "release",
@@ -256,9 +256,9 @@
             let usages: Vec<Usage> =
                 (0..n).map(|i| Usage { customer: catalog::CustomerId(i as u32), running: 1, tokens: 100 }).collect();
             let mut usage_table = UsageTable::default();
-            let began = Instant::now();
+            let started = Instant::now();
             usage_table.record(catalog::BoxId(1), &usages, Time(1));
-            began.elapsed().as_secs_f64() * 1e6
+            started.elapsed().as_secs_f64() * 1e6
         },
     ));
     slopes.push(measure_slope(
@@ -272,10 +272,10 @@
             for i in 0..n {
                 assert!(meter.admit(catalog::CustomerId(i as u32), none, Time(1)));
             }
-            let began = Instant::now();
+            let started = Instant::now();
             let reported = meter.usage_to_report(Time(2)).len();
             assert_eq!(reported, n);
-            began.elapsed().as_secs_f64() * 1e6
+            started.elapsed().as_secs_f64() * 1e6
         },
     ));
     let keys = [10_000, 50_000, 100_000, 400_000];
@@ -285,11 +285,11 @@
         (0..n as u64).for_each(|key| {
             history.claim(&claim(key), Time(5_000));
         });
-        let began = Instant::now();
+        let started = Instant::now();
         (0..1_000).for_each(|key| {
             history.claim(&claim(n as u64 + key), Time(5_001));
         });
-        mean_micros(began, 1_000)
+        mean_micros(started, 1_000)
     }));
 }
 
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -20,7 +20,7 @@
 const STEP_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Time that a plain service takes for a call.
-const SERVICE_MS: u64 = 100;
+const SERVICE_DELAY_MS: u64 = 100;
 
 /// Maximum wait for boxes to become ready, and to become idle after the run.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
@@ -65,9 +65,9 @@
 }
 
 impl Soak {
-    /// Two halls with relays between them, each with three boxes, two engines and a plain service.
+    /// Returns two halls with relays between them, each with three boxes, two engines and a plain service.
     #[must_use]
-    pub fn plan() -> DeploymentSpec {
+    pub fn deployment_spec() -> DeploymentSpec {
         let halls = vec![("hall-lansing".into(), 3, 2, 1), ("hall-toledo".into(), 3, 2, 1)];
         DeploymentSpec { halls, with_relays: true, traffic_threads: 1, ..DeploymentSpec::default() }
     }
@@ -77,17 +77,17 @@
     /// # Errors
     /// If the boxes can't be started or don't become ready at the start.
     pub async fn run(&self, program: &Path) -> eyre::Result<SoakReport> {
-        let mut deployment = Deployment::start(Self::plan(), program)?;
+        let mut deployment = Deployment::start(Self::deployment_spec(), program)?;
         if !deployment.wait_until_ready(READY_TIMEOUT).await {
             eyre::bail!("the boxes did not become ready");
         }
         // The delay is long enough for some calls to be in progress when their service crashes.
-        deployment.plain_services.iter().for_each(|(_, _, plain)| plain.set_delay_ms(SERVICE_MS));
+        deployment.plain_services.iter().for_each(|(_, _, plain)| plain.set_delay_ms(SERVICE_DELAY_MS));
         let mut faults = Faults::new(ChaCha8Rng::seed_from_u64(self.seed));
         let mut callers = Callers::new(&deployment, self.seed);
         let releases = ReleaseMonitor::start(&deployment);
-        let began = Instant::now();
-        while began.elapsed() < self.duration {
+        let started = Instant::now();
+        while started.elapsed() < self.duration {
             faults.step(&mut deployment)?;
             callers.step();
             tokio::time::sleep(STEP_INTERVAL).await;
--- a/crates/lab/src/soak/fault.rs
+++ b/crates/lab/src/soak/fault.rs
@@ -181,7 +181,7 @@
                 self.schedule_recovery("engine crashed", Recovery::RestartEngine(index));
             }
             1 => {
-                engine.set_token_time_percent(1_000);
+                engine.set_slowness_percent(1_000);
                 self.schedule_recovery("engine slow", Recovery::RestoreEngineSpeed(index));
             }
             _ => {
@@ -205,7 +205,7 @@
         Recovery::RestorePlatformLink(hall) => deployment.platform_relays[&hall].set_mode(RelayMode::Pass(0)),
         Recovery::StartPlatform => deployment.platform.restart(),
         Recovery::RestartEngine(index) => deployment.engines[index].1.restart(),
-        Recovery::RestoreEngineSpeed(index) => deployment.engines[index].1.set_token_time_percent(100),
+        Recovery::RestoreEngineSpeed(index) => deployment.engines[index].1.set_slowness_percent(100),
         Recovery::ResumeEngine(index) => deployment.engines[index].1.set_frozen(false),
         Recovery::RestartService(index) => deployment.plain_services[index].2.restart(),
     }
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -52,7 +52,7 @@
 /// Retries after each refusal as not run, with the requested delay, until another outcome or until
 /// `EVENT_TIMEOUT`.
 pub async fn complete_with_retries(caller: &Caller, addresses: &[SocketAddr], prompt: &str, max_tokens: u32) -> Reply {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut attempt = prompt.len();
     loop {
         attempt += 1;
@@ -61,7 +61,7 @@
             // A load balancer sends nothing to a box that is not ready; its listening socket may close at any
             // moment.
             tokio::time::sleep(Duration::from_millis(10)).await;
-            assert!(began.elapsed() < EVENT_TIMEOUT, "no box is ready");
+            assert!(started.elapsed() < EVENT_TIMEOUT, "no box is ready");
             continue;
         }
         let reply = caller.complete(address, prompt, max_tokens).await;
@@ -71,7 +71,7 @@
             Outcome::Refused { ran, retry_ms: Some(ms), .. } if ran == "no" => *ms,
             _ => return reply,
         };
-        if began.elapsed() > EVENT_TIMEOUT {
+        if started.elapsed() > EVENT_TIMEOUT {
             return reply;
         }
         tokio::time::sleep(Duration::from_millis(wait)).await;
@@ -94,8 +94,8 @@
 }
 
 pub async fn wait_until(condition: impl Fn() -> bool) -> bool {
-    let began = Instant::now();
-    while began.elapsed() < EVENT_TIMEOUT {
+    let started = Instant::now();
+    while started.elapsed() < EVENT_TIMEOUT {
         if condition() {
             return true;
         }
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -38,7 +38,7 @@
 async fn killed_owner_interrupts_only_its_own_callers() {
     let mut deployment = start(one_hall()).await;
     let owner = deployment.shard_owner(HALL, MODEL).await.expect("an owner");
-    let others: Vec<_> = deployment.boxes.iter().filter(|(n, _)| **n != owner).map(|(_, b)| b.callers).collect();
+    let others: Vec<_> = deployment.boxes.iter().filter(|(n, _)| **n != owner).map(|(_, b)| b.caller_address).collect();
     let mut tasks = Vec::new();
     for i in 0..40usize {
         let (addresses, caller) = (others.clone(), Caller::new("large-1").class("hotline").non_repeatable());
@@ -57,7 +57,7 @@
         assert_eq!(starts(&deployment, &prompt), 1);
     }
     let owns = |s: &cleatshelf::Status| s.shards.iter().filter(|row| row.serves == MODEL).count();
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let mut owners = 0;
         for name in deployment.running_boxes() {
@@ -66,7 +66,7 @@
         if owners == 1 {
             break;
         }
-        assert!(began.elapsed() < EVENT_TIMEOUT, "{owners} boxes own the shard");
+        assert!(started.elapsed() < EVENT_TIMEOUT, "{owners} boxes own the shard");
     }
     assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
     assert_eq!(deployment.invariant_violations().await, 0, "{}", logs(&deployment));
@@ -76,11 +76,11 @@
 async fn frozen_owner_is_bypassed_and_resumes_safely() {
     let deployment = start(one_hall()).await;
     let owner = deployment.shard_owner(HALL, MODEL).await.expect("an owner");
-    let others: Vec<_> = deployment.boxes.iter().filter(|(n, _)| **n != owner).map(|(_, b)| b.callers).collect();
+    let others: Vec<_> = deployment.boxes.iter().filter(|(n, _)| **n != owner).map(|(_, b)| b.caller_address).collect();
     deployment.signal(&owner, Signal::STOP);
-    let began = Instant::now();
+    let started = Instant::now();
     let mut count = 0;
-    while began.elapsed() < Duration::from_secs(5) {
+    while started.elapsed() < Duration::from_secs(5) {
         let prompt = format!("owner frozen {count}");
         let reply =
             complete_with_retries(&Caller::new("large-1").class("hotline").non_repeatable(), &others, &prompt, 10)
@@ -104,7 +104,7 @@
     let mut deployment = start(DeploymentSpec { token_ms: 30, ..one_hall() }).await;
     let owner = deployment.shard_owner(HALL, MODEL).await.expect("an owner");
     let name = deployment.running_boxes().into_iter().find(|n| *n != owner).expect("another box");
-    let address = deployment.boxes[&name].callers;
+    let address = deployment.boxes[&name].caller_address;
     for i in 0..10 {
         actix_rt::spawn(
             async move { Caller::new("large-1").complete(address, &format!("lessee dies {i}"), 2_000).await },
@@ -127,7 +127,7 @@
     let deployment = start(one_hall()).await;
     let owner = deployment.shard_owner(HALL, MODEL).await.expect("an owner");
     let name = deployment.running_boxes().into_iter().find(|n| *n != owner).expect("another box");
-    let address = deployment.boxes[&name].callers;
+    let address = deployment.boxes[&name].caller_address;
     let mut tasks = Vec::new();
     for i in 0..60usize {
         tasks.push(actix_rt::spawn(async move {
@@ -143,7 +143,7 @@
     for (i, task) in tasks.into_iter().enumerate() {
         let reply = task.await.expect("the task did not panic");
         let (prompt, ran) = (format!("lessee frozen {i}"), starts(&deployment, &format!("lessee frozen {i}")));
-        assert!(ran <= 1, "{prompt} began {ran} times");
+        assert!(ran <= 1, "{prompt} started {ran} times");
         if let Outcome::Refused { ran: ran_header, .. } = &reply.outcome {
             assert!(ran_header != "no" || ran == 0, "{prompt} was refused as not run but ran");
         }
@@ -195,7 +195,7 @@
     let deployment = start(DeploymentSpec { report_lag_ms: 2_000, ..one_hall() }).await;
     let slow = deployment.engines[0].1.clone();
     run_requests(&deployment, 30, 20, "warm").await;
-    slow.set_token_time_percent(1_000);
+    slow.set_slowness_percent(1_000);
     run_requests(&deployment, 40, 20, "slow").await;
     let before: u32 = (0..40).map(|i| slow.runs_of(&format!("slow {i}")).starts).sum();
     let ended = run_requests(&deployment, 40, 20, "avoided").await;
@@ -203,17 +203,17 @@
     let hotline = (0..40).filter(|i| i % 3 == 0);
     let urgent: u32 = hotline.map(|i| slow.runs_of(&format!("avoided {i}")).starts).sum();
     assert!(urgent <= 2, "{urgent} hotline requests went to an engine ten times too slow (before: {before})");
-    slow.set_token_time_percent(100);
+    slow.set_slowness_percent(100);
     assert!(regains_its_share(&deployment, &slow).await, "a recovered engine gets no requests");
     assert_eq!(deployment.invariant_violations().await, 0);
 }
 
 /// Sends urgent requests until one in four of them goes to `engine`, which is one of two.
 async fn regains_its_share(deployment: &Deployment, engine: &lab::Engine) -> bool {
-    let began = Instant::now();
+    let started = Instant::now();
     let caller = Caller::new("large-1").class("hotline");
     let mut round = 0;
-    while began.elapsed() < EVENT_TIMEOUT {
+    while started.elapsed() < EVENT_TIMEOUT {
         round += 1;
         let prompts: Vec<String> = (0..16).map(|i| format!("well again {round} {i}")).collect();
         let asks = prompts.iter().enumerate().map(|(i, prompt)| {
@@ -315,9 +315,9 @@
     let mut urgent = Vec::new();
     for i in 0..150usize {
         let (address, caller) = (addresses[i % 3], Caller::new("large-1").class("hotline"));
-        let began = Instant::now();
+        let started = Instant::now();
         urgent.push(actix_rt::spawn(async move {
-            (caller.complete(address, &format!("burst {i}"), 40).await, began.elapsed())
+            (caller.complete(address, &format!("burst {i}"), 40).await, started.elapsed())
         }));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -42,7 +42,7 @@
         let starts = starts(&format!("{class} {i}"));
         // A review may be recalled before its first token and then starts again at another engine.
         let max_starts = if class == "review" && i % 5 != 0 { 4 } else { 1 };
-        assert!((1..=max_starts).contains(&starts), "{class} {i} began {starts} times");
+        assert!((1..=max_starts).contains(&starts), "{class} {i} started {starts} times");
     }
 }
 
@@ -117,7 +117,7 @@
 /// Returns the metrics of the first box.
 async fn scrape(deployment: &lab::Deployment) -> String {
     let name = &deployment.running_boxes()[0];
-    let url = format!("http://{}/metrics", deployment.boxes[name].operators);
+    let url = format!("http://{}/metrics", deployment.boxes[name].operator_address);
     let mut response = awc::Client::default().get(url).send().await.expect("metrics");
     let body = response.body().limit(16 << 20).await.expect("a body");
     String::from_utf8_lossy(&body).into_owned()
--- a/crates/lab/tests/releases.rs
+++ b/crates/lab/tests/releases.rs
@@ -20,11 +20,12 @@
     platform: lab::Platform,
     calls: u64,
     box_count: u64,
-    began: Instant,
+    started: Instant,
 }
 
-/// Calls to the platform that a box may make per second on average, and at its start.
+/// Maximum calls of a box to the platform per second on average.
 const MAX_CALLS_PER_S: f64 = 4.0;
+/// Maximum further calls of a box to the platform at its start.
 const MAX_CALLS_AT_START: u64 = 40;
 
 impl Monitor {
@@ -32,14 +33,14 @@
         let releases = ReleaseMonitor::start(deployment);
         let (platform, calls) = (deployment.platform.clone(), deployment.platform.calls());
         let box_count = deployment.boxes.len() as u64;
-        Self { releases, platform, calls, box_count, began: Instant::now() }
+        Self { releases, platform, calls, box_count, started: Instant::now() }
     }
 
     fn finish(self) {
         let violations = self.releases.finish();
         assert!(violations.is_empty(), "{violations:?}");
         let calls = self.platform.calls() - self.calls;
-        let allowed_calls = MAX_CALLS_PER_S * self.began.elapsed().as_secs_f64();
+        let allowed_calls = MAX_CALLS_PER_S * self.started.elapsed().as_secs_f64();
         let max_calls = self.box_count * (allowed_calls as u64 + MAX_CALLS_AT_START);
         assert!(calls <= max_calls, "{calls} calls to the platform, at most {max_calls} allowed");
     }
@@ -62,7 +63,7 @@
     let mut deployment = start(DeploymentSpec { halls: vec![("hall-lansing".into(), 6, 1, 0)], ..one_hall() }).await;
     let monitor = Monitor::start(&deployment);
     let before = deployment.platform.calls();
-    let began = Instant::now();
+    let started = Instant::now();
     for _ in 0..5 {
         let number = deployment.publish().expect("a valid release");
         assert!(in_force(&deployment, number).await);
@@ -70,7 +71,7 @@
     let calls = deployment.platform.calls() - before;
     // Two watchers, each with a watch and one or two parts for each release, and the member list once a
     // second.
-    let max_calls = 5 * 2 * 4 + 2 * (began.elapsed().as_secs() + 2) + 12;
+    let max_calls = 5 * 2 * 4 + 2 * (started.elapsed().as_secs() + 2) + 12;
     assert!(calls <= max_calls, "{calls} calls, at most {max_calls} allowed");
     assert!(deployment.platform.open_watches() <= 3, "{} watches", deployment.platform.open_watches());
     monitor.finish();
@@ -104,7 +105,7 @@
     let name = deployment.boxes.keys().next().expect("a box").clone();
     deployment.start_box(&name).expect("a process");
     assert!(wait_until(|| deployment.log(&name).contains("E202 PlatformUnreachable")).await);
-    let address = deployment.boxes[&name].callers;
+    let address = deployment.boxes[&name].caller_address;
     let reply = Caller::new("large-1").complete(address, "too early", 5).await;
     assert_eq!(refusal(&reply), (503, "not_ready".into(), "no".into()));
     assert!(!deployment.status(&name).await.expect("the box answers").ready);
@@ -127,7 +128,7 @@
         }
     }
     deployment.start_box(&name).expect("a new process");
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         if let Some(status) = deployment.status(&name).await {
             assert!(!status.ready || status.release >= 2, "ready on release {}\n{}", status.release, logs(&deployment));
@@ -135,7 +136,7 @@
                 break;
             }
         }
-        assert!(began.elapsed() < EVENT_TIMEOUT);
+        assert!(started.elapsed() < EVENT_TIMEOUT);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -158,11 +159,11 @@
         deployment.kill(name);
         deployment.forget_process(name);
     }
-    let began = Instant::now();
+    let started = Instant::now();
     let number = deployment.publish().expect("a valid release");
     assert!(in_force(&deployment, number).await);
     // The users require this time for a release, whichever boxes have failed.
-    assert!(began.elapsed() < IN_FORCE_TIMEOUT, "in force after {:?}", began.elapsed());
+    assert!(started.elapsed() < IN_FORCE_TIMEOUT, "in force after {:?}", started.elapsed());
     monitor.finish();
 }
 
@@ -262,9 +263,9 @@
     assert_all_boxes_serve(&deployment, "cut off").await;
     let lansing = deployment.running_boxes().into_iter().filter(|n| n.contains("lansing"));
     for name in lansing {
-        let began = Instant::now();
+        let started = Instant::now();
         while deployment.status(&name).await.is_none_or(|s| s.release < number) {
-            assert!(began.elapsed() < EVENT_TIMEOUT);
+            assert!(started.elapsed() < EVENT_TIMEOUT);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -344,7 +345,7 @@
     tokio::time::sleep(Duration::from_millis(deployment.spec.member_list_lag_ms + 3_000)).await;
     let before = leaving.starts();
     let toledo: Vec<_> =
-        deployment.boxes.iter().filter(|(n, _)| n.contains("toledo")).map(|(_, b)| b.callers).collect();
+        deployment.boxes.iter().filter(|(n, _)| n.contains("toledo")).map(|(_, b)| b.caller_address).collect();
     for i in 0..10 {
         let prompt = format!("unseen list {i}");
         let reply = complete_with_retries(&Caller::new("large-1").class("review"), &toledo, &prompt, 5).await;
@@ -380,8 +381,8 @@
     for name in deployment.running_boxes() {
         tokio::time::sleep(Duration::from_millis(500)).await;
         deployment.signal(&name, Signal::TERM);
-        let began = Instant::now();
-        while began.elapsed() < EVENT_TIMEOUT && !deployment.log(&name).contains("E103 StopClean") {
+        let started = Instant::now();
+        while started.elapsed() < EVENT_TIMEOUT && !deployment.log(&name).contains("E103 StopClean") {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         assert_eq!(deployment.wait_for_exit(&name, EVENT_TIMEOUT), Some(0), "{}", deployment.log(&name));
@@ -418,15 +419,15 @@
 async fn stopping_owner_hands_over_before_it_exits() {
     let mut deployment = start(DeploymentSpec { token_ms: 40, ..one_hall() }).await;
     let owner = deployment.shard_owner("hall-lansing", MODEL).await.expect("an owner");
-    let address = deployment.boxes[&owner].callers;
+    let address = deployment.boxes[&owner].caller_address;
     let long = actix_rt::spawn(async move { Caller::new("large-1").complete(address, "long", 400).await });
     let engines = deployment.engines.clone();
     assert!(wait_until(|| engines.iter().any(|(_, e)| e.running_requests() > 0)).await, "the request started");
     deployment.signal(&owner, Signal::TERM);
     let owns = |s: &cleatshelf::Status| s.shards.iter().any(|row| row.serves == MODEL && !row.recovering);
-    let began = Instant::now();
+    let started = Instant::now();
     let mut next = None;
-    while next.is_none() && began.elapsed() < EVENT_TIMEOUT {
+    while next.is_none() && started.elapsed() < EVENT_TIMEOUT {
         for name in deployment.running_boxes().into_iter().filter(|n| *n != owner) {
             if deployment.status(&name).await.is_some_and(|s| owns(&s)) {
                 next = Some(name);
@@ -467,7 +468,8 @@
     // fallback.
     for name in &others {
         let before = deployment.log(name).matches("LocalFallback").count();
-        let reply = Caller::new("large-1").complete(deployment.boxes[name].callers, &format!("asked {name}"), 5).await;
+        let reply =
+            Caller::new("large-1").complete(deployment.boxes[name].caller_address, &format!("asked {name}"), 5).await;
         assert!(is_complete(&reply, &format!("asked {name}"), 5), "{:?}", reply.outcome);
         assert_eq!(deployment.log(name).matches("LocalFallback").count(), before, "{}", deployment.log(name));
     }
--- a/crates/lab/tests/sharing.rs
+++ b/crates/lab/tests/sharing.rs
@@ -45,7 +45,7 @@
 async fn hall_without_servers_uses_another_hall_and_refuses_when_disconnected() {
     let halls = vec![("hall-lansing".into(), 2, 2, 0), ("hall-toledo".into(), 2, 0, 1)];
     let deployment = start(DeploymentSpec { halls, with_relays: true, ..one_hall() }).await;
-    let toledo = deployment.boxes.iter().find(|(n, _)| n.contains("toledo")).expect("a box of toledo").1.callers;
+    let toledo = deployment.boxes.iter().find(|(n, _)| n.contains("toledo")).expect("a box of toledo").1.caller_address;
     for i in 0..6 {
         let prompt = format!("from toledo {i}");
         let reply = complete_with_retries(&Caller::new("large-1").class("review"), &[toledo], &prompt, 10).await;
