--- a/crates/relay/src/crash.rs
+++ b/crates/relay/src/crash.rs
@@ -17,7 +17,7 @@
 /// one; a server whose address refuses connections has terminated.
 #[derive(Clone, Default)]
 pub(crate) struct CrashDetector {
-    /// RunningGuard probes by server instance.
+    /// Running probes by server instance.
     probes: Rc<RefCell<HashMap<String, Probe>>>,
 }
 
--- a/crates/relay/src/header_codec.rs
+++ b/crates/relay/src/header_codec.rs
@@ -55,8 +55,8 @@
     pub leaving: bool,
     /// Back-off that the server requests from this box, from the time of its answer; `None` if it requests none.
     pub back_off: Option<Duration>,
-    /// Rate limit over all boxes, valid until the server reports another one; `None` if it can't be parsed or the
-    /// answer is another server's.
+    /// Rate limit over all boxes, valid as long as the server's answers repeat it: [`Limit::None`] if an answer states
+    /// none. `None` if it can't be parsed or the answer is another server's.
     pub limit: Option<Limit>,
 }
 
--- a/crates/relay/src/owner_requests.rs
+++ b/crates/relay/src/owner_requests.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Requests a permit for one send to a rate-limited server. A missing reply counts as a denial.
+/// Requests a permit for one send to a server that takes few requests. A missing reply counts as a denial.
 pub(crate) async fn request_permit(
     shared: &Shared,
     server: &Server,
--- a/crates/relay/src/peer_client.rs
+++ b/crates/relay/src/peer_client.rs
@@ -12,8 +12,8 @@
     /// Queries the status of `server` from its owner. Returns `None` if no owner is reachable.
     fn request_status(&self, server: &Server, query: StatusQuery) -> Option<oneshot::Receiver<ServerStatus>>;
 
-    /// Requests a permit to send one request to the rate-limited `server`. Returns `None` if the only box that may
-    /// grant it is unreachable.
+    /// Requests a permit to send one request to `server`, which takes few because it is cold or states a limit. Returns
+    /// `None` if the only box that may grant it is unreachable.
     fn request_permit(&self, server: &Server, request: PermitRequest) -> Option<oneshot::Receiver<PermitReply>>;
 
     /// Reports the progress of a request to the owner of `server`. All reports of one lease go to the same box.
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -121,8 +121,8 @@
 
     /// Returns true when the balancer may send callers to this box.
     ///
-    /// A box needs a configuration and a usable server directory first: with a directory that is missing, empty or only
-    /// a sample, it would refuse requests although servers exist.
+    /// A box needs a configuration and a first list of servers: without any list it would refuse requests although
+    /// servers exist. A complete list counts even if it is empty, and so does a sample with servers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let view = self.view();
