--- a/crates/cleatshelf/src/router/cluster_state.rs
+++ b/crates/cleatshelf/src/router/cluster_state.rs
@@ -93,8 +93,8 @@
         Self { shared, publisher, state: RefCell::default(), updated: Notify::new() }
     }
 
-    /// Applies a configuration unless the one in force is as new. Returns false if it can't be decoded; the previous
-    /// one then stays in force.
+    /// Applies a configuration unless the one in force is at least as new. Returns false if it can't be decoded; the
+    /// previous one then stays in force.
     pub(super) fn offer_table(&self, bytes: &[u8], origin: Origin) -> bool {
         let table = match self.publisher.decode(bytes) {
             Ok(table) => table,
--- a/crates/cleatshelf/tests/eras.rs
+++ b/crates/cleatshelf/tests/eras.rs
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_terminated_server_is_not_used_because_the_copy_still_has_it() {
+fn a_terminated_server_is_not_used_although_the_copy_still_has_it() {
     let (store, boxes) = start();
     store.put("servers/i-2", &server_entry(start_server("second", 0), "ready"));
     std::thread::sleep(Duration::from_secs(1));
