--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -14,5 +14,5 @@
 pub use link::Link;
 pub use listener::Listener;
 
-/// Version of frames and messages. Boxes with different versions refuse each other's connections.
+/// Version of frames and messages. Boxes with different versions refuse each other's links.
 pub const VERSION: u32 = 7;
