--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -82,7 +82,7 @@
     PeerDead = 302, Warn;
     /// A peer announced that it is leaving.
     PeerLeaving = 303, Info;
-    /// A frame from a peer was refused and its connection closed.
+    /// A frame from a peer was refused and its stream closed.
     FrameRefused = 304, Warn;
     /// A peer failed to prove that it holds the shared key.
     PeerUnproved = 305, Error;
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,6 +1,6 @@
 //! Observability for cleatshelf: numbered log events, metrics and histograms.
 //!
-//! The crate depends on no other crate of the workspace and is used by all of them. It is not a
+//! The crate depends on no other crate of the workspace, and any of them may use it. It is not a
 //! logging framework: log lines go through [`log`], metrics through [`metrics`].
 //!
 //! ```
