--- a/crates/placement/src/cold.rs
+++ b/crates/placement/src/cold.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Time since a server's connections were lost, and whether it has answered since.
+/// Whether connections to a server were lost, and how long ago it first answered again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Disconnect {
     /// No connection was lost.
@@ -83,7 +83,8 @@
 }
 
 impl Disconnect {
-    /// Returns until when a server counts as cold that reported this at `at`; 0 if nothing suggests a restart.
+    /// Returns until when a server counts as cold of which a box reported this at `at`; 0 if nothing suggests a
+    /// restart.
     pub(crate) fn cold_until(self, cold: &ColdStart, at: Millis) -> Millis {
         let duration = cold.duration.as_millis() as Millis;
         match self {
--- a/crates/placement/src/cost.rs
+++ b/crates/placement/src/cost.rs
@@ -82,7 +82,8 @@
     pub(crate) hall: &'a str,
     /// Smallest failure ratio among the servers: only the excess over it counts against a server.
     pub(crate) min_failure_ratio: f64,
-    /// All eligible servers, in order of preference for caching the prompt's shared parts; empty without such parts.
+    /// The eligible servers that may cache the prompt's shared parts, in order of preference; empty without such
+    /// parts.
     pub(crate) ranked: Vec<&'a Member>,
     /// The home servers of the prompt's shared parts in order of preference; empty without such parts.
     pub(crate) homes: Vec<&'a Member>,
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! A [`Placement`] knows the servers of every service, the requests that this box runs there, the status that other
 //! boxes report for theirs, and how servers behaved recently. It weighs the expected wait, the prompt parts that a
-//! server would have to read, memory and distance. A [`RetryBudget`] bounds retries (second sends). The crate does no I/O and
-//! reads no clock: time is an argument.
+//! server would have to read, memory and distance. A [`RetryBudget`] bounds retries (second sends). The crate does no
+//! I/O and reads no clock: time is an argument.
 
 mod admission;
 mod admission_state;
--- a/crates/placement/src/owner.rs
+++ b/crates/placement/src/owner.rs
@@ -156,7 +156,8 @@
     /// Time at which a prompt was last read.
     last_prefilled: Millis,
     arrivals: Arrivals,
-    /// Time at which this box became its owner or was first queried; sends before that are unknown.
+    /// Time at which this box first received a query, permit request or report for it; sends before that are
+    /// unknown.
     since: Millis,
     /// Pending permit requests by urgency, if the server names a limit.
     fair_share: FairShare,
--- a/crates/placement/src/pool.rs
+++ b/crates/placement/src/pool.rs
@@ -321,8 +321,8 @@
         servers
     }
 
-    /// Returns the cache directories to notify of a choice: one that reads or fetches shared parts outside their
-    /// home.
+    /// Returns the cache directories to notify of a choice: those of other servers, if it reads or fetches shared
+    /// parts.
     fn directories_to_notify(&self, best: &Candidate<'_>, request: &PlacementRequest<'_>) -> Vec<(Arc<Server>, u64)> {
         let Some(prompt) = request.prompt.filter(|prompt| prompt.shared_tokens() >= MIN_FETCH_TOKENS) else {
             return Vec::new();
--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -37,7 +37,7 @@
     /// True if it may run in this region.
     #[must_use]
     pub fn allows_region(&self, region: Option<&str>) -> bool {
-        self.allowed_regions.iter().flatten().all(|homes| homes.contains(region))
+        self.allowed_regions.iter().flatten().all(|regions| regions.contains(region))
     }
 
     /// Returns the status of this server that its owner reported for this request.
--- a/crates/placement/tests/cache_directory.rs
+++ b/crates/placement/tests/cache_directory.rs
@@ -26,8 +26,8 @@
     Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 100, out_tokens_hint: None, parts }
 }
 
-/// Queries the owners of nine servers and chooses. The first five servers, which include the homes of the prompt's
-/// parts, are reported as busy.
+/// Queries the owners of nine servers and chooses. The first five servers, which are queried for the prompt's parts,
+/// are reported as busy.
 fn choose(one: &mut Placement, owner: &mut Owner, prompt: &Prompt, now: u64) -> Choice {
     let request = |statuses| PlacementRequest {
         service: MODEL,
--- a/crates/placement/tests/cold.rs
+++ b/crates/placement/tests/cold.rs
@@ -111,7 +111,7 @@
         statuses
     }
 
-    /// Sends one request from one box, as the router does.
+    /// Sends one request from one box, as the program does.
     fn request(&mut self, index: usize, now: u64) {
         let (shared, own) = (self.rng.random_range(0..6), self.rng.random());
         let prompt = prompt(shared, own);
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the server chosen for a request whose prompt shares a part, and the first server to query for it.
-fn choose(placement: &mut Placement, shared: u64, own: u64, homes: Option<&AllowedRegions>) -> (String, String) {
+fn choose(placement: &mut Placement, shared: u64, own: u64, regions: Option<&AllowedRegions>) -> (String, String) {
     let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
     let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
     let request = PlacementRequest {
@@ -45,7 +45,7 @@
         bytes: 17_000,
         tried: &[],
         denied: &[],
-        allowed_regions: [homes, None],
+        allowed_regions: [regions, None],
         statuses: &[],
         now: 1_000,
     };
@@ -110,9 +110,9 @@
 #[test]
 fn the_few_eligible_servers_of_a_large_pool_are_found() {
     let mut one = placement(servers());
-    let homes = AllowedRegions::new(vec!["far".to_owned()]).expect("a region");
+    let regions = AllowedRegions::new(vec!["far".to_owned()]).expect("a region");
     for part in 0..10 {
-        let (chosen, queried) = choose(&mut one, part, 1_000 + part, Some(&homes));
+        let (chosen, queried) = choose(&mut one, part, 1_000 + part, Some(&regions));
         for id in [&chosen, &queried] {
             let index: usize = id[1..].parse().expect("a number");
             assert!(index < REMOTE_SERVERS, "{id}");
--- a/crates/placement/tests/limit.rs
+++ b/crates/placement/tests/limit.rs
@@ -26,7 +26,8 @@
 /// Longest time that a server takes to answer.
 const MAX_ANSWER_MS: u64 = 800;
 
-/// The platform's bound applies to any window of this length that begins this long after a limit was first named.
+/// The platform's bound applies to any window of this length that begins at least this long after a limit was first
+/// named.
 const WINDOW_MS: u64 = 4_000;
 const GRACE_MS: u64 = 3_000;
 
@@ -192,7 +193,7 @@
         statuses
     }
 
-    /// Sends one request from one box, as the router does.
+    /// Sends one request from one box, as the program does.
     fn request(&mut self, from: usize) {
         let prompt = prompt(self.rng.random_range(0..self.shared), self.rng.random());
         let statuses = self.statuses(from, &prompt);
@@ -239,7 +240,7 @@
             Message::Request { from, sent, server, number } => {
                 self.arrived[server].push(self.now);
                 let delay = self.rng.random_range(0..=MAX_ANSWER_MS);
-                // The limit is the one at the time of the answer.
+                // The answer names the limit at the arrival of the request.
                 let limit = self.limits[server];
                 self.send(delay, Message::Answer { to: from, sent, server, number, limit });
             }
--- a/crates/placement/tests/split.rs
+++ b/crates/placement/tests/split.rs
@@ -220,7 +220,7 @@
     assert!(split.long_wait_ms() < 1_500, "long prompts wait {} ms, 2,000 are in time", split.long_wait_ms());
 }
 
-/// With hardly any quick answers, long prompts get all engines.
+/// Without quick answers, long prompts get all engines.
 #[test]
 fn long_prompts_use_all_engines_when_nothing_else_runs() {
     let alone = World::new(Some(Duration::from_millis(GAP_MS))).run(90.0, 0.0);
