--- a/crates/policy/src/lessee.rs
+++ b/crates/policy/src/lessee.rs
@@ -65,7 +65,8 @@
     pub last_spillover: Time,
     /// Halls that have refused it or did not answer.
     pub tried_halls: Vec<String>,
-    /// The refusal of this box's own hall, which the caller receives if no other hall grants a slot.
+    /// The first refusal: that of this box's own hall if it serves the request. The caller receives it if no other
+    /// hall grants a slot.
     pub refusal: Option<Refusal>,
 }
 
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -47,7 +47,7 @@
     pub name: String,
     /// Slots that the upstreams file gives it.
     pub slots: u32,
-    /// Slots that may be granted now: 1 to `slots`.
+    /// Slots that may be granted now: up to `slots`, and at least 1 after a failure or overload.
     pub slot_limit: f64,
     /// Leases on it. May exceed `slot_limit` after adoption, never by a grant.
     pub used: u32,
