--- a/crates/routing/src/route.rs
+++ b/crates/routing/src/route.rs
@@ -49,7 +49,7 @@
 
 impl Route {
     /// Returns the urgency of this customer's requests, 0 being the most urgent. For any customers, a route's
-    /// requests are more urgent than those of a route of lower priority, since engines preempt the least
+    /// requests are never less urgent than those of a route of lower priority, since engines preempt the least
     /// urgent requests when their memory is full.
     #[must_use]
     pub fn urgency(&self, customer: Option<&Customer>) -> u8 {
