--- a/crates/fleet/src/release_sync.rs
+++ b/crates/fleet/src/release_sync.rs
@@ -34,7 +34,7 @@
 pub struct RefusedRelease {
     /// ID of the release.
     pub id: ReleaseId,
-    /// All faults that were found, for the operator.
+    /// All faults that were found, for the operator; only the first one if another box refused it.
     pub reasons: Vec<String>,
 }
 
