--- a/crates/feed/src/source.rs
+++ b/crates/feed/src/source.rs
@@ -30,7 +30,7 @@
 /// The reason why the platform returned no usable response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SourceError {
-    /// The platform did not answer in time.
+    /// The platform did not answer in time, or its answer was an error or incomplete.
     Unreachable(String),
     /// The platform's response could not be decoded.
     Malformed(String),
