--- a/crates/lab/src/fleet_simulation.rs
+++ b/crates/lab/src/fleet_simulation.rs
@@ -173,8 +173,8 @@
     }
 
     fn run(&mut self, ms: u64) {
-        let until = self.now.0 + ms;
-        while self.now.0 < until {
+        let end = self.now.0 + ms;
+        while self.now.0 < end {
             self.now = self.now.after(1);
             while self.in_flight.peek().is_some_and(|f| f.at.0 .0 <= self.now.0) {
                 if let Some(delivery) = self.in_flight.pop() {
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -92,9 +92,9 @@
     }
     if load.progress {
         let shown: Vec<Shared> = tallies.iter().map(Rc::clone).collect();
-        let until = load.profile.seconds + load.profile.drain_s;
+        let end_s = load.profile.seconds + load.profile.drain_s;
         actix_rt::spawn(async move {
-            while started.elapsed().as_secs_f64() < until {
+            while started.elapsed().as_secs_f64() < end_s {
                 tokio::time::sleep(Duration::from_secs(5)).await;
                 let line: Vec<String> = shown
                     .iter()
@@ -156,8 +156,8 @@
     let mut at = 0.0;
     let mut count = 0u64;
     loop {
-        let burst = at >= stream.burst.0 && at < stream.burst.1;
-        let rate = stream.rate * if burst { stream.burst_factor } else { 1.0 };
+        let in_burst = at >= stream.burst.0 && at < stream.burst.1;
+        let rate = stream.rate * if in_burst { stream.burst_factor } else { 1.0 };
         if rate <= 0.0 {
             return;
         }
@@ -210,8 +210,8 @@
             NextStep::RetryElsewhere => return record_refusal(&tally),
             NextStep::RetryAfter(wait) => wait,
         };
-        let patience = Duration::from_secs_f64(request.stream.patience_s);
-        if request.intended.elapsed() + wait > patience {
+        let retry_deadline = Duration::from_secs_f64(request.stream.patience_s);
+        if request.intended.elapsed() + wait > retry_deadline {
             return record_refusal(&tally);
         }
         tokio::time::sleep(wait).await;
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -175,13 +175,13 @@
     inner.open_watches.fetch_add(1, Ordering::Relaxed);
     let _open_watch = OpenWatch(&inner.open_watches);
     let mut changed = inner.changed.subscribe();
-    let until = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
+    let deadline = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         let found = read_value(&inner, &key).filter(|(revision, _)| *revision > query.since);
         if found.is_some() {
             return value_response(found);
         }
-        if tokio::time::timeout_at(until, changed.changed()).await.is_err() {
+        if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
             return HttpResponse::NoContent().finish();
         }
     }
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -23,11 +23,11 @@
         }));
         tokio::time::sleep(Duration::from_millis(40)).await;
     }
-    let mut ended = Vec::new();
+    let mut replies = Vec::new();
     for task in tasks {
-        ended.push(task.await.expect("the task did not panic"));
+        replies.push(task.await.expect("the task did not panic"));
     }
-    ended
+    replies
 }
 
 fn starts(deployment: &Deployment, prompt: &str) -> u32 {
@@ -90,8 +90,8 @@
     }
     deployment.signal(&owner, Signal::CONT);
     assert!(wait_until(|| deployment.log(&owner).contains("E105 PauseNoticed")).await);
-    let ended = run_requests(&deployment, 30, 20, "owner woke").await;
-    assert!(ended.iter().all(|(prompt, reply)| is_complete(reply, prompt, 20)));
+    let replies = run_requests(&deployment, 30, 20, "owner woke").await;
+    assert!(replies.iter().all(|(prompt, reply)| is_complete(reply, prompt, 20)));
     for i in 0..count {
         assert_eq!(starts(&deployment, &format!("owner frozen {i}")), 1);
     }
@@ -156,13 +156,15 @@
 async fn engine_crash_resumes_repeatable_and_fails_non_repeatable_requests() {
     let deployment = start(DeploymentSpec { token_ms: 20, ..one_hall() }).await;
     let address = first_address(&deployment);
-    let ask = |i: usize, once: bool| {
+    let send = |i: usize, non_repeatable: bool| {
         let caller = Caller::new("large-1");
-        let caller = if once { caller.non_repeatable() } else { caller };
-        actix_rt::spawn(async move { caller.complete(address, &format!("engine dies {once} {i}"), 200).await })
+        let caller = if non_repeatable { caller.non_repeatable() } else { caller };
+        actix_rt::spawn(
+            async move { caller.complete(address, &format!("engine dies {non_repeatable} {i}"), 200).await },
+        )
     };
-    let repeatable: Vec<_> = (0..6).map(|i| ask(i, false)).collect();
-    let once: Vec<_> = (0..6).map(|i| ask(i, true)).collect();
+    let repeatable: Vec<_> = (0..6).map(|i| send(i, false)).collect();
+    let non_repeatable: Vec<_> = (0..6).map(|i| send(i, true)).collect();
     let engines = deployment.engines.clone();
     assert!(wait_until(|| engines.iter().all(|(_, e)| e.tokens() > 40)).await, "both engines are generating");
     engines[0].1.crash();
@@ -172,7 +174,7 @@
         assert!(is_complete(&reply, &prompt, 200), "{prompt}: {:?} {}", reply.outcome, reply.text.len());
     }
     let mut failed = 0;
-    for (i, task) in once.into_iter().enumerate() {
+    for (i, task) in non_repeatable.into_iter().enumerate() {
         let reply = task.await.expect("the task did not panic");
         let prompt = format!("engine dies true {i}");
         assert_eq!(starts(&deployment, &prompt), 1, "{prompt}");
@@ -184,8 +186,8 @@
     assert!(failed > 0, "at least one request ran on the crashed engine");
     engines[0].1.restart();
     assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
-    let ended = run_requests(&deployment, 30, 20, "after the crash").await;
-    assert!(ended.iter().all(|(prompt, reply)| is_complete(reply, prompt, 20)));
+    let replies = run_requests(&deployment, 30, 20, "after the crash").await;
+    assert!(replies.iter().all(|(prompt, reply)| is_complete(reply, prompt, 20)));
     assert!(regains_its_share(&deployment, &engines[0].1).await, "a restarted engine gets no requests");
     assert_eq!(deployment.invariant_violations().await, 0);
 }
@@ -198,8 +200,8 @@
     slow.set_slowness_percent(1_000);
     run_requests(&deployment, 40, 20, "slow").await;
     let before: u32 = (0..40).map(|i| slow.runs_of(&format!("slow {i}")).starts).sum();
-    let ended = run_requests(&deployment, 40, 20, "avoided").await;
-    assert!(ended.iter().all(|(prompt, reply)| is_complete(reply, prompt, 20)));
+    let replies = run_requests(&deployment, 40, 20, "avoided").await;
+    assert!(replies.iter().all(|(prompt, reply)| is_complete(reply, prompt, 20)));
     let hotline = (0..40).filter(|i| i % 3 == 0);
     let urgent: u32 = hotline.map(|i| slow.runs_of(&format!("avoided {i}")).starts).sum();
     assert!(urgent <= 2, "{urgent} hotline requests went to an engine ten times too slow (before: {before})");
@@ -216,12 +218,12 @@
     while started.elapsed() < EVENT_TIMEOUT {
         round += 1;
         let prompts: Vec<String> = (0..16).map(|i| format!("well again {round} {i}")).collect();
-        let asks = prompts.iter().enumerate().map(|(i, prompt)| {
+        let tasks = prompts.iter().enumerate().map(|(i, prompt)| {
             let (caller, address, prompt) = (caller.clone(), deployment.caller_addresses()[i % 3], prompt.clone());
             actix_rt::spawn(async move { caller.complete(address, &prompt, 20).await })
         });
-        for ask in asks.collect::<Vec<_>>() {
-            let reply = ask.await.expect("the task did not panic");
+        for task in tasks.collect::<Vec<_>>() {
+            let reply = task.await.expect("the task did not panic");
             // While the engine has few slots, some requests exceed the capacity.
             let refused =
                 matches!(&reply.outcome, Outcome::Refused { code, ran, .. } if code == "overloaded" && ran == "no");
@@ -258,14 +260,14 @@
         }
         assert!(whole <= 1);
         assert!(starts(&deployment, &format!("twice {i}")) <= 1);
-        let again = Caller::new("large-1")
+        let repeated = Caller::new("large-1")
             .class("hotline")
             .non_repeatable()
             .key(&key)
             .complete(addresses[(i + 2) % 3], "late", 5)
             .await;
         if whole == 1 {
-            assert_eq!(refusal(&again).1, "request_key_used");
+            assert_eq!(refusal(&repeated).1, "request_key_used");
         }
     }
     assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
@@ -357,6 +359,6 @@
     // Random bytes on the port have no effect either.
     let mut socket = tokio::net::TcpStream::connect(address).await.expect("a connection");
     tokio::io::AsyncWriteExt::write_all(&mut socket, &[0xff; 4_000]).await.expect("sent");
-    let ended = run_requests(&deployment, 12, 10, "after rubbish").await;
-    assert!(ended.iter().all(|(prompt, reply)| is_complete(reply, prompt, 10)));
+    let replies = run_requests(&deployment, 12, 10, "after rubbish").await;
+    assert!(replies.iter().all(|(prompt, reply)| is_complete(reply, prompt, 10)));
 }
--- a/crates/lab/tests/path.rs
+++ b/crates/lab/tests/path.rs
@@ -177,13 +177,13 @@
 
 #[actix_rt::test]
 async fn disconnecting_callers_leave_no_open_connections() {
-    const GONE: usize = 40;
+    const DISCONNECTED_CALLERS: usize = 40;
     let deployment = start(DeploymentSpec { token_ms: 20, ..one_hall() }).await;
     let address = first_address(&deployment);
     let pid = deployment.pid(&deployment.running_boxes()[0]).expect("a process");
     let open_files = || std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
     let before = open_files();
-    for i in 0..GONE {
+    for i in 0..DISCONNECTED_CALLERS {
         let task =
             actix_rt::spawn(async move { Caller::new("large-1").complete(address, &format!("gone {i}"), 400).await });
         tokio::time::sleep(Duration::from_millis(30)).await;
@@ -191,7 +191,11 @@
     }
     assert!(wait_until_idle(&deployment).await, "leases or requests leaked");
     // A few connections to engines are kept open for the next request.
-    assert!(wait_until(|| open_files() < before + GONE / 2).await, "{} open files, {before} before", open_files());
+    assert!(
+        wait_until(|| open_files() < before + DISCONNECTED_CALLERS / 2).await,
+        "{} open files, {before} before",
+        open_files()
+    );
 }
 
 #[actix_rt::test]
--- a/crates/lab/tests/releases.rs
+++ b/crates/lab/tests/releases.rs
@@ -365,7 +365,7 @@
     for worker in 0..12usize {
         let (addresses, stop) = (addresses.clone(), Rc::clone(&stop));
         tasks.push(actix_rt::spawn(async move {
-            let mut ended = Vec::new();
+            let mut replies = Vec::new();
             for i in 0.. {
                 if stop.get() {
                     break;
@@ -373,9 +373,9 @@
                 let caller = Caller::new("large-1").class(["hotline", "contract-check", "review"][worker % 3]);
                 let caller = if worker % 2 == 0 { caller.non_repeatable() } else { caller };
                 let prompt = format!("rolling {worker} {i}");
-                ended.push((complete_with_retries(&caller, &addresses, &prompt, 40).await, prompt));
+                replies.push((complete_with_retries(&caller, &addresses, &prompt, 40).await, prompt));
             }
-            ended
+            replies
         }));
     }
     for name in deployment.running_boxes() {
--- a/crates/lab/tests/sharing.rs
+++ b/crates/lab/tests/sharing.rs
@@ -21,8 +21,8 @@
     assert!(wait_until(|| engines.iter().map(|(_, e)| e.running_requests()).sum::<u32>() == 6).await, "all six run");
     // The other boxes receive this usage within two seconds.
     let mut refused = None;
-    for turn in 0..200 {
-        let reply = Caller::new("limited").complete(addresses[1 + turn % 2], "one more", 1).await;
+    for attempt in 0..200 {
+        let reply = Caller::new("limited").complete(addresses[1 + attempt % 2], "one more", 1).await;
         if reply.outcome != Outcome::Complete {
             refused = Some(reply);
             break;
