--- a/crates/placement/src/request.rs
+++ b/crates/placement/src/request.rs
@@ -93,14 +93,14 @@
 pub enum Refusal {
     /// The service has no server that may be used.
     NoServer,
-    /// All usable servers are cold and have reached their quotas.
+    /// No server may be used now, and at least one that is open to this box is cold: cold servers get few requests.
     Cold,
-    /// All usable servers asked this box to back off.
+    /// No server may be used now; at least one asked this box to back off, and no other is cold or limited.
     BackingOff {
         /// Milliseconds until the first of them accepts requests again.
         retry_ms: Millis,
     },
-    /// All usable servers limit the requests from all boxes together, and have reached their limits.
+    /// No server may be used now; at least one open to this box limits the requests from all boxes, and none is cold.
     Limited {
         /// Milliseconds until the first of them may accept a request again; 0 if unknown.
         retry_ms: Millis,
