--- a/crates/model/src/arm.rs
+++ b/crates/model/src/arm.rs
@@ -25,7 +25,8 @@
     Least,
     /// Baseline: the less loaded of two randomly chosen engines.
     Two,
-    /// Baseline: the first engine with a free slot in the rank order of the prompt's shared part, or the least loaded if all are full.
+    /// Baseline: the first engine with a free slot in the rank order of the prompt's shared part, or the least loaded
+    /// if all are full.
     Prefix,
     /// Baseline: the engine with the fewest requests in the box's hall.
     Hall,
--- a/crates/model/src/arrivals.rs
+++ b/crates/model/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! Random generation of callers' requests. It depends on the seed only, so every arm gets the same requests.
+//! Random generation of callers' requests. It depends on the deployment and the seed only, so every arm gets the same
+//! requests.
 
 use crate::{Burst, Class, Micros};
 use placement::{Part, Prompt};
@@ -10,7 +11,8 @@
 const OWN_TOKENS_SPREAD: f64 = 0.6;
 const OUT_TOKENS_SPREAD: f64 = 0.5;
 
-/// Standard deviation of the logarithm of the ratio between the caller's length hint and the actual length of the answer.
+/// Standard deviation of the logarithm of the ratio between the caller's length hint and the actual length of the
+/// answer.
 const OUT_HINT_SPREAD: f64 = 0.4;
 
 /// Longest answer of a class, as a multiple of the median.
--- a/crates/model/src/draw.rs
+++ b/crates/model/src/draw.rs
@@ -1,6 +1,7 @@
 //! Random generation of deployments.
 //!
-//! The ranges are wide on purpose: known deployments are single points in them, and most drawn deployments resemble none of these.
+//! The ranges are wide on purpose: known deployments are single points in them, and most drawn deployments resemble
+//! none of these.
 
 use crate::{Burst, Class, Deployment, EngineSpec, Fault, FaultKind};
 use rand::seq::IndexedRandom;
@@ -69,7 +70,8 @@
     }
 }
 
-/// Draws a fault. `requests_per_engine_s` is the average request rate per engine, which scales the limits that engines announce.
+/// Draws a fault. `requests_per_engine_s` is the average request rate per engine, which scales the limits that engines
+/// announce.
 fn draw_fault(rng: &mut ChaCha8Rng, seconds: f64, requests_per_engine_s: f64) -> Fault {
     let kinds = [FaultKind::Slow, FaultKind::Crash, FaultKind::Leave, FaultKind::Limit];
     let kind = *kinds.choose(rng).expect("non-empty list");
@@ -88,7 +90,8 @@
 }
 
 impl Deployment {
-    /// Draws a deployment that lasts `seconds`, with at most `max_machines` boxes and as many engines.
+    /// Draws a deployment that lasts `seconds`, with at most `max_machines` (at least 3) boxes and as many engines, but
+    /// one of each per hall at least.
     #[must_use]
     pub fn draw(seed: u64, seconds: f64, max_machines: usize) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -1,7 +1,8 @@
 //! A simulated engine with continuous batching and chunked prefill.
 //!
-//! A step generates one event for each running request whose prompt has been prefilled, and prefills a chunk of one prompt. Its duration
-//! grows with the number of running requests and with the size of the chunk, so that prefill delays the tokens of all running requests.
+//! A step generates one event for each running request whose prompt has been prefilled, and prefills a chunk of one
+//! prompt. Its duration grows with the number of running requests and with the size of the chunk, so that prefill
+//! delays the tokens of all running requests.
 
 use crate::kv_cache::KvCache;
 use crate::{EngineSpec, Micros};
@@ -103,7 +104,8 @@
         Some(((step_ms + prefill_ms) * self.slowdown * 1e3).max(1.0) as Micros)
     }
 
-    /// Returns the number of prompt tokens that the current step prefills, all of the request that was admitted first.
+    /// Returns the number of prompt tokens that the current step prefills, all of the first admitted request whose
+    /// prompt isn't prefilled yet.
     fn prefill_chunk(&self) -> u32 {
         let first = self.running.iter().find(|run| run.prefill_left > 0);
         first.map_or(0, |run| run.prefill_left.min(self.engine_spec.prefill_chunk_tokens))
@@ -158,8 +160,8 @@
         outputs
     }
 
-    /// Preempts the newest of the least urgent requests: it releases its memory, returns to the queue and is prefilled again later.
-    /// Returns false if fewer than two requests run.
+    /// Preempts the newest of the least urgent requests: it releases its memory, returns to the queue, and later
+    /// prefills again what is no longer cached. Returns false if fewer than two requests run.
     fn preempt_one(&mut self) -> bool {
         if self.running.len() < 2 {
             return false;
--- a/crates/model/src/experiment.rs
+++ b/crates/model/src/experiment.rs
@@ -121,8 +121,8 @@
         self.sources.len() * self.seeds.len() * self.arms.len()
     }
 
-    /// Runs all simulations on the current rayon thread pool and calls `on_run_done` after each. Results are ordered by deployment, seed
-    /// and arm, independently of the order in which runs end.
+    /// Runs all simulations on the current rayon thread pool and calls `on_run_done` after each. Results are ordered by
+    /// deployment, seed and arm, independently of the order in which runs end.
     #[must_use]
     pub fn run(&self, deployments: &[Deployment], on_run_done: &(dyn Fn() + Sync)) -> Vec<RunResult> {
         let mut runs = Vec::new();
@@ -139,8 +139,8 @@
         runs.into_par_iter().map(run).collect()
     }
 
-    /// Compares each arm with the first. Worth is averaged over the seeds of a deployment first, so that several seeds of one deployment
-    /// don't count as independent deployments.
+    /// Compares each arm with the first. Worth is averaged over the seeds of a deployment first, so that several seeds
+    /// of one deployment don't count as independent deployments.
     #[must_use]
     pub fn compare(&self, results: &[RunResult]) -> Vec<ArmComparison> {
         let Some(base) = self.arms.first() else { return Vec::new() };
--- a/crates/model/src/kv_cache.rs
+++ b/crates/model/src/kv_cache.rs
@@ -63,7 +63,8 @@
         fits
     }
 
-    /// Evicts unpinned parts, least recently used first, until `tokens` more fit. Returns false if they don't fit even then.
+    /// Evicts unpinned parts, least recently used first, until `tokens` more fit. Returns false if they don't fit even
+    /// then.
     fn evict_until_fits(&mut self, tokens: u64, capacity: u64) -> bool {
         while self.part_tokens + self.generated_tokens + tokens > capacity {
             let evictable = self.parts.iter().filter(|(_, cached)| cached.pins == 0);
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Unpins the parts of a request that has ended or was preempted, and frees its `generated` tokens. Parts that were prefilled stay cached
-    /// while there is room.
+    /// Unpins the parts of a request that has ended or was preempted, and frees its `generated` tokens. Parts that were
+    /// prefilled stay cached while there is room.
     pub(crate) fn release(&mut self, parts: &[Part], generated: u32) {
         self.generated_tokens -= u64::from(generated);
         for part in parts {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,8 @@
 //! Discrete-event simulation of deployments, and comparison of placement policies on them.
 //!
-//! A [`Simulation`] runs one [`Deployment`] with one [`Arm`] (policy) and one seed in virtual time. Simulated boxes decide with the
-//! production code of the `placement` crate. An [`Experiment`] compares arms on many deployments, given in files or randomly drawn.
+//! A [`Simulation`] runs one [`Deployment`] with one [`Arm`] (policy) and one seed in virtual time. Simulated boxes
+//! decide with the production code of the `placement` crate. An [`Experiment`] compares arms on many deployments, given
+//! in files or randomly drawn.
 
 mod arm;
 mod arrivals;
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -6,8 +6,8 @@
 
 /// Results of the requests of one class.
 ///
-/// An answer in time counts with the full worth of the class, a late one with the fraction that the class sets, and a refused or lost
-/// request with nothing. Neither the number of tokens nor prices matter.
+/// An answer in time counts with the full worth of the class, a late one with the fraction that the class sets, and a
+/// refused or lost request with nothing. Neither the number of tokens nor prices matter.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ClassOutcome {
     /// Name of the class.
@@ -19,12 +19,12 @@
     pub in_time: u64,
     /// Requests answered late.
     pub late: u64,
-    /// Requests refused, and not answered on a retry either.
+    /// Requests refused at their last attempt. One that is refused first and lost on a retry counts as lost.
     pub refused: u64,
     /// Requests whose caller gave up or whose last permitted send lost its connection.
     pub lost: u64,
-    /// Median and 95th percentile of the time in milliseconds from the caller's first attempt to the first event, over the requests that
-    /// received one.
+    /// Median and 95th percentile of the time in milliseconds from the caller's first attempt to the first event, over
+    /// the requests that received one.
     pub first_ms: [u64; 2],
     /// Worth of all answers.
     pub worth: f64,
@@ -41,7 +41,8 @@
     /// Prompt tokens that engines prefilled.
     #[serde(rename = "read_tokens")]
     pub prefilled_tokens: u64,
-    /// Tokens of shared parts that engines had to prefill although some engine had already received them in an earlier request.
+    /// Tokens of shared parts that engines had to prefill although some engine had already received them in an earlier
+    /// request.
     #[serde(rename = "again_tokens")]
     pub recomputed_tokens: u64,
     /// Tokens whose KV cache entries engines fetched from each other.
--- a/crates/model/src/router.rs
+++ b/crates/model/src/router.rs
@@ -23,7 +23,8 @@
 /// Minimum retry delay if all slots are taken; it is added to the expected wait.
 const OVERLOAD_RETRY_DELAY_MS: Millis = 1_000;
 
-/// Fictitious id of an already tried server for [`Arm::WithoutAdmission`]: placement never refuses a request that was sent before.
+/// Fictitious id of an already tried server for [`Arm::WithoutAdmission`]: a request that was sent
+/// before is never refused for lack of free slots.
 const PRIOR_SEND_ID: &str = "sent before";
 
 /// A simulated box.
@@ -211,7 +212,8 @@
     })
 }
 
-/// Returns the first engine with a free slot in the rank order of the prompt's first part, or the least loaded if all are full.
+/// Returns the first engine with a free slot in the rank order of the prompt's first part, or the least loaded if all
+/// are full.
 fn first_ranked_with_free_slot<'a>(
     servers: &[&'a Arc<Server>],
     request: Request<'_>,
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -35,7 +35,8 @@
 /// Standard deviation of the logarithm of the boxes' shares of callers.
 const BOX_LOAD_SPREAD: f64 = 0.4;
 
-/// Largest fraction of an engine's memory that cached parts are expected to fill; boxes report it to owners with each send.
+/// Largest fraction of an engine's memory that cached parts are expected to fill; boxes report it to owners with each
+/// send.
 const CACHE_MEMORY_RATIO: f64 = 0.8;
 
 /// Events of the simulation. Requests and engines are given by index, sends by number.
@@ -114,7 +115,7 @@
     sends: BTreeMap<u64, ActiveSend>,
     recorders: Vec<ClassRecorder>,
     /// Shared parts that some engine has already received in a request.
-    prefilled_parts: BTreeSet<u64>,
+    received_parts: BTreeSet<u64>,
     outcome: Outcome,
 }
 
@@ -164,7 +165,7 @@
             requests: Vec::new(),
             sends: BTreeMap::new(),
             recorders: deployment.classes.iter().map(ClassRecorder::new).collect(),
-            prefilled_parts: BTreeSet::new(),
+            received_parts: BTreeSet::new(),
             outcome: Outcome::default(),
             rng,
         };
@@ -257,8 +258,8 @@
         self.schedule_placement(number);
     }
 
-    /// Schedules the placement of a request. If the box queries owners first, this takes a round trip, and between halls if there are
-    /// several, which is the worst case.
+    /// Schedules the placement of a request. If the box queries owners first, this takes a round trip, and between
+    /// halls if there are several, which is the worst case.
     fn schedule_placement(&mut self, number: usize) {
         let queries_owners = self.arm.uses_placement() && self.arm != Arm::WithoutOwners;
         let far = if self.deployment.halls > 1 { self.deployment.far_ms } else { self.deployment.near_ms };
@@ -372,7 +373,7 @@
         }
         let shared = &parts[..parts.len() - 1];
         for part in shared.iter().filter(|part| !node.engine.cache.is_prefilled(part.id)) {
-            if !self.prefilled_parts.insert(part.id) {
+            if !self.received_parts.insert(part.id) {
                 self.outcome.recomputed_tokens += u64::from(part.tokens);
             }
         }
@@ -451,8 +452,8 @@
         }
     }
 
-    /// Records the rate limit that an engine announced to a box in its answer to a request that was sent at `sent`, and broadcasts it if
-    /// necessary.
+    /// Records the rate limit that an engine announced to a box in its answer to a request that was sent at `sent`, and
+    /// broadcasts it if necessary.
     fn record_limit(&mut self, from: usize, engine: usize, id: &str, sent: Micros) {
         let uses_limits = self.arm.uses_placement() && self.arm != Arm::WithoutLimits;
         let limit = self.engines[engine].limit;
@@ -528,7 +529,8 @@
 
     fn on_fault(&mut self, index: usize, begins: bool) {
         let fault = &self.deployment.faults[index];
-        // Seeded by the index only, so that a fault affects the same engines at its start and its end, and under all arms.
+        // Seeded by the index only, so that a fault affects the same engines at its start and its end, and under all
+        // arms.
         let mut rng = ChaCha8Rng::seed_from_u64(index as u64 + 1);
         let mut affected: Vec<usize> = (0..self.engines.len()).collect();
         affected.shuffle(&mut rng);
--- a/crates/model/tests/experiment.rs
+++ b/crates/model/tests/experiment.rs
@@ -31,7 +31,8 @@
     let compared = experiment(1).compare(&results);
     let near = |value: f64, other: f64| (value - other).abs() < 1e-3;
     assert!(near(compared[0].worth, 1.7 / 3.0) && near(compared[0].mean_difference, 0.0), "{compared:?}");
-    // Differences 0.05, 0.2 and 0: mean 0.0833, standard deviation 0.1041, Student's t 4.303 for two degrees of freedom.
+    // Differences 0.05, 0.2 and 0: mean 0.0833, standard deviation 0.1041, Student's t 4.303 for two degrees of
+    // freedom.
     assert!(near(compared[1].mean_difference, 0.0833), "{compared:?}");
     assert!(compared[1].half_width.is_some_and(|within| near(within, 4.303 * 0.104_08 / 3_f64.sqrt())), "{compared:?}");
     assert_eq!((compared[1].better, compared[1].worse), (2, 0));
--- a/crates/model/tests/simulation.rs
+++ b/crates/model/tests/simulation.rs
@@ -124,8 +124,8 @@
         "{prefilled_diff} fewer tokens prefilled, {recomputed_diff} fewer recomputed"
     );
     assert_eq!(least_loaded.fetched_tokens, 0, "baseline arms fetch nothing");
-    // At most each of ten parts once at each of six engines. The first prefill of a part doesn't count, but concurrent requests for the
-    // same part each do.
+    // At most each of ten parts once at each of six engines. The first prefill of a part doesn't count, but concurrent
+    // requests for the same part each do.
     assert!(least_loaded.recomputed_tokens <= 10 * 6 * 4_000, "{}", least_loaded.recomputed_tokens);
 }
 
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn faults_do_not_raise_the_worth_and_lose_no_request() {
+fn faults_do_not_raise_the_worth_and_every_request_ends() {
     let without_faults = simulate(&deployment(30.0), Arm::Placement);
     for (kind, share) in
         [(FaultKind::Slow, 0.5), (FaultKind::Crash, 0.5), (FaultKind::Leave, 0.5), (FaultKind::Crash, 1.0)]
