--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -12,8 +12,8 @@
     pub scheduling_mode: String,
     /// Load as a multiple of capacity.
     pub load: f64,
-    /// Makes one engine ten times slower after a third of the run, and crashes another between the first and
-    /// the second third.
+    /// Makes one engine ten times slower from the end of the first third of the run on, and keeps another
+    /// one crashed during the second third.
     pub faults: bool,
 }
 
--- a/crates/lab/src/deployment.rs
+++ b/crates/lab/src/deployment.rs
@@ -239,7 +239,8 @@
         text
     }
 
-    /// Publishes every box and engine in the platform's member list, none marked as leaving.
+    /// Publishes every engine, and without relays every box, in the platform's member list, none marked as
+    /// leaving.
     pub fn publish_members(&self) {
         let boxes: Vec<(Peer, bool)> = self.boxes.values().map(|b| (b.peer.clone(), false)).collect();
         let upstreams: Vec<(String, bool)> = self.engines.iter().map(|(_, e)| (e.name().to_owned(), false)).collect();
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Maximum immediate retries of a request at other boxes.
+/// Maximum immediate retries of a request, each at a box chosen at random.
 const MAX_IMMEDIATE_RETRIES: u32 = 5;
 
 /// A load run against some boxes.
@@ -220,7 +220,7 @@
 
 enum NextStep {
     Finished,
-    /// Retry immediately at another box, as a load balancer would.
+    /// Retry almost at once at a box chosen at random, as a load balancer would.
     RetryElsewhere,
     RetryAfter(Duration),
 }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -15,7 +15,7 @@
 pub enum RelayMode {
     /// Forwards bytes with a delay in milliseconds.
     Pass(u64),
-    /// Closes connections and accepts no new ones.
+    /// Closes connections, also new ones at once.
     Cut,
     /// Withholds bytes; connections stay open.
     Freeze,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -13,7 +13,7 @@
     pub whole: u64,
     /// Complete answers within both latency targets, measured from the intended time.
     pub in_time: u64,
-    /// Requests finally refused as not run, after the callers' retries.
+    /// Requests finally refused as not run, after the callers' retries, or for which no box could be reached.
     pub refused: u64,
     /// Requests that failed after they ran or may have run.
     pub failed: u64,
@@ -21,7 +21,7 @@
     pub unfinished: u64,
     /// Answers that differ from the one expected for the request. Must be 0.
     pub mismatched: u64,
-    /// All refusals, including those followed by a retry.
+    /// All refusals as not run, including those followed by a retry.
     pub refusals: u64,
     /// Complete answers whose first token was late.
     #[serde(default)]
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -2,7 +2,7 @@
 //! and delayed, the platform stopped, engines crashed, slowed down and frozen, and releases published.
 //!
 //! Afterwards every request must have exactly one correct outcome, checked against the counts of the
-//! stand-ins. No check depends on speed: a slow run still has to be correct.
+//! stand-ins. Apart from long timeouts no check depends on speed: a slow run still has to be correct.
 
 mod callers;
 mod fault;
--- a/crates/lab/tests/common/mod.rs
+++ b/crates/lab/tests/common/mod.rs
@@ -6,7 +6,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Timeout after which an expected event counts as missing. It is long enough for a slow, busy machine.
+/// Timeout after which an expected event counts as missing. It is long enough for a slow, busy machine; no
+/// other verdict depends on it.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(40);
 
 pub fn program() -> &'static Path {
--- a/crates/lab/tests/faults.rs
+++ b/crates/lab/tests/faults.rs
@@ -356,7 +356,7 @@
     assert!(wait_until(|| deployment.log(&name).contains("E305 PeerUnproved from=intruder")).await);
     let status = deployment.status(&name).await.expect("the box answers");
     assert!(status.peers.iter().all(|p| p.name != "intruder"));
-    // Random bytes on the port have no effect either.
+    // Invalid bytes on the port have no effect either.
     let mut socket = tokio::net::TcpStream::connect(address).await.expect("a connection");
     tokio::io::AsyncWriteExt::write_all(&mut socket, &[0xff; 4_000]).await.expect("sent");
     let replies = run_requests(&deployment, 12, 10, "after rubbish").await;
