--- a/crates/cleatshelf/src/router/operators.rs
+++ b/crates/cleatshelf/src/router/operators.rs
@@ -54,7 +54,7 @@
             (&Method::GET, ["metrics"]) => Response::new(Full::from(self.metrics())),
             (&Method::GET, ["status"]) => Response::new(Full::from(self.status())),
             (&Method::POST, ["suspects", request, "lift"]) => self.lift(request),
-            _ => respond(StatusCode::NOT_FOUND, "not found"),
+            _ => respond(StatusCode::NOT_FOUND, "not here"),
         }
     }
 
--- a/crates/relay/src/ending.rs
+++ b/crates/relay/src/ending.rs
@@ -35,7 +35,7 @@
 impl Exchange {
     pub(crate) fn not_sent(&mut self, why: &NotSent) -> Response<Body> {
         if self.may_have_run {
-            return self.fail_unknown("no other server is available");
+            return self.fail_unknown("no other server");
         }
         match *why {
             NotSent::Refused(Refusal::NoServer) => self.refuse("no server"),
@@ -59,7 +59,7 @@
                     wait.mul_f64(rand::rng().random_range(1.0..BACKOFF_SPREAD_FACTOR)),
                 )
             }
-            NotSent::DeadlineExceeded => self.refuse("deadline exceeded"),
+            NotSent::DeadlineExceeded => self.refuse("its time is over"),
             NotSent::Quarantined { retry_ms } => {
                 self.trail.push_str("held");
                 self.refuse_with_delay("servers ended under this request", Duration::from_millis(retry_ms))
@@ -67,7 +67,7 @@
             NotSent::Refused(Refusal::Overloaded { wait_ms }) => {
                 let _ = write!(self.trail, "crowded, {wait_ms:.0} ms to a place");
                 let wait = Duration::from_secs_f64(wait_ms / 1e3) + MIN_CROWDED_DELAY;
-                self.refuse_with_delay("all server slots are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
+                self.refuse_with_delay("all places are taken", wait.mul_f64(rand::rng().random_range(1.0..2.0)))
             }
         }
     }
@@ -101,7 +101,7 @@
             return self.refuse("no server could be reached in time");
         }
         self.finish(Outcome::DeadlineExceeded);
-        answer::plain(StatusCode::GATEWAY_TIMEOUT, "deadline exceeded")
+        answer::plain(StatusCode::GATEWAY_TIMEOUT, "its time is over")
     }
 
     /// Logs and counts the outcome of the request.
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -209,10 +209,8 @@
     fn on_failed_send(&mut self, sent: SendOutcome, slot: SlotGuard) -> Option<Reply> {
         match self.record_failed_send(sent, slot) {
             NextStep::Retry => None,
-            NextStep::GiveUp if self.may_have_run => {
-                Some(Reply::Complete(self.fail_unknown("no usable answer from a server")))
-            }
-            NextStep::GiveUp => Some(Reply::Complete(self.refuse("no server accepted the request"))),
+            NextStep::GiveUp if self.may_have_run => Some(Reply::Complete(self.fail_unknown("no answer"))),
+            NextStep::GiveUp => Some(Reply::Complete(self.refuse("no server took the request"))),
         }
     }
 
--- a/crates/relay/src/frontend.rs
+++ b/crates/relay/src/frontend.rs
@@ -203,7 +203,7 @@
     ) -> Result<Exchange, Box<Response<Body>>> {
         let call = self.shared.header_codec.read_call(&parts.headers).map_err(|why| {
             telemetry::emit(Event::RequestRejected, format_args!("why=\"{why}\""));
-            Box::new(answer::plain(StatusCode::BAD_REQUEST, "invalid request head"))
+            Box::new(answer::plain(StatusCode::BAD_REQUEST, "bad head"))
         })?;
         let host = parts.headers.get(header::HOST).and_then(|h| h.to_str().ok());
         let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
@@ -217,14 +217,14 @@
                     table.version
                 ),
             );
-            return Err(Box::new(answer::plain(StatusCode::NOT_FOUND, "unknown route")));
+            return Err(Box::new(answer::plain(StatusCode::NOT_FOUND, "no such route")));
         };
         let Access::Granted(customer) = table.access(route, call.key.as_deref()) else {
             telemetry::emit(
                 Event::RequestRejected,
                 format_args!("id={} why=key route={} version={}", call.id, route.name, table.version),
             );
-            return Err(Box::new(answer::plain(StatusCode::UNAUTHORIZED, "unknown API key")));
+            return Err(Box::new(answer::plain(StatusCode::UNAUTHORIZED, "no such key")));
         };
         let time = call.timeout.map_or(route.timeout, |time| time.min(route.timeout));
         let service = route.service(self.draws.borrow_mut().next()).to_owned();
@@ -268,10 +268,10 @@
     match read {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(why)) if why.is::<http_body_util::LengthLimitError>() => {
-            Err((StatusCode::PAYLOAD_TOO_LARGE, "request body too large"))
+            Err((StatusCode::PAYLOAD_TOO_LARGE, "body too large"))
         }
-        Ok(Err(_)) => Err((StatusCode::BAD_REQUEST, "request body truncated")),
-        Err(_) => Err((StatusCode::REQUEST_TIMEOUT, "request body timed out")),
+        Ok(Err(_)) => Err((StatusCode::BAD_REQUEST, "body broke off")),
+        Err(_) => Err((StatusCode::REQUEST_TIMEOUT, "body took too long")),
     }
 }
 
--- a/crates/relay/src/readiness.rs
+++ b/crates/relay/src/readiness.rs
@@ -50,7 +50,7 @@
 
     fn answer(&self, request: &Request<Incoming>) -> Response<Body> {
         if request.uri().path() != self.path {
-            return answer::plain(StatusCode::NOT_FOUND, "not found");
+            return answer::plain(StatusCode::NOT_FOUND, "not here");
         }
         if self.shared.is_ready() {
             answer::plain(StatusCode::OK, "ready")
