--- a/crates/placement/examples/choose.rs
+++ b/crates/placement/examples/choose.rs
@@ -3,8 +3,8 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{route, server, service, MODEL};
-use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget, ServerStatus};
+use common::{prompt, request, route, server, service};
+use placement::{Part, Placement, PlacementRequest, RetryBudget, ServerStatus};
 use routing::{Server, Table};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -34,22 +34,9 @@
 fn time(placement: &mut Placement, shared: u32) -> Duration {
     let mut took = Duration::ZERO;
     for index in 0..CHOICES {
-        let parts = vec![Part { id: index % 60, tokens: shared }, Part { id: 10_000 + index, tokens: 3_000 }];
-        let prompt =
-            Prompt { model: "m".to_owned(), tokens: shared + 3_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-        let request = PlacementRequest {
-            service: MODEL,
-            prompt: Some(&prompt),
-            target: Duration::from_millis(1_500),
-            gap_limit: Some(Duration::from_millis(500)),
-            urgency: 0,
-            bytes: 17_000,
-            tried: &[],
-            denied: &[],
-            allowed_regions: [None, None],
-            statuses: &[],
-            now: index * 300,
-        };
+        let prompt = prompt(Part { id: index % 60, tokens: shared }, Part { id: 10_000 + index, tokens: 3_000 });
+        let gap_limit = Some(Duration::from_millis(500));
+        let request = PlacementRequest { gap_limit, now: index * 300, ..request(&prompt) };
         let began = Instant::now();
         let planned = placement.servers_to_query(&request, MAX_QUERIES);
         took += began.elapsed();
--- a/crates/placement/examples/slopes.rs
+++ b/crates/placement/examples/slopes.rs
@@ -4,8 +4,8 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{route, server, service, MODEL};
-use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget, ServerStatus, Snapshot};
+use common::{prompt, request, route, server, service};
+use placement::{Part, Placement, PlacementRequest, RetryBudget, ServerStatus, Snapshot};
 use routing::{Change, Directory, Evacuations, Position, Server, Table};
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -37,21 +37,9 @@
 }
 
 fn choose(placement: &mut Placement, round: u64) -> Duration {
-    let parts = vec![Part { id: round % 60, tokens: 13_000 }, Part { id: 10_000 + round, tokens: 3_000 }];
-    let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-    let request = PlacementRequest {
-        service: MODEL,
-        prompt: Some(&prompt),
-        target: Duration::from_millis(1_500),
-        gap_limit: Some(Duration::from_millis(500)),
-        urgency: 0,
-        bytes: 17_000,
-        tried: &[],
-        denied: &[],
-        allowed_regions: [None, None],
-        statuses: &[],
-        now: round * 300,
-    };
+    let prompt = prompt(Part { id: round % 60, tokens: 13_000 }, Part { id: 10_000 + round, tokens: 3_000 });
+    let gap_limit = Some(Duration::from_millis(500));
+    let request = PlacementRequest { gap_limit, now: round * 300, ..request(&prompt) };
     let began = Instant::now();
     let planned = placement.servers_to_query(&request, MAX_QUERIES);
     let statuses: Vec<_> = planned.iter().map(|server| (server.id.clone(), ServerStatus::default())).collect();
--- a/crates/placement/tests/common/mod.rs
+++ b/crates/placement/tests/common/mod.rs
@@ -2,7 +2,7 @@
 // Each of them uses only a part of this module.
 #![allow(dead_code)]
 
-use placement::{Placement, Snapshot};
+use placement::{Part, Placement, PlacementRequest, Prompt, Snapshot};
 use routing::{
     Change, ColdStart, Directory, Engine, Evacuations, Kind, Position, Route, Server, Service, Share, Table,
 };
@@ -49,6 +49,29 @@
     Service { name: MODEL.to_owned(), max_connections: 100, engine: Some(engine), cold_start: cold }
 }
 
+/// A prompt of two parts, of which other requests share the first.
+pub fn prompt(shared: Part, own: Part) -> Prompt {
+    let tokens = shared.tokens + own.tokens;
+    Prompt { model: "m".to_owned(), tokens, max_out_tokens: 200, out_tokens_hint: None, parts: vec![shared, own] }
+}
+
+/// A request of the most urgent class without a gap limit, which may run anywhere.
+pub fn request(prompt: &Prompt) -> PlacementRequest<'_> {
+    PlacementRequest {
+        service: MODEL,
+        prompt: Some(prompt),
+        target: Duration::from_millis(1_500),
+        gap_limit: None,
+        urgency: 0,
+        bytes: 17_000,
+        tried: &[],
+        denied: &[],
+        allowed_regions: [None, None],
+        statuses: &[],
+        now: 0,
+    }
+}
+
 /// Publishes servers and evacuated halls to a placement.
 pub fn update(placement: &mut Placement, table: &Table, servers: Vec<Server>, evacuated: &[&str], now: u64) {
     let mut directory = Directory::default();
--- a/crates/placement/tests/large.rs
+++ b/crates/placement/tests/large.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{route, server, service, MODEL};
-use placement::{Part, Placement, PlacementRequest, Prompt, RetryBudget};
+use common::{prompt, request, route, server, service};
+use placement::{Part, Placement, PlacementRequest, RetryBudget};
 use routing::{AllowedRegions, HallRegions, Server, Table};
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -34,21 +34,8 @@
 
 /// Returns the server chosen for a request whose prompt shares a part, and the first server to query for it.
 fn choose(placement: &mut Placement, shared: u64, own: u64, regions: Option<&AllowedRegions>) -> (String, String) {
-    let parts = vec![Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 }];
-    let prompt = Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-    let request = PlacementRequest {
-        service: MODEL,
-        prompt: Some(&prompt),
-        target: Duration::from_millis(1_500),
-        gap_limit: None,
-        urgency: 0,
-        bytes: 17_000,
-        tried: &[],
-        denied: &[],
-        allowed_regions: [regions, None],
-        statuses: &[],
-        now: 1_000,
-    };
+    let prompt = prompt(Part { id: shared, tokens: 13_000 }, Part { id: own, tokens: 3_000 });
+    let request = PlacementRequest { allowed_regions: [regions, None], now: 1_000, ..request(&prompt) };
     let planned = placement.servers_to_query(&request, 9);
     let chosen = placement.choose(&request).expect("a server");
     (chosen.server.id.clone(), planned[0].id.clone())
@@ -87,21 +74,8 @@
     let mut one = placement(servers());
     let mut sent = HashSet::new();
     for own in 0..300 {
-        let parts = vec![Part { id: 5, tokens: 100 }, Part { id: 1_000 + own, tokens: 300 }];
-        let prompt = Prompt { model: "m".to_owned(), tokens: 400, max_out_tokens: 200, out_tokens_hint: None, parts };
-        let request = PlacementRequest {
-            service: MODEL,
-            prompt: Some(&prompt),
-            target: Duration::from_millis(1_500),
-            gap_limit: None,
-            urgency: 0,
-            bytes: 1_000,
-            tried: &[],
-            denied: &[],
-            allowed_regions: [None, None],
-            statuses: &[],
-            now: 1_000,
-        };
+        let prompt = prompt(Part { id: 5, tokens: 100 }, Part { id: 1_000 + own, tokens: 300 });
+        let request = PlacementRequest { bytes: 1_000, now: 1_000, ..request(&prompt) };
         sent.extend(one.servers_to_query(&request, 9).iter().map(|server| server.id.clone()));
     }
     assert!(sent.len() > SERVERS / 3, "{} servers are considered", sent.len());
--- a/crates/placement/tests/update.rs
+++ b/crates/placement/tests/update.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{route, server, service, MODEL};
-use placement::{Limit, LimitUpdate, Part, Placement, PlacementRequest, Prompt, RetryBudget, Snapshot};
+use common::{prompt, request, route, server, service, MODEL};
+use placement::{Limit, LimitUpdate, Part, Placement, PlacementRequest, RetryBudget, Snapshot};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use routing::{Change, Directory, Evacuations, Position, Server, Table};
@@ -50,22 +50,8 @@
 /// Returns the servers to query and the chosen server, for ten requests.
 fn choices(placement: &mut Placement, now: u64) -> Vec<(Vec<String>, Option<String>)> {
     let choose = |number: u64| {
-        let parts = vec![Part { id: number, tokens: 13_000 }, Part { id: 10_000 + number, tokens: 3_000 }];
-        let prompt =
-            Prompt { model: "m".to_owned(), tokens: 16_000, max_out_tokens: 200, out_tokens_hint: None, parts };
-        let request = PlacementRequest {
-            service: MODEL,
-            prompt: Some(&prompt),
-            target: Duration::from_millis(1_500),
-            gap_limit: None,
-            urgency: 0,
-            bytes: 17_000,
-            tried: &[],
-            denied: &[],
-            allowed_regions: [None, None],
-            statuses: &[],
-            now,
-        };
+        let prompt = prompt(Part { id: number, tokens: 13_000 }, Part { id: 10_000 + number, tokens: 3_000 });
+        let request = PlacementRequest { now, ..request(&prompt) };
         let planned = placement.servers_to_query(&request, 9).iter().map(|server| server.id.clone()).collect();
         let chosen = placement.clone().choose(&request).ok().map(|choice| choice.server.id.clone());
         (planned, chosen)
